--- a/crates/gateway/tests/earlier_builds.rs
+++ b/crates/gateway/tests/earlier_builds.rs
@@ -19,7 +19,7 @@
 use serde_json::Value;
 
 /// Builds that may run beside this one.
-const BUILDS: [&str; 2] = ["4986580", "4aa18de"];
+const BUILDS: [&str; 3] = ["4986580", "4aa18de", "db3fbfa"];
 
 fn sample(build: &str, name: &str) -> String {
     let tests = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests");
