--- a/crates/fleet/src/placement/adapters.rs
+++ b/crates/fleet/src/placement/adapters.rs
@@ -1,30 +1,35 @@
-//! Chooses which adapters are wanted where.
+//! Chooses the engines that load adapters.
 //!
-//! An adapter that requests wait for is wanted where its model has most room.
-//! Places that are free are filled ahead of demand with adapters of models that
-//! are asked for often.
+//! An adapter that requests wait for is assigned to the engine that holds its model and has the
+//! fewest adapters. Free adapter slots are filled ahead of demand with adapters of models that have
+//! a high request rate or are forecast to be requested.
+//!
+//! The input is the total demand, the demand forecast and the engine states. The output is the set
+//! of wanted adapters of each engine state.
 
 use gorsebank_world::{AdapterId, ModelId};
 
 use super::engine::EngineState;
 use super::forecast::Forecast;
-use super::totals::Totals;
+use super::totals::DemandTotals;
 use crate::configuration::Engine;
 
-/// A model with this many requests a second gets its adapters before they are asked for.
-const PREFETCH_RATE: f64 = 0.4;
-/// Adapter places of an engine that are not filled ahead of demand.
-const PLACES_KEPT_BACK: usize = 1;
+/// Minimum request rate of a model, in requests per second, for which adapters are loaded before a
+/// request needs them.
+const PREFETCH_RATE_PER_SECOND: f64 = 0.4;
+/// Adapter slots of each engine that prefetching leaves free for adapters that requests wait for.
+const RESERVED_ADAPTER_SLOTS: usize = 1;
 
-/// Gives each adapter that requests wait for to the engine with most room.
+/// Recomputes the wanted adapters of all engines: first the adapters that requests wait for, then
+/// the adapters to prefetch.
 pub fn assign(
     spec: &Engine,
-    totals: &Totals,
+    totals: &DemandTotals,
     forecast: &Forecast,
     engines: &mut [&mut EngineState],
 ) {
     for engine in engines.iter_mut() {
-        engine.clear_adapters();
+        engine.clear_wanted_adapters();
     }
     for (model, _) in totals.models() {
         let Some(missing) = totals.missing_adapters(model) else {
@@ -36,20 +41,20 @@
     }
     let busy = totals
         .models()
-        .filter(|(_, demand)| demand.rate >= PREFETCH_RATE);
+        .filter(|(_, demand)| demand.rate >= PREFETCH_RATE_PER_SECOND);
     let busy = busy.map(|(model, _)| model);
     for model in busy.chain(forecast.model()) {
         prefetch_adapters(spec, model, engines);
     }
 }
 
-/// Fills free places with adapters of a model in demand, before they are asked
-/// for. Places are kept back for those that are asked for.
+/// Fills free adapter slots with adapters of a model before requests ask for them. Some slots stay
+/// free for adapters that requests wait for.
 fn prefetch_adapters(spec: &Engine, model: &ModelId, engines: &mut [&mut EngineState]) {
-    let places = spec.adapter_slots.saturating_sub(PLACES_KEPT_BACK);
+    let slot_limit = spec.adapter_slots.saturating_sub(RESERVED_ADAPTER_SLOTS);
     let known = spec.models.get(model);
     for adapter in known.iter().flat_map(|known| &known.adapters) {
-        assign_adapter(spec, engines, model, adapter, places);
+        assign_adapter(spec, engines, model, adapter, slot_limit);
     }
 }
 
@@ -58,29 +63,32 @@
     engines: &mut [&mut EngineState],
     model: &ModelId,
     adapter: &AdapterId,
-    places: usize,
+    slot_limit: usize,
 ) {
     if !spec.models.contains_key(model) {
         return;
     }
-    let holders = engines.iter_mut().filter(|engine| engine.keeps(model));
-    let mut holders: Vec<&mut &mut EngineState> = holders.collect();
-    // An adapter at an engine that states a limit is out of reach for most requests.
-    if holders.iter().any(|engine| engine.limit().is_none()) {
-        holders.retain(|engine| engine.limit().is_none());
+    let candidates = engines.iter_mut().filter(|engine| engine.retains(model));
+    let mut candidates: Vec<&mut &mut EngineState> = candidates.collect();
+    // Most requests cannot reach an engine that states a rate limit, so an engine without a limit
+    // is preferred.
+    if candidates.iter().any(|engine| engine.limit().is_none()) {
+        candidates.retain(|engine| engine.limit().is_none());
     }
-    if holders
+    if candidates
         .iter()
         .any(|engine| engine.has_adapter(model, adapter))
     {
         return;
     }
-    let roomiest = holders
+    let least_loaded = candidates
         .iter_mut()
         .min_by_key(|engine| (!engine.is_free(), engine.adapter_count()));
-    // A full engine makes room only for an adapter that is asked for.
-    let may_evict = places == spec.adapter_slots;
-    if let Some(engine) = roomiest.filter(|engine| may_evict || engine.adapter_count() < places) {
-        engine.want_adapter(model.clone(), adapter.clone());
+    // An engine without a free slot evicts an adapter only for one that requests wait for.
+    let may_evict = slot_limit == spec.adapter_slots;
+    if let Some(engine) =
+        least_loaded.filter(|engine| may_evict || engine.adapter_count() < slot_limit)
+    {
+        engine.add_wanted_adapter(model.clone(), adapter.clone());
     }
 }
--- a/crates/fleet/src/placement/engine/mod.rs
+++ b/crates/fleet/src/placement/engine/mod.rs
@@ -1,8 +1,11 @@
-//! One engine as the holder knows it, and the next thing to do there.
+//! State of one engine as the placement holder knows it.
 //!
-//! `observed` is what discovery shows, often late; `known` is what the engine
-//! itself answered together with its sequence number, moved on by orders that
-//! were acknowledged since. Only `known` sizes an order.
+//! `observed` is the engine's discovery row, which often lags behind. `confirmed` is the state that
+//! the engine itself reported for a sequence number, advanced by the orders that the engine has
+//! acknowledged since. Memory and adapter slots for an order are computed from `confirmed` only.
+//!
+//! The input is discovery rows, engine reports, order results and the goals that the planner sets.
+//! The output is the next action at the engine and the row that gateways read.
 
 mod next;
 mod open_orders;
@@ -13,8 +16,8 @@
 use gorsebank_coordination::Timestamp;
 use gorsebank_world::{AdapterId, BackEndId, ModelId, ServiceId};
 
-pub use open_orders::ORDER_LIFETIME;
-use open_orders::OpenOrders;
+pub use open_orders::ORDER_LIFETIME_MS;
+use open_orders::UnresolvedOrders;
 
 use super::goal::Goal;
 use super::{OrderKind, OrderResult};
@@ -22,106 +25,111 @@
 use crate::configuration::{Engine, ModelSpec};
 use crate::incarnation::{Born, Heard, Incarnation};
 
-/// An order without an answer is repeated so often before the state is asked for.
-const MOST_REPEATS: u32 = 2;
-/// Reports are stale by some 100 ms: after an order without an answer, or one
-/// that was refused, the state is asked for this much later, in milliseconds.
-const SETTLE_TIME: u64 = 400;
-/// An engine that answered within this time is not doubted, in milliseconds.
-const DOUBT_PAUSE: u64 = 700;
-/// Pause between two questions while a load runs over its time, in milliseconds.
-const LOAD_POLL: u64 = 100;
-/// An idle model is unloaded, and a report shows it, after this time, in milliseconds.
-const UNLOAD_TIME: u64 = 120;
-/// Pause between two questions while an adapter is on its way, in milliseconds.
-const ADAPTER_POLL: u64 = 50;
-/// A goal that was not reached in this time is given up, in milliseconds.
-const GOAL_LIFETIME: u64 = 15_000;
-/// A row is kept up for this long after the last change, in milliseconds.
-const ROW_LIFETIME: u64 = 5_000;
+/// Maximum number of times that an order without a response is repeated before the engine is
+/// polled.
+const MAX_ORDER_REPEATS: u32 = 2;
+/// Delay before an engine is polled after an order had no response or was refused, in milliseconds.
+/// Reports lag by about 100 ms, so an earlier report might not show the effect of the order.
+const REPORT_SETTLE_MS: u64 = 400;
+/// An engine that responded within this time is not polled because of waiting requests, in
+/// milliseconds.
+const RECENT_RESPONSE_MS: u64 = 700;
+/// Interval between two polls while a load takes longer than expected, in milliseconds.
+const LOAD_POLL_INTERVAL_MS: u64 = 100;
+/// Delay until the first poll after an unload was accepted, in milliseconds. By then an idle model
+/// is unloaded and a report shows that.
+const UNLOAD_POLL_DELAY_MS: u64 = 120;
+/// Interval between two polls while an adapter load is in progress, in milliseconds.
+const ADAPTER_POLL_INTERVAL_MS: u64 = 50;
+/// A goal that is not reached within this time is dropped, in milliseconds.
+const GOAL_LIFETIME_MS: u64 = 15_000;
+/// Time after the last change for which the row of an engine without a goal or unload is still
+/// published, in milliseconds.
+const ROW_LIFETIME_MS: u64 = 5_000;
 
 #[derive(Debug)]
-struct Known {
+struct ConfirmedState {
     holdings: Holdings,
     pending: BTreeSet<(ModelId, AdapterId)>,
     busy: bool,
     sequence: u64,
 }
 
-/// One engine.
+/// The state of one engine.
 #[derive(Debug)]
 pub struct EngineState {
     incarnation: Incarnation,
     observed: BackEndReport,
-    /// Orders of this life that have had no answer.
-    open: OpenOrders,
-    /// Orders of former lives that may still be carried out in this one: the numbers under which
-    /// they were given come again. Their places and memory stay free.
-    left_over: OpenOrders,
-    known: Option<Known>,
+    /// Orders to the present incarnation whose results are unknown.
+    unresolved_orders: UnresolvedOrders,
+    /// Orders to previous incarnations that the present one may still execute, because its sequence
+    /// numbers start again from zero and may match theirs. The adapter slots and memory that these
+    /// orders need are kept free.
+    previous_orders: UnresolvedOrders,
+    confirmed: Option<ConfirmedState>,
     goal: Option<Goal>,
     unloading: Option<ModelId>,
     wanted_adapters: BTreeSet<(ModelId, AdapterId)>,
-    in_flight: bool,
-    /// How often the last order was repeated.
+    is_action_in_flight: bool,
+    /// Number of times that the last order was repeated.
     repeats: u32,
-    ask_at: Timestamp,
-    check: bool,
-    suspected: bool,
-    heard: Timestamp,
-    changed: Option<Timestamp>,
-    /// Requests a second that it takes, if it states a limit.
+    next_poll_at: Timestamp,
+    needs_poll: bool,
+    is_unresponsive: bool,
+    last_response_at: Timestamp,
+    changed_at: Option<Timestamp>,
+    /// The rate limit that the engine states, in requests per second, if it states one.
     limit: Option<f64>,
 }
 
 impl EngineState {
-    /// An engine that discovery has just shown.
+    /// Creates the state of an engine that discovery has just reported.
     pub fn new(now: Timestamp, observed: BackEndReport) -> Self {
         EngineState {
             incarnation: Incarnation::new(observed.born),
             observed,
-            open: OpenOrders::default(),
-            left_over: OpenOrders::default(),
-            known: None,
+            unresolved_orders: UnresolvedOrders::default(),
+            previous_orders: UnresolvedOrders::default(),
+            confirmed: None,
             goal: None,
             unloading: None,
             wanted_adapters: BTreeSet::new(),
-            in_flight: false,
+            is_action_in_flight: false,
             repeats: 0,
-            ask_at: now,
-            check: false,
-            suspected: false,
-            heard: now,
-            changed: None,
+            next_poll_at: now,
+            needs_poll: false,
+            is_unresponsive: false,
+            last_response_at: now,
+            changed_at: None,
             limit: None,
         }
     }
 
-    /// Takes in a row of discovery, unless it speaks of another life.
+    /// Applies a discovery row, unless the row belongs to another incarnation.
     pub fn observe(&mut self, now: Timestamp, report: &BackEndReport) -> Heard {
-        let heard = self.hear(now, report.born);
+        let heard = self.match_incarnation(now, report.born);
         if heard == Heard::Same {
             self.observed = report.clone();
         }
         heard
     }
 
-    /// Takes in a start that was told.
-    pub fn hear(&mut self, now: Timestamp, born: Option<Born>) -> Heard {
+    /// Matches a reported start time against the known incarnation.
+    pub fn match_incarnation(&mut self, now: Timestamp, born: Option<Born>) -> Heard {
         self.incarnation.hear(now, born)
     }
 
-    /// Whether something with this start may speak of its present life.
-    pub fn may_be(&self, told: Option<Born>) -> bool {
-        self.incarnation.may_be(told)
+    /// Whether a message with this start time may belong to the present incarnation.
+    pub fn may_be_incarnation(&self, start_time: Option<Born>) -> bool {
+        self.incarnation.may_be(start_time)
     }
 
-    /// When it started, if that is known.
+    /// The start time of the present incarnation, if it is known.
     pub fn born(&self) -> Option<Born> {
         self.incarnation.born()
     }
 
-    /// What is known of it when it says itself that it has started again.
+    /// The initial discovery report of a new incarnation that the engine itself has announced.
     pub fn restarted_as(&self, born: Option<Born>) -> BackEndReport {
         BackEndReport {
             born,
@@ -130,110 +138,121 @@
         }
     }
 
-    /// It has started again under its name. It is asked for its state as one that is new.
-    /// A holder before this one may have given it orders until `others_until`.
-    pub fn begin_life(&mut self, now: Timestamp, report: BackEndReport, others_until: Timestamp) {
-        let mut left_over = std::mem::take(&mut self.left_over);
-        left_over.append(std::mem::take(&mut self.open));
+    /// Resets the state for a new incarnation under the same name, which is polled like a new
+    /// engine. A previous placement holder may have sent orders to the previous incarnation that
+    /// can take effect until `unlisted_until`.
+    pub fn begin_incarnation(
+        &mut self,
+        now: Timestamp,
+        report: BackEndReport,
+        unlisted_until: Timestamp,
+    ) {
+        let mut previous_orders = std::mem::take(&mut self.previous_orders);
+        previous_orders.merge(std::mem::take(&mut self.unresolved_orders));
         *self = EngineState::new(now, report);
-        left_over.note_others(others_until);
-        left_over.forget_old(now);
-        self.left_over = left_over;
+        previous_orders.record_unlisted_orders(unlisted_until);
+        previous_orders.remove_expired(now);
+        self.previous_orders = previous_orders;
     }
 
-    /// Takes over from a former holder, whose orders may have had no answer.
-    pub fn inherit(&mut self, now: Timestamp, row: &PlacedRow) {
-        let is_of_former_life = row.born.is_some() && row.born != self.born();
+    /// Restores the state from the row of a previous placement holder, whose orders may have had no
+    /// response.
+    pub fn restore(&mut self, now: Timestamp, row: &PlacedRow) {
+        let is_previous_incarnation = row.born.is_some() && row.born != self.born();
         if let Some(load) = &row.loading {
-            let orders = if is_of_former_life {
-                &mut self.left_over
+            let orders = if is_previous_incarnation {
+                &mut self.previous_orders
             } else {
-                &mut self.open
+                &mut self.unresolved_orders
             };
-            orders.sent(now, OrderKind::LoadModel(load.model.clone()));
+            orders.record_sent(now, OrderKind::LoadModel(load.model.clone()));
         }
-        // What else was ordered there is not known.
-        if is_of_former_life {
-            self.left_over.note_others(now + ORDER_LIFETIME);
+        // The row does not list all orders to the previous incarnation, so any others are assumed
+        // to be possible until orders of that age expire.
+        if is_previous_incarnation {
+            self.previous_orders
+                .record_unlisted_orders(now + ORDER_LIFETIME_MS);
             return;
         }
         for model in &row.left_over {
             let order = OrderKind::LoadModel(model.clone());
-            self.left_over.sent(now, order);
+            self.previous_orders.record_sent(now, order);
         }
-        self.check = row.loading.is_some() || row.unloading.is_some();
+        self.needs_poll = row.loading.is_some() || row.unloading.is_some();
         self.unloading = row.unloading.clone();
     }
 
-    /// The model that it was ordered to load, until it says that it holds it.
+    /// The model that the engine was ordered to load, until the engine reports that it holds the
+    /// model.
     pub fn loading(&self) -> Option<&ModelId> {
         let goal = self.goal.as_ref().filter(|goal| goal.loading)?;
         (!self.observed.draining).then_some(&goal.model)
     }
 
-    /// Its name.
     pub fn id(&self) -> &BackEndId {
         &self.observed.id
     }
 
-    /// Its service.
     pub fn service(&self) -> &ServiceId {
         &self.observed.service
     }
 
-    /// Whether it takes requests for `service`.
+    /// Whether the engine accepts requests for `service`.
     pub fn serves(&self, service: &ServiceId) -> bool {
         self.observed.service == *service && !self.observed.draining
     }
 
-    /// Holdings as well as they are known.
+    /// The models and adapters on the engine: as the engine confirmed them, otherwise as discovery
+    /// shows them.
     pub fn holdings(&self) -> &Holdings {
-        match &self.known {
-            Some(known) => &known.holdings,
+        match &self.confirmed {
+            Some(confirmed) => &confirmed.holdings,
             None => &self.observed.holdings,
         }
     }
 
-    /// It states this limit, in requests a second, or none.
+    /// Sets the rate limit that the engine states, in requests per second; `None` if it states
+    /// none.
     pub fn set_limit(&mut self, limit: Option<f64>) {
         self.limit = limit;
     }
 
-    /// Requests a second that it takes, if it states a limit.
+    /// The rate limit that the engine states, in requests per second, if it states one.
     pub fn limit(&self) -> Option<f64> {
         self.limit
     }
 
-    /// Whether it answers, holds the model and goes on holding it.
-    pub fn keeps(&self, model: &ModelId) -> bool {
-        !self.suspected && self.holds(model)
+    /// Whether the engine responds, holds the model and is not unloading it.
+    pub fn retains(&self, model: &ModelId) -> bool {
+        !self.is_unresponsive && self.holds(model)
     }
 
     fn holds(&self, model: &ModelId) -> bool {
         self.unloading.as_ref() != Some(model) && self.holdings().contains_key(model)
     }
 
-    /// Requests wait for a model that is said to be here: the engine is asked,
-    /// unless it has answered not long ago. One that does not answer counts as
-    /// holding nothing until it does.
-    pub fn doubt(&mut self, now: Timestamp, model: &ModelId) {
-        if self.holds(model) && now.since(self.heard) > DOUBT_PAUSE {
-            self.check = true;
+    /// Schedules a poll of an engine that is thought to hold a model while requests wait for that
+    /// model, unless the engine responded recently. An engine that does not respond counts as
+    /// holding no models until it responds again.
+    pub fn poll_if_silent(&mut self, now: Timestamp, model: &ModelId) {
+        if self.holds(model) && now.since(self.last_response_at) > RECENT_RESPONSE_MS {
+            self.needs_poll = true;
         }
     }
 
-    /// Whether the model is wanted here and expected soon.
+    /// Whether the model is the goal of this engine and is not late.
     pub fn expects(&self, now: Timestamp, model: &ModelId) -> bool {
         let goal = self.goal.as_ref().filter(|goal| goal.model == *model);
         goal.is_some_and(|goal| !goal.is_late(now))
     }
 
-    /// The model will be loaded elsewhere: a late goal is given up unless its
-    /// load was ordered.
-    pub fn leave_to_another(&mut self, now: Timestamp, model: &ModelId) {
-        let overtaken = |goal: &Goal| goal.model == *model && !goal.loading && goal.is_late(now);
-        if !self.in_flight && self.goal.as_ref().is_some_and(overtaken) {
-            self.changed = Some(now);
+    /// Drops a late goal for a model that will be loaded on another engine, unless the load was
+    /// already ordered here.
+    pub fn drop_late_goal(&mut self, now: Timestamp, model: &ModelId) {
+        let is_superseded =
+            |goal: &Goal| goal.model == *model && !goal.loading && goal.is_late(now);
+        if !self.is_action_in_flight && self.goal.as_ref().is_some_and(is_superseded) {
+            self.changed_at = Some(now);
             self.goal = None;
         }
     }
@@ -241,141 +260,159 @@
     /// Whether a new goal may be set.
     pub fn is_free(&self) -> bool {
         let idle = self.goal.is_none() && self.unloading.is_none();
-        idle && !self.check && !self.suspected && !self.is_busy()
+        idle && !self.needs_poll && !self.is_unresponsive && !self.is_busy()
     }
 
-    /// Time until a new goal may be set, as far as it is known; none at an engine
-    /// that does not answer, whose goal is late, or that carries out an order of
-    /// which the end is not known.
-    pub fn free_in(&self, now: Timestamp) -> Option<Duration> {
+    /// Time until a new goal may be set, as far as it is known. It is `None` for an engine that
+    /// does not respond, whose goal is late, or that executes an order with an unknown end.
+    pub fn time_until_free(&self, now: Timestamp) -> Option<Duration> {
         let left = match &self.goal {
             Some(goal) if goal.is_late(now) => None,
             Some(goal) => Some(goal.ready_at.since(now)),
             None if self.unloading.is_some() || self.is_busy() => None,
             None => Some(0),
         };
-        left.filter(|_| !self.suspected).map(Duration::from_millis)
+        left.filter(|_| !self.is_unresponsive)
+            .map(Duration::from_millis)
     }
 
     fn is_busy(&self) -> bool {
-        self.known.as_ref().is_some_and(|known| known.busy)
+        self.confirmed
+            .as_ref()
+            .is_some_and(|confirmed| confirmed.busy)
     }
 
-    /// Sets a goal.
-    pub fn aim(
+    /// Sets the goal to load a model, which is expected to be ready after `expected`. The models in
+    /// `victims` may be unloaded for it.
+    pub fn set_goal(
         &mut self,
         now: Timestamp,
         model: ModelId,
         expected: Duration,
         victims: Vec<ModelId>,
     ) {
-        self.changed = Some(now);
+        self.changed_at = Some(now);
         self.goal = Some(Goal {
             model,
-            since: now,
+            set_at: now,
             ready_at: now + expected.as_millis() as u64,
             victims,
             loading: false,
         });
     }
 
-    /// Adapters that are wanted here.
-    pub fn want_adapter(&mut self, model: ModelId, adapter: AdapterId) {
+    pub fn add_wanted_adapter(&mut self, model: ModelId, adapter: AdapterId) {
         self.wanted_adapters.insert((model, adapter));
     }
 
-    /// Forgets adapters that were wanted.
-    pub fn clear_adapters(&mut self) {
+    /// Removes all wanted adapters.
+    pub fn clear_wanted_adapters(&mut self) {
         self.wanted_adapters.clear();
     }
 
-    /// Adapters here, on their way or wanted.
+    /// Number of adapters that are loaded, being loaded or wanted.
     pub fn adapter_count(&self) -> usize {
         let held: usize = self.holdings().values().map(BTreeSet::len).sum();
-        let pending = self.known.as_ref().map_or(0, |known| known.pending.len());
+        let pending = self
+            .confirmed
+            .as_ref()
+            .map_or(0, |confirmed| confirmed.pending.len());
         held + pending + self.wanted_adapters.len()
     }
 
-    /// Whether the adapter is here, on its way or wanted.
+    /// Whether the adapter is loaded, being loaded or wanted.
     pub fn has_adapter(&self, model: &ModelId, adapter: &AdapterId) -> bool {
         let key = (model.clone(), adapter.clone());
         let held = self.holdings().get(model);
         held.is_some_and(|adapters| adapters.contains(adapter))
             || self.wanted_adapters.contains(&key)
             || self
-                .known
+                .confirmed
                 .as_ref()
-                .is_some_and(|known| known.pending.contains(&key))
+                .is_some_and(|confirmed| confirmed.pending.contains(&key))
     }
 
-    /// Memory that is not taken, in megabytes.
+    /// Memory that is not allocated, in megabytes. Memory for adapter loads in progress and for
+    /// orders to previous incarnations counts as allocated.
     pub fn free_memory(&self, spec: &Engine) -> f64 {
-        let pending = self.known.iter().flat_map(|known| &known.pending);
+        let pending = self
+            .confirmed
+            .iter()
+            .flat_map(|confirmed| &confirmed.pending);
         let pending: f64 = pending
             .filter_map(|(model, _)| Some(spec.models.get(model)?.adapter_mb))
             .sum();
-        spec.memory_mb - held_memory(spec, self.holdings()) - pending - self.left_over.memory(spec)
+        spec.memory_mb
+            - memory_of_holdings(spec, self.holdings())
+            - pending
+            - self.previous_orders.memory_needed(spec)
     }
 
-    /// Time of a load here, by where the engine has a copy.
+    /// Duration of a load on this engine, by where the engine has a copy of the weights.
     pub fn load_time(&self, model: &ModelId, spec: &ModelSpec) -> Duration {
         spec.load_from(self.observed.nearest_copy(model))
     }
 
-    /// Whether a load here takes nothing from the weight store.
-    pub fn has_copy(&self, model: &ModelId) -> bool {
+    /// Whether a load on this engine reads a local copy instead of the weight store.
+    pub fn has_local_copy(&self, model: &ModelId) -> bool {
         self.observed.nearest_copy(model) != CopyTier::WeightStore
     }
 
-    /// Whether a load from the weight store is to be ordered here, once there is room.
-    pub fn will_use_store(&self) -> bool {
+    /// Whether the engine is to load a model from the weight store once it has enough free memory.
+    pub fn will_load_from_store(&self) -> bool {
         let goal = self.goal.as_ref().filter(|goal| !goal.loading);
-        goal.is_some_and(|goal| !self.has_copy(&goal.model))
+        goal.is_some_and(|goal| !self.has_local_copy(&goal.model))
     }
 
-    /// Ends a goal that was reached or is too old.
-    fn settle_goal(&mut self, now: Timestamp) {
+    /// Clears a goal that was reached or has expired.
+    fn clear_finished_goal(&mut self, now: Timestamp) {
         let Some(goal) = &self.goal else {
             return;
         };
-        let known = self.known.as_ref();
-        let reached =
-            known.is_some_and(|known| !known.busy && known.holdings.contains_key(&goal.model));
-        let old = now.since(goal.since) > GOAL_LIFETIME;
-        if !self.in_flight && (reached || old) {
-            self.changed = Some(now);
+        let confirmed = self.confirmed.as_ref();
+        let reached = confirmed.is_some_and(|confirmed| {
+            !confirmed.busy && confirmed.holdings.contains_key(&goal.model)
+        });
+        let old = now.since(goal.set_at) > GOAL_LIFETIME_MS;
+        if !self.is_action_in_flight && (reached || old) {
+            self.changed_at = Some(now);
             self.goal = None;
         }
     }
 
-    /// The engine told its state, or did not answer.
-    pub fn reported(&mut self, now: Timestamp, report: Option<EngineReport>) {
-        self.in_flight = false;
+    /// Applies the engine's response to a poll; `None` if the engine did not respond.
+    pub fn apply_report(&mut self, now: Timestamp, report: Option<EngineReport>) {
+        self.is_action_in_flight = false;
         let Some(report) = report else {
-            self.known = None;
-            self.suspected = true;
-            self.check = true;
-            self.ask_at = now + SETTLE_TIME;
+            self.confirmed = None;
+            self.is_unresponsive = true;
+            self.needs_poll = true;
+            self.next_poll_at = now + REPORT_SETTLE_MS;
             return;
         };
-        self.suspected = false;
-        self.heard = now;
-        let is_stale = |known: &Known| report.sequence < known.sequence;
-        if self.known.as_ref().is_some_and(is_stale) {
-            self.check = false;
-            self.ask_at = now + ADAPTER_POLL;
+        self.is_unresponsive = false;
+        self.last_response_at = now;
+        let is_stale = |confirmed: &ConfirmedState| report.sequence < confirmed.sequence;
+        if self.confirmed.as_ref().is_some_and(is_stale) {
+            self.needs_poll = false;
+            self.next_poll_at = now + ADAPTER_POLL_INTERVAL_MS;
             return;
         }
-        self.check = false;
-        self.changed = Some(now);
+        self.needs_poll = false;
+        self.changed_at = Some(now);
         if !report.busy {
             self.unloading = None;
         }
-        let is_short = !report.busy || self.unloading.is_some();
-        self.ask_at = now + if is_short { ADAPTER_POLL } else { LOAD_POLL };
+        let is_short_order = !report.busy || self.unloading.is_some();
+        self.next_poll_at = now
+            + if is_short_order {
+                ADAPTER_POLL_INTERVAL_MS
+            } else {
+                LOAD_POLL_INTERVAL_MS
+            };
         self.observed.in_memory = report.in_memory;
         self.observed.on_disk = report.on_disk;
-        self.known = Some(Known {
+        self.confirmed = Some(ConfirmedState {
             holdings: report.holdings,
             pending: report.pending,
             busy: report.busy,
@@ -383,99 +420,102 @@
         });
     }
 
-    /// An order had this result.
-    pub fn ordered(&mut self, now: Timestamp, order: &OrderKind, result: OrderResult) {
+    /// Applies the result of an order.
+    pub fn apply_order_result(&mut self, now: Timestamp, order: &OrderKind, result: OrderResult) {
         match result {
-            OrderResult::Unanswered => self.open.unanswered(order),
-            _ => self.open.answered(order),
+            OrderResult::Unanswered => self.unresolved_orders.record_no_response(order),
+            _ => self.unresolved_orders.record_response(order),
         }
-        self.in_flight = false;
-        self.changed = Some(now);
-        if result == OrderResult::Unanswered && self.repeats < MOST_REPEATS {
-            return self.repeat(order);
+        self.is_action_in_flight = false;
+        self.changed_at = Some(now);
+        if result == OrderResult::Unanswered && self.repeats < MAX_ORDER_REPEATS {
+            return self.prepare_repeat(order);
         }
         self.repeats = 0;
         match result {
-            OrderResult::Accepted => self.accepted(now, order),
+            OrderResult::Accepted => self.apply_accepted_order(now, order),
             OrderResult::InForce => match order {
-                OrderKind::UnloadAdapter(model, adapter) => self.adapter_left(model, adapter),
-                _ => self.unknown(now),
+                OrderKind::UnloadAdapter(model, adapter) => self.remove_adapter(model, adapter),
+                _ => self.discard_confirmed_state(now),
             },
             OrderResult::Refused => {
                 self.goal = None;
-                self.unknown(now);
+                self.discard_confirmed_state(now);
             }
-            _ => self.unknown(now),
+            _ => self.discard_confirmed_state(now),
         }
     }
 
-    /// The order had no answer. It may be given again at once: both are sent on the
-    /// condition of one sequence number, so one of them is carried out at most, and
-    /// the engine is known as it is until then.
-    fn repeat(&mut self, order: &OrderKind) {
+    /// Prepares for the order without a response to be sent again immediately. Both sends carry the
+    /// same sequence number as their condition, so the engine executes the order at most once and
+    /// its confirmed state stays valid until then.
+    fn prepare_repeat(&mut self, order: &OrderKind) {
         self.repeats += 1;
-        if let (OrderKind::LoadAdapter(model, adapter), Some(known)) = (order, &mut self.known) {
-            known.pending.remove(&(model.clone(), adapter.clone()));
+        if let (OrderKind::LoadAdapter(model, adapter), Some(confirmed)) =
+            (order, &mut self.confirmed)
+        {
+            confirmed.pending.remove(&(model.clone(), adapter.clone()));
         }
     }
 
-    /// The order was taken, so the sequence number is one higher.
-    fn accepted(&mut self, now: Timestamp, order: &OrderKind) {
-        let Some(known) = &mut self.known else {
+    /// Applies an accepted order, which increments the sequence number.
+    fn apply_accepted_order(&mut self, now: Timestamp, order: &OrderKind) {
+        let Some(confirmed) = &mut self.confirmed else {
             return;
         };
-        known.sequence += 1;
+        confirmed.sequence += 1;
         match order {
             OrderKind::LoadModel(_) => {
-                known.busy = true;
+                confirmed.busy = true;
                 let ready_at = self.goal.as_ref().map(|goal| goal.ready_at);
-                self.ask_at = ready_at.unwrap_or(now + LOAD_POLL);
+                self.next_poll_at = ready_at.unwrap_or(now + LOAD_POLL_INTERVAL_MS);
             }
             OrderKind::UnloadModel(_) => {
-                known.busy = true;
-                self.ask_at = now + UNLOAD_TIME;
+                confirmed.busy = true;
+                self.next_poll_at = now + UNLOAD_POLL_DELAY_MS;
             }
-            OrderKind::LoadAdapter(..) => self.ask_at = now + ADAPTER_POLL,
-            // Its place counts as taken until a report shows it free.
-            OrderKind::UnloadAdapter(..) => self.unknown(now),
+            OrderKind::LoadAdapter(..) => self.next_poll_at = now + ADAPTER_POLL_INTERVAL_MS,
+            // The slot of the adapter counts as used until a report shows it free.
+            OrderKind::UnloadAdapter(..) => self.discard_confirmed_state(now),
         }
     }
 
-    /// An idle adapter was unloaded at once, and the sequence number is one higher.
-    fn adapter_left(&mut self, model: &ModelId, adapter: &AdapterId) {
-        let Some(known) = &mut self.known else {
+    /// Applies the immediate unload of an idle adapter, which increments the sequence number.
+    fn remove_adapter(&mut self, model: &ModelId, adapter: &AdapterId) {
+        let Some(confirmed) = &mut self.confirmed else {
             return;
         };
-        known.sequence += 1;
-        if let Some(adapters) = known.holdings.get_mut(model) {
+        confirmed.sequence += 1;
+        if let Some(adapters) = confirmed.holdings.get_mut(model) {
             adapters.remove(adapter);
         }
     }
 
-    /// Nothing is known any more; the state is asked once stale answers are past.
-    fn unknown(&mut self, now: Timestamp) {
-        self.known = None;
+    /// Discards the confirmed state and schedules a poll for the time when stale reports have
+    /// passed.
+    fn discard_confirmed_state(&mut self, now: Timestamp) {
+        self.confirmed = None;
         self.unloading = None;
-        self.check = true;
-        self.ask_at = now + SETTLE_TIME;
+        self.needs_poll = true;
+        self.next_poll_at = now + REPORT_SETTLE_MS;
     }
 
-    /// The action was not begun.
-    pub fn abandoned(&mut self, now: Timestamp) {
-        self.in_flight = false;
-        self.unknown(now);
+    /// Records that an action was not started.
+    pub fn cancel_action(&mut self, now: Timestamp) {
+        self.is_action_in_flight = false;
+        self.discard_confirmed_state(now);
     }
 
-    /// The row for gateways, while there is anything newer than discovery to say.
+    /// The row for gateways, as long as it contains anything newer than discovery.
     pub fn row(&self, now: Timestamp, fence: u64) -> Option<PlacedRow> {
-        let changed = self.changed?;
+        let changed_at = self.changed_at?;
         let settled = self.goal.is_none() && self.unloading.is_none();
-        if settled && now.since(changed) > ROW_LIFETIME {
+        if settled && now.since(changed_at) > ROW_LIFETIME_MS {
             return None;
         }
         let mut holdings = self.holdings().clone();
-        if let Some(leaving) = &self.unloading {
-            holdings.remove(leaving);
+        if let Some(unloading) = &self.unloading {
+            holdings.remove(unloading);
         }
         let loading = self.goal.as_ref().map(|goal| PlannedLoad {
             model: goal.model.clone(),
@@ -487,13 +527,14 @@
             holdings,
             unloading: self.unloading.clone(),
             loading,
-            left_over: self.left_over.models().into_iter().cloned().collect(),
+            left_over: self.previous_orders.models().into_iter().cloned().collect(),
         })
     }
 }
 
-/// Memory of models and adapters, in megabytes. An unknown model fills the engine.
-fn held_memory(spec: &Engine, holdings: &Holdings) -> f64 {
+/// Memory of models and adapters, in megabytes. A model that is not in the configuration counts as
+/// the engine's whole memory.
+fn memory_of_holdings(spec: &Engine, holdings: &Holdings) -> f64 {
     let memory = |(model, adapters): (&ModelId, &BTreeSet<AdapterId>)| match spec.models.get(model)
     {
         Some(model) => model.memory_mb + model.adapter_mb * adapters.len() as f64,
--- a/crates/fleet/src/placement/engine/next.rs
+++ b/crates/fleet/src/placement/engine/next.rs
@@ -1,6 +1,8 @@
-//! The next thing to do at an engine: ask it, give it an order, or wait.
+//! Chooses the next action at an engine: a poll, an order or none.
 //!
-//! Orders are sized by what the engine itself told, never by what discovery shows.
+//! The input is the engine state, the total demand and the limits of the weight store. The output
+//! is at most one action. Memory and adapter slots for an order are computed from the state that
+//! the engine itself confirmed, never from discovery.
 
 use std::collections::BTreeSet;
 
@@ -9,59 +11,61 @@
 
 use super::EngineState;
 use crate::configuration::Engine;
-use crate::placement::totals::Totals;
+use crate::placement::totals::DemandTotals;
 use crate::placement::weight_store::WeightStore;
 use crate::placement::{Action, ActionKind, OrderKind};
 
-/// Adapters that may be on their way to one engine at once.
-const ADAPTERS_IN_TRANSIT: usize = 4;
+/// Maximum number of adapter loads in progress on one engine.
+const MAX_PENDING_ADAPTERS: usize = 4;
 
 impl EngineState {
-    /// The next thing to do, if there is one.
+    /// The next action, if there is one.
     pub fn next_action(
         &mut self,
         now: Timestamp,
         spec: &Engine,
-        totals: &Totals,
+        totals: &DemandTotals,
         store: &mut WeightStore,
     ) -> Option<Action> {
-        self.settle_goal(now);
-        self.left_over.forget_old(now);
-        let waits = self.check || self.goal.is_some() || !self.wanted_adapters.is_empty();
+        self.clear_finished_goal(now);
+        self.previous_orders.remove_expired(now);
+        let has_work = self.needs_poll || self.goal.is_some() || !self.wanted_adapters.is_empty();
         let pending = self
-            .known
+            .confirmed
             .as_ref()
-            .is_some_and(|known| known.busy || !known.pending.is_empty());
-        if self.in_flight || !(waits || pending) || self.observed.draining {
+            .is_some_and(|confirmed| confirmed.busy || !confirmed.pending.is_empty());
+        if self.is_action_in_flight || !(has_work || pending) || self.observed.draining {
             return None;
         }
-        let Some(known) = &self.known else {
-            return self.ask(now, "state unknown");
+        let Some(confirmed) = &self.confirmed else {
+            return self.poll(now, "engine state is unknown");
         };
-        if self.check {
-            return self.ask(now, "requests wait for what it holds");
+        if self.needs_poll {
+            return self.poll(now, "requests wait for a model on the engine");
         }
-        if known.busy {
-            return self.ask(now, "order under way");
+        if confirmed.busy {
+            return self.poll(now, "order in progress");
         }
-        let sequence = known.sequence;
+        let sequence = confirmed.sequence;
         let (order, reason) = match self.next_order(now, spec, totals, store) {
             Some(order) => order,
-            None if pending => return self.ask(now, "adapter on its way"),
+            None if pending => return self.poll(now, "adapter load in progress"),
             None => return None,
         };
-        self.in_flight = true;
-        self.changed = Some(now);
-        self.open.sent(now, order.clone());
-        self.note_on_its_way(&order);
+        self.is_action_in_flight = true;
+        self.changed_at = Some(now);
+        self.unresolved_orders.record_sent(now, order.clone());
+        self.record_pending_adapter(&order);
         let kind = ActionKind::Order { order, sequence };
-        Some(self.action(kind, reason))
+        Some(self.build_action(kind, reason))
     }
 
-    /// An adapter counts as on its way from the moment of the order.
-    fn note_on_its_way(&mut self, order: &OrderKind) {
-        if let (OrderKind::LoadAdapter(model, adapter), Some(known)) = (order, &mut self.known) {
-            known.pending.insert((model.clone(), adapter.clone()));
+    /// Counts an adapter as being loaded from the moment of the order.
+    fn record_pending_adapter(&mut self, order: &OrderKind) {
+        if let (OrderKind::LoadAdapter(model, adapter), Some(confirmed)) =
+            (order, &mut self.confirmed)
+        {
+            confirmed.pending.insert((model.clone(), adapter.clone()));
         }
     }
 
@@ -69,16 +73,16 @@
         &mut self,
         now: Timestamp,
         spec: &Engine,
-        totals: &Totals,
+        totals: &DemandTotals,
         store: &mut WeightStore,
     ) -> Option<(OrderKind, &'static str)> {
-        if let Some(order) = self.goal_order(now, spec, store) {
+        if let Some(order) = self.next_goal_order(now, spec, store) {
             return Some(order);
         }
-        self.adapter_order(spec, totals)
+        self.next_adapter_order(spec, totals)
     }
 
-    fn goal_order(
+    fn next_goal_order(
         &mut self,
         now: Timestamp,
         spec: &Engine,
@@ -87,15 +91,15 @@
         let model = self.goal.as_ref()?.model.clone();
         let wanted = spec.models.get(&model)?;
         if self.free_memory(spec) >= wanted.memory_mb {
-            let from_store = !self.has_copy(&model);
-            let sequence = self.known.as_ref()?.sequence;
-            let is_repeat = store.is_open(now, &self.observed.id, sequence);
+            let from_store = !self.has_local_copy(&model);
+            let sequence = self.confirmed.as_ref()?.sequence;
+            let is_repeat = store.is_unresolved(now, &self.observed.id, sequence);
             let rate = spec.loads_per_second;
-            if from_store && !is_repeat && store.allows(now, rate, 0).is_err() {
+            if from_store && !is_repeat && store.check_limits(now, rate, 0).is_err() {
                 return None;
             }
             if from_store {
-                store.begin(now, &self.observed.id, sequence, wanted.load);
+                store.record_order(now, &self.observed.id, sequence, wanted.load);
             }
             let expected = self.load_time(&model, wanted);
             let goal = self.goal.as_mut()?;
@@ -110,35 +114,40 @@
         Some((OrderKind::UnloadModel(victim), "room for a model in demand"))
     }
 
-    fn adapter_order(&self, spec: &Engine, totals: &Totals) -> Option<(OrderKind, &'static str)> {
-        let known = self.known.as_ref()?;
+    fn next_adapter_order(
+        &self,
+        spec: &Engine,
+        totals: &DemandTotals,
+    ) -> Option<(OrderKind, &'static str)> {
+        let confirmed = self.confirmed.as_ref()?;
         let (model, adapter) = self
             .wanted_adapters
             .iter()
-            .filter(|(model, _)| known.holdings.contains_key(model))
+            .filter(|(model, _)| confirmed.holdings.contains_key(model))
             .max_by(|one, other| {
                 let rate = |key: &(ModelId, AdapterId)| totals.adapter_rate(&key.0, &key.1);
                 rate(one).total_cmp(&rate(other))
             })?;
-        if known.pending.len() >= ADAPTERS_IN_TRANSIT {
+        if confirmed.pending.len() >= MAX_PENDING_ADAPTERS {
             return None;
         }
-        let held: usize = known.holdings.values().map(BTreeSet::len).sum();
+        let held: usize = confirmed.holdings.values().map(BTreeSet::len).sum();
         let memory = spec.models.get(model)?.adapter_mb;
-        let taken = held + known.pending.len() + self.left_over.adapters(spec);
+        let taken =
+            held + confirmed.pending.len() + self.previous_orders.adapter_slots_needed(spec);
         let fits = taken < spec.adapter_slots;
         if fits && self.free_memory(spec) >= memory {
             let order = OrderKind::LoadAdapter(model.clone(), adapter.clone());
             return Some((order, "adapter in demand"));
         }
-        let (model, adapter) = self.idle_adapter(totals)?;
+        let (model, adapter) = self.least_used_adapter(totals)?;
         let order = OrderKind::UnloadAdapter(model, adapter);
         Some((order, "room for an adapter in demand"))
     }
 
-    fn idle_adapter(&self, totals: &Totals) -> Option<(ModelId, AdapterId)> {
-        let known = self.known.as_ref()?;
-        let held = known.holdings.iter().flat_map(|(model, adapters)| {
+    fn least_used_adapter(&self, totals: &DemandTotals) -> Option<(ModelId, AdapterId)> {
+        let confirmed = self.confirmed.as_ref()?;
+        let held = confirmed.holdings.iter().flat_map(|(model, adapters)| {
             adapters
                 .iter()
                 .map(move |adapter| (model.clone(), adapter.clone()))
@@ -149,15 +158,15 @@
         })
     }
 
-    fn ask(&mut self, now: Timestamp, reason: &'static str) -> Option<Action> {
-        if now < self.ask_at {
+    fn poll(&mut self, now: Timestamp, reason: &'static str) -> Option<Action> {
+        if now < self.next_poll_at {
             return None;
         }
-        self.in_flight = true;
-        Some(self.action(ActionKind::Report, reason))
+        self.is_action_in_flight = true;
+        Some(self.build_action(ActionKind::Report, reason))
     }
 
-    fn action(&self, kind: ActionKind, reason: &'static str) -> Action {
+    fn build_action(&self, kind: ActionKind, reason: &'static str) -> Action {
         Action {
             engine: self.observed.id.clone(),
             kind,
--- a/crates/fleet/src/placement/engine/open_orders.rs
+++ b/crates/fleet/src/placement/engine/open_orders.rs
@@ -1,8 +1,13 @@
-//! Orders to one engine of which nobody knows whether they were carried out, or will be.
+//! Orders to one engine whose results are unknown: each of them may have been executed, or may
+//! still be executed.
 //!
-//! In the life of the engine for which they were meant, the number under which an order was given
-//! shows what became of it. An engine that starts again under its name counts anew, and may come
-//! by that number again: until an order is too old its memory and place are left free.
+//! Within one incarnation of the engine, the sequence number of an order shows whether the order
+//! was executed. A new incarnation under the same name starts its sequence numbers again and may
+//! reach the same number, so it may execute an old order. The memory and the adapter slots for such
+//! an order are therefore kept free until the order has expired.
+//!
+//! The input is sent orders and their results. The output is the memory and adapter slots that the
+//! orders may still use.
 
 use std::collections::BTreeSet;
 
@@ -12,101 +17,116 @@
 use super::super::OrderKind;
 use crate::configuration::Engine;
 
-/// An order without an answer is carried out within this time or never, in milliseconds.
-pub const ORDER_LIFETIME: u64 = 13_000;
+/// An order without a response is executed within this time or never, in milliseconds.
+pub const ORDER_LIFETIME_MS: u64 = 13_000;
 
-/// One of them.
+/// An order whose result is unknown.
 #[derive(Clone, Debug)]
-struct OpenOrder {
+struct UnresolvedOrder {
     order: OrderKind,
-    sent: Timestamp,
-    /// A send of it had no answer: another one that was answered says nothing of that.
-    is_unanswered: bool,
+    sent_at: Timestamp,
+    /// Whether a send of the order had no response. The response to another send says nothing about
+    /// that one.
+    had_no_response: bool,
 }
 
-/// All of one engine.
+/// The orders of one engine whose results are unknown.
 #[derive(Clone, Debug, Default)]
-pub struct OpenOrders {
-    orders: Vec<OpenOrder>,
-    /// Until this time there may be others, of a holder that told nothing of them.
-    others_until: Option<Timestamp>,
+pub struct UnresolvedOrders {
+    orders: Vec<UnresolvedOrder>,
+    /// Time until which a previous placement holder's orders, which no row lists, may still be
+    /// executed.
+    unlisted_until: Option<Timestamp>,
 }
 
-impl OpenOrders {
-    /// An order is being sent.
-    pub fn sent(&mut self, now: Timestamp, order: OrderKind) {
-        self.forget_old(now);
-        if let Some(known) = self.orders.iter_mut().find(|open| open.order == order) {
-            known.sent = now;
+impl UnresolvedOrders {
+    /// Records an order that is about to be sent.
+    pub fn record_sent(&mut self, now: Timestamp, order: OrderKind) {
+        self.remove_expired(now);
+        if let Some(existing) = self
+            .orders
+            .iter_mut()
+            .find(|unresolved| unresolved.order == order)
+        {
+            existing.sent_at = now;
             return;
         }
-        self.orders.push(OpenOrder {
+        self.orders.push(UnresolvedOrder {
             order,
-            sent: now,
-            is_unanswered: false,
+            sent_at: now,
+            had_no_response: false,
         });
     }
 
-    /// The last send of an order had no answer.
-    pub fn unanswered(&mut self, order: &OrderKind) {
-        if let Some(known) = self.orders.iter_mut().find(|open| open.order == *order) {
-            known.is_unanswered = true;
+    /// Records that the last send of an order had no response.
+    pub fn record_no_response(&mut self, order: &OrderKind) {
+        if let Some(existing) = self
+            .orders
+            .iter_mut()
+            .find(|unresolved| unresolved.order == *order)
+        {
+            existing.had_no_response = true;
         }
     }
 
-    /// It is known what came of the last send of an order.
-    pub fn answered(&mut self, order: &OrderKind) {
+    /// Records that the result of the last send of an order is known.
+    pub fn record_response(&mut self, order: &OrderKind) {
         self.orders
-            .retain(|open| open.order != *order || open.is_unanswered);
+            .retain(|unresolved| unresolved.order != *order || unresolved.had_no_response);
     }
 
-    /// There may be others until a time.
-    pub fn note_others(&mut self, until: Timestamp) {
-        self.others_until = self.others_until.max(Some(until));
+    /// Records that orders that no row lists may be executed until a time.
+    pub fn record_unlisted_orders(&mut self, until: Timestamp) {
+        self.unlisted_until = self.unlisted_until.max(Some(until));
     }
 
-    /// Adds those of a former life.
-    pub fn append(&mut self, former: OpenOrders) {
-        self.orders.extend(former.orders);
-        self.others_until = self.others_until.max(former.others_until);
+    /// Adds the orders of a previous incarnation.
+    pub fn merge(&mut self, previous: UnresolvedOrders) {
+        self.orders.extend(previous.orders);
+        self.unlisted_until = self.unlisted_until.max(previous.unlisted_until);
     }
 
-    /// Orders that are too old are carried out no more.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    /// Removes orders that are too old to be executed.
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.orders
-            .retain(|open| now.since(open.sent) <= ORDER_LIFETIME);
-        self.others_until = self.others_until.filter(|until| now < *until);
+            .retain(|unresolved| now.since(unresolved.sent_at) <= ORDER_LIFETIME_MS);
+        self.unlisted_until = self.unlisted_until.filter(|until| now < *until);
     }
 
-    /// Models that they may load.
+    /// Models that the orders may load.
     pub fn models(&self) -> BTreeSet<&ModelId> {
-        let loads = self.orders.iter().filter_map(|open| match &open.order {
-            OrderKind::LoadModel(model) => Some(model),
-            _ => None,
-        });
+        let loads = self
+            .orders
+            .iter()
+            .filter_map(|unresolved| match &unresolved.order {
+                OrderKind::LoadModel(model) => Some(model),
+                _ => None,
+            });
         loads.collect()
     }
 
-    /// Memory that they may yet take, in megabytes. What is not known fills the engine.
-    pub fn memory(&self, spec: &Engine) -> f64 {
-        if self.others_until.is_some() {
+    /// Memory that the orders may still use, in megabytes. An unlisted order or an unknown model
+    /// counts as the engine's whole memory.
+    pub fn memory_needed(&self, spec: &Engine) -> f64 {
+        if self.unlisted_until.is_some() {
             return spec.memory_mb;
         }
-        let memory = |model: &ModelId| spec.models.get(model).map(|known| known.memory_mb);
+        let memory_needed =
+            |model: &ModelId| spec.models.get(model).map(|existing| existing.memory_mb);
         let models = self.models().into_iter();
         models
-            .map(|model| memory(model).unwrap_or(spec.memory_mb))
+            .map(|model| memory_needed(model).unwrap_or(spec.memory_mb))
             .sum()
     }
 
-    /// Adapter places that they may yet take.
-    pub fn adapters(&self, spec: &Engine) -> usize {
-        if self.others_until.is_some() {
+    /// Adapter slots that the orders may still use.
+    pub fn adapter_slots_needed(&self, spec: &Engine) -> usize {
+        if self.unlisted_until.is_some() {
             return spec.adapter_slots;
         }
         let loads = self.orders.iter();
         loads
-            .filter(|open| matches!(open.order, OrderKind::LoadAdapter(..)))
+            .filter(|unresolved| matches!(unresolved.order, OrderKind::LoadAdapter(..)))
             .count()
     }
 }
--- a/crates/fleet/src/placement/goals.rs
+++ b/crates/fleet/src/placement/goals.rs
@@ -1,8 +1,11 @@
-//! Chooses which models are wanted where.
+//! Chooses the models to load and the engines that load them.
 //!
-//! A load pays when the demand it serves is worth more than what has to leave
-//! for it. The value of a model is its rate of requests; of one replica among
-//! several, its share of that rate.
+//! A load is worthwhile when the demand that it serves has a higher value than the models that are
+//! evicted for it. The value of a model is its request rate; the value of one of several replicas
+//! is its share of that rate.
+//!
+//! The input is the total demand, the demand forecast, the engine states and the limits of the
+//! weight store. The output is goals for engines that have none, and the loads that are deferred.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,74 +15,83 @@
 
 use super::engine::EngineState;
 use super::forecast::Forecast;
-use super::totals::Totals;
+use super::totals::DemandTotals;
 use super::weight_store::WeightStore;
 use crate::configuration::{Engine, ModelSpec};
 use crate::demand::ModelDemand;
 
-/// Worth of one waiting request of low rank, in requests a second.
-const WAITING_WORTH: f64 = 0.3;
-/// A running request makes a model this much dearer to lose.
-const RUNNING_WORTH: f64 = 0.6;
-/// A load must be worth this much more than what leaves for it.
-const ADVANTAGE: f64 = 1.3;
-/// Part of an engine's slots that one model's replica should fill at most.
-const REPLICA_LOAD: f64 = 0.2;
-/// A model with this many urgent requests a second ...
-const SAFE_RATE: f64 = 0.8;
-/// ... is kept at so many engines, so that the loss of one does not end service.
-const SAFE_REPLICAS: usize = 2;
-/// Worth of a further replica against its share of the rate, while those that are there
-/// have room.
-const REPLICA_WORTH: f64 = 0.5;
-/// From this part of the slots in use on a further replica is worth more ...
-const FILLING: f64 = 0.5;
-/// ... and from this part on its whole share: requests are being turned away.
-const FULL: f64 = 0.9;
-/// As many replicas come at once as bring what runs down to this part of the slots.
-const COMFORTABLE: f64 = 0.6;
-/// Part of the requests for adapters that a load at their engine delays.
-const BLOCKING_COST: f64 = 0.1;
-/// A further replica is loaded when this part of the adapter places is in demand.
-const ADAPTER_CROWD: f64 = 0.6;
-/// Worth of the operator's first model while nobody asks for it, in requests a second.
-const PRIOR_WORTH: f64 = 0.1;
-/// A load from the weight store costs so much, in requests a second.
+/// Value of one waiting request of low priority, in requests per second.
+const WAITING_REQUEST_VALUE: f64 = 0.3;
+/// Value that one running request adds to a loaded model, in requests per second.
+const RUNNING_REQUEST_VALUE: f64 = 0.6;
+/// Minimum ratio between the value of a load and the value of the models that are evicted for it.
+const MIN_VALUE_RATIO: f64 = 1.3;
+/// Fraction of the slots of a model's engines above which the running requests of the model call
+/// for another replica.
+const SATURATED_SLOT_FRACTION: f64 = 0.2;
+/// Rate of urgent requests for a model, in requests per second, above which the model is kept on
+/// several engines.
+const REDUNDANCY_RATE_PER_SECOND: f64 = 0.8;
+/// Number of engines that keep a model with a high urgent rate, so that the loss of one engine does
+/// not interrupt service.
+const REDUNDANT_REPLICAS: usize = 2;
+/// Value of an additional replica as a fraction of its share of the request rate, while the present
+/// replicas have free slots.
+const EXTRA_REPLICA_VALUE_FRACTION: f64 = 0.5;
+/// Fraction of slots in use above which the value of an additional replica rises.
+const FILLING_SLOT_FRACTION: f64 = 0.5;
+/// Fraction of slots in use from which an additional replica has the full value of its share,
+/// because requests are being rejected.
+const FULL_SLOT_FRACTION: f64 = 0.9;
+/// Target fraction of slots in use. As many replicas are loaded at the same time as the running
+/// requests need to reach it.
+const TARGET_SLOT_FRACTION: f64 = 0.6;
+/// Fraction of the requests for adapters on an engine that a model load on the engine delays.
+const DELAYED_ADAPTER_FRACTION: f64 = 0.1;
+/// Fraction of the adapter slots above which the number of requested adapters calls for another
+/// replica.
+const SATURATED_ADAPTER_FRACTION: f64 = 0.6;
+/// Value of the first model in the operator's list while it has no requests, in requests per
+/// second.
+const FIRST_RANK_VALUE: f64 = 0.1;
+/// Cost of a load from the weight store, in requests per second.
 const STORE_LOAD_COST: f64 = 0.02;
-/// Time over which what leaves is weighed against what comes: a load that ends
-/// a part of it later is worth that part less.
-const HORIZON: Duration = Duration::from_secs(10);
-/// A load occupies its engine for so long at least, with what is around it.
-const LEAST_LOAD: Duration = Duration::from_millis(700);
-/// An unload of a model with runs waits for their ends, so long as a rule.
-const RUNS_TIME: Duration = Duration::from_millis(2_500);
-/// An unload of a model without runs is seen to be done after this time.
-const UNLOAD_TIME: Duration = Duration::from_millis(300);
-
-/// Replicas by model, counted once a plan.
+/// Period over which evicted and loaded models are compared. A load that completes later by a
+/// fraction of this period loses that fraction of its value.
+const VALUE_HORIZON: Duration = Duration::from_secs(10);
+/// Minimum time for which a load is assumed to occupy its engine, including the time before and
+/// after the load itself.
+const MIN_LOAD_DURATION: Duration = Duration::from_millis(700);
+/// Typical duration of an unload that has to wait for the running requests of the model.
+const BUSY_UNLOAD_DURATION: Duration = Duration::from_millis(2_500);
+/// Time after which an unload of a model without running requests is known to be complete.
+const IDLE_UNLOAD_DURATION: Duration = Duration::from_millis(300);
+
+/// Number of replicas by model, counted once per plan.
 struct Replicas(BTreeMap<ModelId, usize>);
 
 impl Replicas {
-    /// An engine that states a limit has a replica of a model only if no engine without one has,
-    /// and if it takes all that is asked of such models of it. Otherwise requests for them would
-    /// be turned away while other engines have room.
-    fn count(totals: &Totals, engines: &[&mut EngineState]) -> Self {
+    /// Counts replicas. An engine that states a rate limit counts as a replica of a model only if
+    /// no engine without a limit holds the model, and if the limit covers the whole demand for such
+    /// models on the engine. Otherwise requests for these models would be rejected while other
+    /// engines have free capacity.
+    fn count(totals: &DemandTotals, engines: &[&mut EngineState]) -> Self {
         let mut replicas = Replicas(BTreeMap::new());
         let (limited, others): (Vec<_>, Vec<_>) =
             engines.iter().partition(|engine| engine.limit().is_some());
         for engine in others {
-            kept(engine).for_each(|model| replicas.add(model));
+            retained_models(engine).for_each(|model| replicas.add(model));
         }
-        let mut sufficient = Vec::new();
+        let mut covered = Vec::new();
         for engine in limited {
-            let alone = kept(engine).filter(|model| replicas.of(model) == 0);
-            let alone: Vec<&ModelId> = alone.collect();
-            let asked: f64 = alone.iter().map(|model| totals.rate(model)).sum();
-            if engine.limit().is_some_and(|limit| asked <= limit) {
-                sufficient.extend(alone);
+            let exclusive = retained_models(engine).filter(|model| replicas.count_of(model) == 0);
+            let exclusive: Vec<&ModelId> = exclusive.collect();
+            let requested_rate: f64 = exclusive.iter().map(|model| totals.rate(model)).sum();
+            if engine.limit().is_some_and(|limit| requested_rate <= limit) {
+                covered.extend(exclusive);
             }
         }
-        sufficient.into_iter().for_each(|model| replicas.add(model));
+        covered.into_iter().for_each(|model| replicas.add(model));
         replicas
     }
 
@@ -87,76 +99,73 @@
         *self.0.entry(model.clone()).or_default() += 1;
     }
 
-    fn of(&self, model: &ModelId) -> usize {
+    fn count_of(&self, model: &ModelId) -> usize {
         self.0.get(model).copied().unwrap_or(0)
     }
 }
 
-/// Models that an engine holds and goes on holding.
-fn kept(engine: &EngineState) -> impl Iterator<Item = &ModelId> {
+/// Models that an engine holds and is not unloading.
+fn retained_models(engine: &EngineState) -> impl Iterator<Item = &ModelId> {
     let models = engine.holdings().keys();
-    models.filter(|model| engine.keeps(model))
+    models.filter(|model| engine.retains(model))
 }
 
-/// Why a model that is wanted is not loaded now.
+/// The reason why a load is deferred.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Obstacle {
-    /// The weight store's rate is used up.
+    /// The rate limit of the weight store is used up.
     Pace,
-    /// As many loads are under way as the weight store makes at full speed.
+    /// The weight store is already performing as many loads as it can at full speed.
     StoreCrowded,
-    /// Engines ended under its loads, and none was done since.
+    /// Engines exited during loads of the model, and no load of it has completed since.
     EndsEngines,
-    /// No engine is free to take an order.
+    /// No engine is free to accept an order.
     NoFreeEngine,
-    /// Engines with a copy are occupied, and will have the model sooner than the weight
-    /// store would.
+    /// Engines with a local copy are occupied, and will still have the model loaded sooner than a
+    /// load from the weight store would.
     CopyOccupied,
-    /// More would leave than it is worth, in requests a second.
-    TooDear {
-        /// What would leave at the best engine.
-        loss: f64,
-    },
+    /// The value of the models to be evicted is too high.
+    TooDear { loss: f64 },
 }
 
-/// A model that is wanted and not loaded now.
+/// A load that would be useful and is not ordered now.
 #[derive(Clone, Debug, PartialEq)]
-pub struct UnmetWish {
-    /// The model.
+pub struct DeferredLoad {
+    /// The model to load.
     pub model: ModelId,
-    /// Its worth in requests a second.
-    pub worth: f64,
-    /// Why it is not loaded.
+    /// Value of the load, in requests per second.
+    pub value: f64,
+    /// The reason why the load is not ordered.
     pub obstacle: Obstacle,
 }
 
-/// A model that should be loaded once more.
-struct Wish {
+/// A model that another engine should load.
+struct LoadCandidate {
     model: ModelId,
-    worth: f64,
+    value: f64,
 }
 
-/// What goals are chosen by.
-struct View<'a> {
+/// The inputs of a plan.
+struct PlanContext<'a> {
     now: Timestamp,
     spec: &'a Engine,
-    totals: &'a Totals,
+    totals: &'a DemandTotals,
     forecast: &'a Forecast,
     store: &'a WeightStore,
     replicas: Replicas,
 }
 
-/// Sets goals at engines that have none. Out: what cannot be had now.
-pub fn choose(
+/// Sets goals on engines that have none, and returns the loads that are deferred.
+pub fn set_goals(
     now: Timestamp,
     spec: &Engine,
-    totals: &Totals,
+    totals: &DemandTotals,
     forecast: &Forecast,
     engines: &mut [&mut EngineState],
     store: &WeightStore,
-) -> Vec<UnmetWish> {
-    doubt_silent_engines(now, totals, engines);
-    let view = View {
+) -> Vec<DeferredLoad> {
+    poll_silent_engines(now, totals, engines);
+    let context = PlanContext {
         now,
         spec,
         totals,
@@ -164,154 +173,180 @@
         store,
         replicas: Replicas::count(totals, engines),
     };
-    let mut unmet = Vec::new();
-    let mut from_store = view.may_use_store(engines);
-    for wish in view.wishes(engines) {
-        match view.place(engines, &wish, from_store) {
+    let mut deferred = Vec::new();
+    let mut store_check = context.check_store_limits(engines);
+    for candidate in context.candidates(engines) {
+        match context.assign_goal(engines, &candidate, store_check) {
             // The new goal may be a load from the weight store.
-            Ok(()) => from_store = view.may_use_store(engines),
-            Err(obstacle) => unmet.push(UnmetWish {
-                model: wish.model,
-                worth: wish.worth,
+            Ok(()) => store_check = context.check_store_limits(engines),
+            Err(obstacle) => deferred.push(DeferredLoad {
+                model: candidate.model,
+                value: candidate.value,
                 obstacle,
             }),
         }
     }
-    unmet
+    deferred
 }
 
-/// A model that is waited for although engines hold it: do they still answer?
-fn doubt_silent_engines(now: Timestamp, totals: &Totals, engines: &mut [&mut EngineState]) {
+/// Schedules polls of engines that hold a model for which requests are waiting, to find out whether
+/// the engines still respond.
+fn poll_silent_engines(now: Timestamp, totals: &DemandTotals, engines: &mut [&mut EngineState]) {
     for (model, demand) in totals.models() {
         if demand.waiting > 0 {
             engines
                 .iter_mut()
-                .for_each(|engine| engine.doubt(now, model));
+                .for_each(|engine| engine.poll_if_silent(now, model));
         }
     }
 }
 
-impl View<'_> {
-    /// Whether another load from the weight store may begin, beside the goals that will.
-    fn may_use_store(&self, engines: &[&mut EngineState]) -> Result<(), Obstacle> {
-        let reserved = engines.iter().filter(|engine| engine.will_use_store());
+impl PlanContext<'_> {
+    /// Checks whether the limits of the weight store admit another load besides the goals that will
+    /// load from it.
+    fn check_store_limits(&self, engines: &[&mut EngineState]) -> Result<(), Obstacle> {
+        let reserved = engines
+            .iter()
+            .filter(|engine| engine.will_load_from_store());
         let rate = self.spec.loads_per_second;
-        self.store.allows(self.now, rate, reserved.count())
+        self.store.check_limits(self.now, rate, reserved.count())
     }
 
-    /// Models that should be loaded once more. An engine loads one at a time, so those
-    /// come first that are worth most for each second of it.
-    fn wishes(&self, engines: &[&mut EngineState]) -> Vec<Wish> {
+    /// Models that should be loaded on another engine, ordered by value per second of load time
+    /// because an engine loads only one model at a time.
+    fn candidates(&self, engines: &[&mut EngineState]) -> Vec<LoadCandidate> {
         let known = |model: &ModelId| self.spec.models.contains_key(model);
-        let mut wishes: Vec<Wish> = self
+        let mut candidates: Vec<LoadCandidate> = self
             .totals
             .models()
             .filter(|(model, _)| known(model))
             .filter_map(|(model, demand)| {
-                let worth = self.worth(engines, model, demand)?;
+                let value = self.load_value(engines, model, demand)?;
                 let model = model.clone();
-                Some(Wish { model, worth })
+                Some(LoadCandidate { model, value })
             })
             .collect();
-        wishes.extend(self.forecast_wish(engines));
-        let density = |wish: &Wish| wish.worth / self.shortest_load(engines, &wish.model);
-        let mut by_density: Vec<(f64, Wish)> = wishes
+        candidates.extend(self.forecast_candidate(engines));
+        let value_per_second = |candidate: &LoadCandidate| {
+            candidate.value / self.shortest_load(engines, &candidate.model)
+        };
+        let mut ranked: Vec<(f64, LoadCandidate)> = candidates
             .into_iter()
-            .map(|wish| (density(&wish), wish))
+            .map(|candidate| (value_per_second(&candidate), candidate))
             .collect();
-        by_density.sort_by(|one, other| other.0.total_cmp(&one.0));
-        by_density.into_iter().map(|(_, wish)| wish).collect()
+        ranked.sort_by(|one, other| other.0.total_cmp(&one.0));
+        ranked.into_iter().map(|(_, candidate)| candidate).collect()
     }
 
-    /// Seconds that the shortest load of a model takes an engine that is free.
+    /// Duration of the shortest load of a model among the free engines, in seconds.
     fn shortest_load(&self, engines: &[&mut EngineState], model: &ModelId) -> f64 {
         let Some(spec) = self.spec.models.get(model) else {
-            return LEAST_LOAD.as_secs_f64();
+            return MIN_LOAD_DURATION.as_secs_f64();
         };
         let free = engines.iter().filter(|engine| engine.is_free());
         let loads = free.map(|engine| engine.load_time(model, spec));
         let shortest = loads.min().unwrap_or(spec.load);
-        shortest.max(LEAST_LOAD).as_secs_f64()
+        shortest.max(MIN_LOAD_DURATION).as_secs_f64()
     }
 
-    /// The model that is expected next, if nobody asks for it yet.
-    fn forecast_wish(&self, engines: &[&mut EngineState]) -> Option<Wish> {
+    /// The forecast model, if it has no requests yet and is neither loaded nor expected on any
+    /// engine.
+    fn forecast_candidate(&self, engines: &[&mut EngineState]) -> Option<LoadCandidate> {
         let model = self.forecast.model()?;
-        let is_here = self.replicas.of(model) + coming(self.now, engines, model) > 0;
-        let is_asked_for = self.totals.models().any(|(asked, _)| asked == model);
-        (!is_here && !is_asked_for).then(|| Wish {
+        let is_provided =
+            self.replicas.count_of(model) + expected_replicas(self.now, engines, model) > 0;
+        let has_demand = self
+            .totals
+            .models()
+            .any(|(requested, _)| requested == model);
+        (!is_provided && !has_demand).then(|| LoadCandidate {
             model: model.clone(),
-            worth: self.forecast.worth(model),
+            value: self.forecast.value(model),
         })
     }
 
-    /// What another replica of a model is worth; none if it needs none.
-    fn worth(
+    /// Value of an additional replica of a model; `None` if no further replica is needed.
+    fn load_value(
         &self,
         engines: &[&mut EngineState],
         model: &ModelId,
         demand: &ModelDemand,
     ) -> Option<f64> {
-        let replicas = self.replicas.of(model);
-        let coming = coming(self.now, engines, model);
-        if coming > 0 && replicas + coming >= needed(self.spec, demand, replicas) {
+        let replicas = self.replicas.count_of(model);
+        let expected_replicas = expected_replicas(self.now, engines, model);
+        if expected_replicas > 0
+            && replicas + expected_replicas >= needed_replicas(self.spec, demand, replicas)
+        {
             return None;
         }
         if replicas == 0 {
-            let waiting = WAITING_WORTH * demand.waiting_weight;
-            return Some(demand.rate + waiting + self.forecast.worth(model));
+            let waiting = WAITING_REQUEST_VALUE * demand.waiting_weight;
+            return Some(demand.rate + waiting + self.forecast.value(model));
         }
-        let wants_more = replicas < SAFE_REPLICAS && demand.urgent_rate > SAFE_RATE;
-        let wants_more = wants_more || is_crowded(self.spec, demand, replicas);
-        let share = demand.rate / (replicas + coming + 1) as f64;
-        wants_more.then(|| part_of_share(self.spec, demand, replicas) * share)
+        let wants_more =
+            replicas < REDUNDANT_REPLICAS && demand.urgent_rate > REDUNDANCY_RATE_PER_SECOND;
+        let wants_more = wants_more || is_saturated(self.spec, demand, replicas);
+        let share = demand.rate / (replicas + expected_replicas + 1) as f64;
+        wants_more.then(|| extra_replica_fraction(self.spec, demand, replicas) * share)
     }
 
-    /// Sets a goal for the wish at the engine where it costs least.
-    fn place(
+    /// Sets a goal for the candidate on the engine with the lowest cost.
+    fn assign_goal(
         &self,
         engines: &mut [&mut EngineState],
-        wish: &Wish,
-        from_store: Result<(), Obstacle>,
+        candidate: &LoadCandidate,
+        store_check: Result<(), Obstacle>,
     ) -> Result<(), Obstacle> {
-        let Some(wanted) = self.spec.models.get(&wish.model) else {
+        let Some(wanted) = self.spec.models.get(&candidate.model) else {
             return Ok(());
         };
-        if self.store.puts_off(self.now, &wish.model) {
+        if self.store.is_deferred(self.now, &candidate.model) {
             return Err(Obstacle::EndsEngines);
         }
         let all_limited = engines.iter().all(|engine| engine.limit().is_some());
         let is_free = |engine: &EngineState| {
             let takes_more = all_limited || engine.limit().is_none();
-            takes_more && engine.is_free() && !engine.keeps(&wish.model)
+            takes_more && engine.is_free() && !engine.retains(&candidate.model)
         };
         if !engines.iter().any(|engine| is_free(engine)) {
             return Err(Obstacle::NoFreeEngine);
         }
-        let from_store = if self.copy_is_sooner(engines, &wish.model, wanted) {
+        let store_check = if self.copy_is_sooner(engines, &candidate.model, wanted) {
             Err(Obstacle::CopyOccupied)
         } else {
-            from_store
+            store_check
         };
-        let (index, room) = (0..engines.len())
+        let (index, evictions) = (0..engines.len())
             .filter(|index| is_free(engines[*index]))
-            .filter(|index| from_store.is_ok() || engines[*index].has_copy(&wish.model))
-            .map(|index| (index, self.make_room(engines[index], wish, wanted)))
-            .min_by(|one, other| one.1.cost(wish).total_cmp(&other.1.cost(wish)))
-            .ok_or_else(|| from_store.err().unwrap_or(Obstacle::NoFreeEngine))?;
-        if wish.worth <= room.loss * ADVANTAGE {
-            return Err(Obstacle::TooDear { loss: room.loss });
+            .filter(|index| store_check.is_ok() || engines[*index].has_local_copy(&candidate.model))
+            .map(|index| {
+                (
+                    index,
+                    self.plan_evictions(engines[index], candidate, wanted),
+                )
+            })
+            .min_by(|one, other| one.1.cost(candidate).total_cmp(&other.1.cost(candidate)))
+            .ok_or_else(|| store_check.err().unwrap_or(Obstacle::NoFreeEngine))?;
+        if candidate.value <= evictions.loss * MIN_VALUE_RATIO {
+            return Err(Obstacle::TooDear {
+                loss: evictions.loss,
+            });
         }
         for engine in engines.iter_mut() {
-            engine.leave_to_another(self.now, &wish.model);
+            engine.drop_late_goal(self.now, &candidate.model);
         }
-        engines[index].aim(self.now, wish.model.clone(), room.delay, room.victims);
+        engines[index].set_goal(
+            self.now,
+            candidate.model.clone(),
+            evictions.delay,
+            evictions.victims,
+        );
         Ok(())
     }
 
-    /// Whether an engine with a copy of the model, once it is free, loads it no later
-    /// than another one would from the weight store. Such a load also occupies its
-    /// engine for a much shorter time.
+    /// Whether an engine with a local copy, once it is free, completes a load of the model no later
+    /// than another engine would from the weight store. Such a load also occupies its engine for a
+    /// much shorter time.
     fn copy_is_sooner(
         &self,
         engines: &[&mut EngineState],
@@ -319,133 +354,145 @@
         spec: &ModelSpec,
     ) -> bool {
         let loaded_in = |engine: &&mut EngineState| {
-            let may_load = engine.has_copy(model) && !engine.keeps(model);
-            let free_in = engine.free_in(self.now).filter(|_| may_load)?;
-            Some(free_in + engine.load_time(model, spec))
+            let may_load = engine.has_local_copy(model) && !engine.retains(model);
+            let time_until_free = engine.time_until_free(self.now).filter(|_| may_load)?;
+            Some(time_until_free + engine.load_time(model, spec))
         };
         let soonest = engines.iter().filter_map(loaded_in).min();
         soonest.is_some_and(|soonest| soonest <= spec.load)
     }
 
-    /// What would have to leave the engine for the wish.
-    fn make_room(&self, engine: &EngineState, wish: &Wish, wanted: &ModelSpec) -> Room {
-        let mut missing = wanted.memory_mb - engine.free_memory(self.spec);
+    /// Chooses the models that the engine would have to evict for the candidate.
+    fn plan_evictions(
+        &self,
+        engine: &EngineState,
+        candidate: &LoadCandidate,
+        wanted: &ModelSpec,
+    ) -> EvictionPlan {
+        let mut missing_mb = wanted.memory_mb - engine.free_memory(self.spec);
         let mut costs: Vec<(f64, &ModelId)> = engine
             .holdings()
             .keys()
-            .map(|model| (self.value(model), model))
+            .map(|model| (self.replica_value(model), model))
             .collect();
         costs.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let load = engine.load_time(&wish.model, wanted);
-        let mut room = Room {
-            loss: self.cost_of_blocking(engine, load),
+        let load = engine.load_time(&candidate.model, wanted);
+        let mut evictions = EvictionPlan {
+            loss: self.adapter_delay_cost(engine, load),
             delay: load,
             victims: Vec::new(),
         };
-        if !engine.has_copy(&wish.model) {
-            room.loss += STORE_LOAD_COST;
+        if !engine.has_local_copy(&candidate.model) {
+            evictions.loss += STORE_LOAD_COST;
         }
         for (cost, model) in costs {
-            if missing <= 0.0 {
+            if missing_mb <= 0.0 {
                 break;
             }
-            missing -= self.memory(model);
-            room.loss += cost;
-            room.delay += self.unload_time(model);
-            room.victims.push(model.clone());
+            missing_mb -= self.memory_mb(model);
+            evictions.loss += cost;
+            evictions.delay += self.unload_time(model);
+            evictions.victims.push(model.clone());
         }
-        if missing > 0.0 {
-            room.loss = f64::INFINITY;
+        if missing_mb > 0.0 {
+            evictions.loss = f64::INFINITY;
         }
-        room
+        evictions
     }
 
-    fn memory(&self, model: &ModelId) -> f64 {
+    fn memory_mb(&self, model: &ModelId) -> f64 {
         let known = self.spec.models.get(model);
         known.map_or(0.0, |known| known.memory_mb)
     }
 
     fn unload_time(&self, model: &ModelId) -> Duration {
         if self.totals.running(model) > 0 {
-            RUNS_TIME
+            BUSY_UNLOAD_DURATION
         } else {
-            UNLOAD_TIME
+            IDLE_UNLOAD_DURATION
         }
     }
 
-    /// An engine that loads a model takes no adapters meanwhile.
-    fn cost_of_blocking(&self, engine: &EngineState, load: Duration) -> f64 {
+    /// Cost of the adapter loads that a model load delays: while an engine loads a model, it
+    /// accepts no adapters.
+    fn adapter_delay_cost(&self, engine: &EngineState, load: Duration) -> f64 {
         let rate = |model: &ModelId| {
-            self.totals.adapters_rate(model) / self.replicas.of(model).max(1) as f64
+            self.totals.adapters_rate(model) / self.replicas.count_of(model).max(1) as f64
         };
         let adapter_rate: f64 = engine.holdings().keys().map(rate).sum();
-        BLOCKING_COST * adapter_rate * load.as_secs_f64()
+        DELAYED_ADAPTER_FRACTION * adapter_rate * load.as_secs_f64()
     }
 
-    /// What one replica of a model is worth, in requests a second.
-    fn value(&self, model: &ModelId) -> f64 {
-        let shares = self.replicas.of(model).max(1) as f64;
-        let running = RUNNING_WORTH * f64::from(self.totals.running(model));
-        let waiting = WAITING_WORTH * self.totals.waiting(model);
-        let asked = self.totals.absence_cost(model) + running + waiting;
-        let lost = asked + self.forecast.worth(model);
-        lost / shares + prior(self.spec, model)
+    /// Value of one replica of a model, in requests per second.
+    fn replica_value(&self, model: &ModelId) -> f64 {
+        let shares = self.replicas.count_of(model).max(1) as f64;
+        let running = RUNNING_REQUEST_VALUE * f64::from(self.totals.running(model));
+        let waiting = WAITING_REQUEST_VALUE * self.totals.waiting(model);
+        let demand_value = self.totals.absence_cost(model) + running + waiting;
+        let lost = demand_value + self.forecast.value(model);
+        lost / shares + rank_value(self.spec, model)
     }
 }
 
-/// Whether a model's replicas run too much, or have too few places for its adapters.
-fn is_crowded(spec: &Engine, demand: &ModelDemand, replicas: usize) -> bool {
+/// Whether the replicas of a model run too many requests, or have too few adapter slots.
+fn is_saturated(spec: &Engine, demand: &ModelDemand, replicas: usize) -> bool {
     let running = f64::from(demand.running);
     let slots = f64::from(spec.slots) * replicas as f64;
-    let places = (spec.adapter_slots * replicas) as f64;
+    let adapter_slots = (spec.adapter_slots * replicas) as f64;
     let adapters = demand.adapters.len() as f64;
-    running > REPLICA_LOAD * slots || adapters > ADAPTER_CROWD * places
+    running > SATURATED_SLOT_FRACTION * slots
+        || adapters > SATURATED_ADAPTER_FRACTION * adapter_slots
 }
 
-/// Replicas that would run what runs now without being full. A model that is nowhere is
-/// loaded once: how much will run is not known.
-fn needed(spec: &Engine, demand: &ModelDemand, replicas: usize) -> usize {
+/// Number of replicas that can run the present requests at the target fraction of their slots. A
+/// model without a replica is loaded once, because the number of its running requests is not known
+/// yet.
+fn needed_replicas(spec: &Engine, demand: &ModelDemand, replicas: usize) -> usize {
     if replicas == 0 {
         return 1;
     }
-    let comfortable = f64::from(spec.slots) * COMFORTABLE;
-    (f64::from(demand.running) / comfortable.max(1.0)).ceil() as usize
+    let target = f64::from(spec.slots) * TARGET_SLOT_FRACTION;
+    (f64::from(demand.running) / target.max(1.0)).ceil() as usize
 }
 
-/// What a further replica is worth against its share of the rate.
-fn part_of_share(spec: &Engine, demand: &ModelDemand, replicas: usize) -> f64 {
+/// Value of an additional replica as a fraction of its share of the request rate.
+fn extra_replica_fraction(spec: &Engine, demand: &ModelDemand, replicas: usize) -> f64 {
     let slots = f64::from(spec.slots) * replicas as f64;
-    let filled = f64::from(demand.running) / slots.max(1.0);
-    let urgency = ((filled - FILLING) / (FULL - FILLING)).clamp(0.0, 1.0);
-    REPLICA_WORTH + (1.0 - REPLICA_WORTH) * urgency
+    let used_fraction = f64::from(demand.running) / slots.max(1.0);
+    let urgency = ((used_fraction - FILLING_SLOT_FRACTION)
+        / (FULL_SLOT_FRACTION - FILLING_SLOT_FRACTION))
+        .clamp(0.0, 1.0);
+    EXTRA_REPLICA_VALUE_FRACTION + (1.0 - EXTRA_REPLICA_VALUE_FRACTION) * urgency
 }
 
-/// Engines that will soon have the model. One where it is late does not count.
-fn coming(now: Timestamp, engines: &[&mut EngineState], model: &ModelId) -> usize {
-    let expects = |engine: &&&mut EngineState| engine.expects(now, model) && !engine.keeps(model);
+/// Number of engines that are expected to have the model soon. An engine with a late goal does not
+/// count.
+fn expected_replicas(now: Timestamp, engines: &[&mut EngineState], model: &ModelId) -> usize {
+    let expects = |engine: &&&mut EngineState| engine.expects(now, model) && !engine.retains(model);
     engines.iter().filter(expects).count()
 }
 
-/// What has to leave an engine, and what that costs in requests a second.
-struct Room {
+/// Models that an engine would have to evict, with their value in requests per second and the delay
+/// until the new model is loaded.
+struct EvictionPlan {
     loss: f64,
     delay: Duration,
     victims: Vec<ModelId>,
 }
 
-impl Room {
-    /// What leaves, and what the wish loses until it is fulfilled here.
-    fn cost(&self, wish: &Wish) -> f64 {
-        self.loss + wish.worth * self.delay.as_secs_f64() / HORIZON.as_secs_f64()
+impl EvictionPlan {
+    /// Value of the evicted models plus the value that the candidate loses until it is loaded here.
+    fn cost(&self, candidate: &LoadCandidate) -> f64 {
+        self.loss + candidate.value * self.delay.as_secs_f64() / VALUE_HORIZON.as_secs_f64()
     }
 }
 
-/// What a model without demand is worth: the operator's first models most. It
-/// decides only between models that nobody asks for.
-fn prior(spec: &Engine, model: &ModelId) -> f64 {
+/// Value of a model without demand by its position in the operator's list. This value matters only
+/// between models without requests.
+fn rank_value(spec: &Engine, model: &ModelId) -> f64 {
     let rank = spec
         .models
         .get(model)
         .map_or(spec.models.len(), |spec| spec.rank);
-    PRIOR_WORTH / (rank + 1) as f64
+    FIRST_RANK_VALUE / (rank + 1) as f64
 }
--- a/crates/fleet/src/placement/load_ends.rs
+++ b/crates/fleet/src/placement/load_ends.rs
@@ -1,8 +1,8 @@
-//! Models under whose loads engines ended: a load that is too large, or weights or an adapter
-//! that an engine cannot bear, would be ordered at one engine after the other.
+//! Defers loads of models during which engines have exited. Without it, a model that is too large,
+//! or weights or an adapter that crash an engine, would be loaded on one engine after the other.
 //!
-//! In: loads that were under way when their engine was gone, and loads that were done. Out:
-//! which models are put off, and until when; for the next holder, what is known.
+//! The input is loads that were in progress when their engine exited, and loads that completed. The
+//! output is whether a model is deferred at a given time, and a record for the next holder.
 
 use std::collections::BTreeMap;
 
@@ -10,93 +10,94 @@
 use gorsebank_world::ModelId;
 use serde::{Deserialize, Serialize};
 
-/// So many engines end under loads of a model, none of which is done, before it is put off:
-/// engines also end by themselves.
-const ENDS_TO_PUT_OFF: u32 = 3;
-/// A model is put off for so long at first, in milliseconds; then one load is tried. Each
-/// further end doubles it ...
-const FIRST_PAUSE: u64 = 30_000;
-/// ... up to this.
-const LONGEST_PAUSE: u64 = 600_000;
+/// Number of engines that exit during loads of a model, without a completed load in between, before
+/// the model is deferred. Engines also exit for other reasons.
+const EXITS_BEFORE_DEFERRAL: u32 = 3;
+/// Time for which a model is deferred at first, in milliseconds; then one load is tried. Each
+/// further exit doubles this time.
+const MIN_BACKOFF_MS: u64 = 30_000;
+/// Maximum time for which a model is deferred, in milliseconds.
+const MAX_BACKOFF_MS: u64 = 600_000;
 
-/// Ends under loads of one model since one was done.
+/// Exits of engines during loads of one model since the last completed load.
 #[derive(Clone, Copy, Debug)]
-struct Ends {
+struct LoadExits {
     count: u32,
     last: Timestamp,
 }
 
-/// The same for the next holder.
+/// Exits of engines during loads of one model, as recorded for the next holder.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct EndedLoads {
-    /// The model.
+pub struct LoadCrashRecord {
     pub model: ModelId,
-    /// Engines that ended under a load of it since one was done.
+    /// Number of engines that exited during a load of the model since the last completed load.
     pub count: u32,
-    /// Time since the last of them ended, in milliseconds.
-    pub age: u64,
+    /// Time since the last exit, in milliseconds.
+    #[serde(rename = "age")]
+    pub age_ms: u64,
 }
 
-/// What is known of loads of all models of a service.
+/// Exits of engines during loads, for all models of a service.
 #[derive(Debug, Default)]
-pub struct LoadEnds(BTreeMap<ModelId, Ends>);
+pub struct LoadCrashes(BTreeMap<ModelId, LoadExits>);
 
-impl LoadEnds {
-    /// What a former holder knew, at `now`.
-    pub fn new(now: Timestamp, former: &[EndedLoads]) -> Self {
-        let known = former.iter().map(|known| {
-            let last = now - known.age;
+impl LoadCrashes {
+    /// Restores the records of a previous holder at `now`.
+    pub fn new(now: Timestamp, previous: &[LoadCrashRecord]) -> Self {
+        let known = previous.iter().map(|known| {
+            let last = now - known.age_ms;
             let count = known.count;
-            (known.model.clone(), Ends { count, last })
+            (known.model.clone(), LoadExits { count, last })
         });
-        LoadEnds(known.collect())
+        LoadCrashes(known.collect())
     }
 
-    /// An engine was gone while it loaded the model.
-    pub fn ended(&mut self, now: Timestamp, model: &ModelId) {
-        let ends = self.0.entry(model.clone()).or_insert(Ends {
+    /// Records that an engine exited while it loaded the model.
+    pub fn record_exit(&mut self, now: Timestamp, model: &ModelId) {
+        let exits = self.0.entry(model.clone()).or_insert(LoadExits {
             count: 0,
             last: now,
         });
-        ends.count += 1;
-        ends.last = now;
+        exits.count += 1;
+        exits.last = now;
     }
 
-    /// An engine that seemed to be gone while it loaded the model is there: its row had lapsed.
-    pub fn is_back(&mut self, model: &ModelId) {
-        if let Some(ends) = self.0.get_mut(model) {
-            ends.count = ends.count.saturating_sub(1);
+    /// Retracts an exit: the engine that seemed to have exited during its load still runs, and only
+    /// its discovery row had expired.
+    pub fn retract_exit(&mut self, model: &ModelId) {
+        if let Some(exits) = self.0.get_mut(model) {
+            exits.count = exits.count.saturating_sub(1);
         }
     }
 
-    /// An engine has loaded the model, and lives.
-    pub fn done(&mut self, model: &ModelId) {
+    /// Records that an engine has loaded the model and still runs.
+    pub fn clear(&mut self, model: &ModelId) {
         self.0.remove(model);
     }
 
-    /// Whether the model is not loaded now.
-    pub fn puts_off(&self, now: Timestamp, model: &ModelId) -> bool {
-        let ends = self.0.get(model);
-        ends.is_some_and(|ends| now.since(ends.last) < ends.pause())
+    /// Whether loads of the model are deferred.
+    pub fn is_deferred(&self, now: Timestamp, model: &ModelId) -> bool {
+        let exits = self.0.get(model);
+        exits.is_some_and(|exits| now.since(exits.last) < exits.backoff_ms())
     }
 
-    /// For the next holder.
-    pub fn record(&self, now: Timestamp) -> Vec<EndedLoads> {
-        let record = |(model, ends): (&ModelId, &Ends)| EndedLoads {
+    /// The records for the next holder.
+    pub fn records(&self, now: Timestamp) -> Vec<LoadCrashRecord> {
+        let to_record = |(model, exits): (&ModelId, &LoadExits)| LoadCrashRecord {
             model: model.clone(),
-            count: ends.count,
-            age: now.since(ends.last),
+            count: exits.count,
+            age_ms: now.since(exits.last),
         };
-        self.0.iter().map(record).collect()
+        self.0.iter().map(to_record).collect()
     }
 }
 
-impl Ends {
-    fn pause(&self) -> u64 {
-        let Some(further) = self.count.checked_sub(ENDS_TO_PUT_OFF) else {
+impl LoadExits {
+    fn backoff_ms(&self) -> u64 {
+        let Some(further) = self.count.checked_sub(EXITS_BEFORE_DEFERRAL) else {
             return 0;
         };
         let times = 1_u64.checked_shl(further).unwrap_or(u64::MAX);
-        FIRST_PAUSE.saturating_mul(times).min(LONGEST_PAUSE)
+        MIN_BACKOFF_MS.saturating_mul(times).min(MAX_BACKOFF_MS)
     }
 }
--- a/crates/fleet/src/placement/load_window.rs
+++ b/crates/fleet/src/placement/load_window.rs
@@ -1,17 +1,18 @@
-//! How many loads from the weight store may be under way at once.
+//! Limits the number of concurrent loads from the weight store.
 //!
-//! In: which loads began and ended, and how long each should take. Out: whether another
-//! one may begin.
+//! The input is the start and the end of each load and the duration that it should take. The output
+//! is whether another load may start.
 //!
-//! Engines share the weight store. Up to some number of loads it serves each at full
-//! speed; beyond that all become slower, none ends sooner, and each keeps its engine from
-//! any other order. Nobody tells that number, so it is found as a congestion window is: a
-//! load that began as the last one that the window allowed and took its usual time widens
-//! the window; slow ones narrow it to the number that would have gone at full speed.
+//! Engines share the weight store. Up to some number of concurrent loads, the store serves each at
+//! full speed. With more, every load becomes slower, none completes sooner, and each keeps its
+//! engine from any other order. That number is not configured, so it is estimated in the way of a
+//! congestion window: a load that started as the last one that the window admits and took its usual
+//! time widens the window, and slow loads narrow it to the number that would have run at full
+//! speed.
 //!
-//! Without the window a store that makes two loads at once was given forty: they took 15
-//! to 45 s in place of 6, no engine was free, and a quarter of the models in demand were
-//! never served (three days of 21 gateways and 18 engines).
+//! Without this limit, forty loads were ordered from a store that performs two at full speed: they
+//! took 15 to 45 s instead of 6 s, no engine was free, and a quarter of the models in demand were
+//! never served (three simulated days with 21 gateways and 18 engines).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,199 +21,224 @@
 use gorsebank_world::BackEndId;
 use serde::{Deserialize, Serialize};
 
-/// Loads at once while nothing is known of the store. Where it makes 148, a first limit of 4
-/// left 0.011 fewer requests served than no bound (nine plays in pairs, standard error
-/// 0.004), and 0.007 fewer than 8 (six, 0.0045).
-const FIRST_LIMIT: f64 = 8.0;
-/// A load at full speed that filled the window makes it so much wider, until the first
-/// slow one: a store for a hundred engines makes over eighty at once.
-const FAST_GROWTH: f64 = 4.0;
-/// ... and adds so many loads afterwards.
-const SLOW_GROWTH: f64 = 0.5;
-/// A load that takes so many times as long as alone is a slow one.
-const SLOW: f64 = 1.25;
-/// Weight of one slow load: its engine may be slow, not the store.
-const SLOW_WEIGHT: f64 = 0.3;
-/// A load at full speed among so many others proves for this time, in milliseconds, that
-/// the store makes them at once: a slow one among fewer has a slow engine.
-const PROOF_LIFETIME: u64 = 20_000;
-/// The end of a load is seen so much later, in milliseconds: reports are stale, and asked
-/// for now and then.
-const SEEN_LATE: u64 = 300;
-/// A load of which it is not known when it began, if it did, counts for this time at most,
-/// in milliseconds: an order without an answer is carried out within 13 s or never.
-const UNCERTAIN_LIFETIME: u64 = 20_000;
-
-/// What was found of the weight store, for the next holder.
+/// Initial estimate of the number of concurrent loads at full speed. With a store that performs
+/// 148, an initial estimate of 4 served a fraction of requests that was lower by 0.011 than without
+/// a limit (nine paired runs, standard error 0.004), and lower by 0.007 than with an initial
+/// estimate of 8 (six paired runs, standard error 0.0045).
+const INITIAL_MAX_LOADS: f64 = 8.0;
+/// Factor by which a load at full speed that filled the window widens it, until the first slow
+/// load. A store for a hundred engines performs more than eighty loads at full speed.
+const INITIAL_GROWTH_FACTOR: f64 = 4.0;
+/// Number of loads by which a load at full speed that filled the window widens it after the first
+/// slow load.
+const GROWTH_LOADS: f64 = 0.5;
+/// A load is slow if it takes more than this multiple of its duration without other loads.
+const SLOW_LOAD_RATIO: f64 = 1.25;
+/// Weight of one slow load in the estimate. The cause may be its engine and not the store.
+const SLOW_LOAD_WEIGHT: f64 = 0.3;
+/// Time for which a load at full speed shows that the store performs as many concurrent loads as
+/// were in progress with it, in milliseconds. A slow load among fewer loads is then attributed to
+/// its engine.
+const FULL_SPEED_LIFETIME_MS: u64 = 20_000;
+/// Delay until the end of a load is observed, in milliseconds. Reports lag, and engines are polled
+/// only at intervals.
+const OBSERVATION_DELAY_MS: u64 = 300;
+/// Maximum time for which a load that may or may not have started is counted, in milliseconds. An
+/// order without a response is executed within 13 s or never.
+const UNCERTAIN_LOAD_LIFETIME_MS: u64 = 20_000;
+
+/// The estimate for one weight store, which is handed to the next holder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct FoundLimit {
-    /// Loads that may be under way at once.
+    /// Number of loads that may be in progress at the same time.
+    #[serde(rename = "at_once")]
     pub at_once: f64,
-    /// Whether so many were ever seen to be too many.
+    /// Whether any load was slow because of too many concurrent loads.
+    #[serde(rename = "has_been_slow")]
     pub has_been_slow: bool,
 }
 
 impl Default for FoundLimit {
     fn default() -> Self {
         FoundLimit {
-            at_once: FIRST_LIMIT,
+            at_once: INITIAL_MAX_LOADS,
             has_been_slow: false,
         }
     }
 }
 
-/// The loads under way, and the window.
+/// The loads in progress and the estimated limit on their number.
 #[derive(Debug)]
 pub struct LoadWindow {
-    found: FoundLimit,
-    under_way: BTreeMap<BackEndId, UnderWay>,
-    /// The most loads of which one went at full speed, and when that was seen.
-    proof: (usize, Timestamp),
+    estimate: FoundLimit,
+    active_loads: BTreeMap<BackEndId, ActiveLoad>,
+    /// Largest number of concurrent loads of which one ran at full speed, and the time at which
+    /// that was observed.
+    full_speed: (usize, Timestamp),
 }
 
 #[derive(Debug)]
-struct UnderWay {
-    /// Orders that the engine has taken once the load has begun; none if that is not known.
+struct ActiveLoad {
+    /// Number of orders that the engine has accepted once the load has started; `None` if that is
+    /// not known.
     sequence: Option<u64>,
-    began: Timestamp,
-    /// Time it takes alone; none if it is not known when it began.
-    alone: Option<Duration>,
-    /// Loads under way when it had begun, itself among them.
-    crowd: usize,
+    started_at: Timestamp,
+    /// Duration of the load without other loads; `None` if the start of the load is not known.
+    uncontended_duration: Option<Duration>,
+    /// Number of loads in progress when this load started, including this load.
+    concurrent_loads: usize,
 }
 
-impl UnderWay {
-    fn counts(&self, now: Timestamp) -> bool {
-        self.alone.is_some() || now.since(self.began) < UNCERTAIN_LIFETIME
+impl ActiveLoad {
+    fn is_counted(&self, now: Timestamp) -> bool {
+        self.uncontended_duration.is_some()
+            || now.since(self.started_at) < UNCERTAIN_LOAD_LIFETIME_MS
     }
 }
 
 impl LoadWindow {
-    /// Nothing is under way. `found` is what a former holder found.
-    pub fn new(found: FoundLimit) -> Self {
-        // A row of the table may say anything.
-        let at_once = found.at_once.max(1.0);
+    /// Creates a window without loads. `estimate` is the one of a previous holder.
+    pub fn new(estimate: FoundLimit) -> Self {
+        // The value comes from a stored row, which may contain any number.
+        let at_once = estimate.at_once.max(1.0);
         LoadWindow {
-            found: FoundLimit { at_once, ..found },
-            under_way: BTreeMap::new(),
-            proof: (0, Timestamp(0)),
+            estimate: FoundLimit {
+                at_once,
+                ..estimate
+            },
+            active_loads: BTreeMap::new(),
+            full_speed: (0, Timestamp(0)),
         }
     }
 
-    /// What is known of the store by now.
+    /// The present estimate.
     pub fn found(&self) -> FoundLimit {
-        self.found
+        self.estimate
     }
 
-    /// Loads that may be under way at once.
-    fn most(&self) -> usize {
-        self.found.at_once as usize
+    /// Number of loads that may be in progress at the same time.
+    fn max_loads(&self) -> usize {
+        self.estimate.at_once as usize
     }
 
-    /// Whether another load may begin beside those under way and `reserved` others.
+    /// Whether another load may start besides the loads in progress and `reserved` others.
     pub fn allows(&self, now: Timestamp, reserved: usize) -> bool {
-        let loads = self.under_way.values();
-        let under_way = loads.filter(|load| load.counts(now)).count();
-        under_way + reserved < self.most()
-    }
-
-    /// A load is about to be ordered at an engine that has taken `sequence` orders.
-    pub fn begin(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64, alone: Duration) {
-        self.under_way.remove(engine);
-        let load = UnderWay {
+        let loads = self.active_loads.values();
+        let active_loads = loads.filter(|load| load.is_counted(now)).count();
+        active_loads + reserved < self.max_loads()
+    }
+
+    /// Records a load that is about to be ordered on an engine that has accepted `sequence` orders.
+    /// `uncontended_duration` is the duration of the load without other loads.
+    pub fn begin(
+        &mut self,
+        now: Timestamp,
+        engine: &BackEndId,
+        sequence: u64,
+        uncontended_duration: Duration,
+    ) {
+        self.active_loads.remove(engine);
+        let load = ActiveLoad {
             sequence: Some(sequence + 1),
-            began: now,
-            alone: Some(alone),
-            crowd: self.under_way.len() + 1,
+            started_at: now,
+            uncontended_duration: Some(uncontended_duration),
+            concurrent_loads: self.active_loads.len() + 1,
         };
-        self.under_way.insert(engine.clone(), load);
+        self.active_loads.insert(engine.clone(), load);
     }
 
-    /// A former holder ordered a load there, at an unknown time.
+    /// Records a load that a previous holder ordered at an unknown time.
     pub fn inherit(&mut self, now: Timestamp, engine: &BackEndId) {
-        let load = UnderWay {
+        let load = ActiveLoad {
             sequence: None,
-            began: now,
-            alone: None,
-            crowd: 0,
+            started_at: now,
+            uncontended_duration: None,
+            concurrent_loads: 0,
         };
-        self.under_way.entry(engine.clone()).or_insert(load);
+        self.active_loads.entry(engine.clone()).or_insert(load);
     }
 
-    /// The order had no answer: it may begin at any time.
+    /// Records that the order had no response, so the load may start at any time.
     pub fn uncertain(&mut self, engine: &BackEndId) {
-        if let Some(load) = self.under_way.get_mut(engine) {
-            load.alone = None;
+        if let Some(load) = self.active_loads.get_mut(engine) {
+            load.uncontended_duration = None;
         }
     }
 
-    /// The order was not taken. One whose earlier try had no answer may have begun: a
-    /// report will tell.
+    /// Removes a load whose order was not accepted. It is kept if an earlier send of the order had
+    /// no response, because the load may then have started; a report will show that.
     pub fn dropped(&mut self, engine: &BackEndId) {
-        let may_have_begun = |load: &UnderWay| load.alone.is_none();
-        if !self.under_way.get(engine).is_some_and(may_have_begun) {
+        let may_have_started = |load: &ActiveLoad| load.uncontended_duration.is_none();
+        if !self.active_loads.get(engine).is_some_and(may_have_started) {
             self.forget(engine);
         }
     }
 
-    /// The engine does not answer.
+    /// Removes the load of an engine that does not respond.
     pub fn forget(&mut self, engine: &BackEndId) {
-        self.under_way.remove(engine);
+        self.active_loads.remove(engine);
     }
 
-    /// Forgets engines that are not `known`.
+    /// Removes the loads of engines for which `known` is false.
     pub fn retain(&mut self, known: impl Fn(&BackEndId) -> bool) {
-        self.under_way.retain(|engine, _| known(engine));
+        self.active_loads.retain(|engine, _| known(engine));
     }
 
-    /// An engine was seen to be without an order after it had taken `sequence` of them.
+    /// Records that an engine that has accepted `sequence` orders reports no order in progress.
     pub fn idle(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
-        let has_ended = |load: &UnderWay| load.sequence.is_none_or(|begun| sequence >= begun);
-        if !self.under_way.get(engine).is_some_and(has_ended) {
+        let has_ended = |load: &ActiveLoad| {
+            load.sequence
+                .is_none_or(|first_sequence| sequence >= first_sequence)
+        };
+        if !self.active_loads.get(engine).is_some_and(has_ended) {
             return;
         }
-        if let Some(load) = self.under_way.remove(engine)
-            && let Some(alone) = load.alone
+        if let Some(load) = self.active_loads.remove(engine)
+            && let Some(uncontended_duration) = load.uncontended_duration
         {
-            let taken = now.since(load.began).saturating_sub(SEEN_LATE);
-            let stretch = taken as f64 / alone.as_millis().max(1) as f64;
-            self.ended(now, load.crowd, stretch);
+            let duration_ms = now
+                .since(load.started_at)
+                .saturating_sub(OBSERVATION_DELAY_MS);
+            let slowdown = duration_ms as f64 / uncontended_duration.as_millis().max(1) as f64;
+            self.record_completed_load(now, load.concurrent_loads, slowdown);
         }
     }
 
-    /// A load that began as one of `crowd` took `stretch` times as long as alone.
-    fn ended(&mut self, now: Timestamp, crowd: usize, stretch: f64) {
-        let (proved, proved_at) = self.proof;
-        let is_proved = crowd <= proved && now.since(proved_at) <= PROOF_LIFETIME;
-        if stretch > SLOW {
-            if !is_proved {
-                self.narrow(crowd as f64 / stretch);
+    /// Updates the estimate for a completed load that started as one of `concurrent_loads` loads
+    /// and took `slowdown` times its duration without other loads.
+    fn record_completed_load(&mut self, now: Timestamp, concurrent_loads: usize, slowdown: f64) {
+        let (full_speed_loads, full_speed_at) = self.full_speed;
+        let is_within_full_speed = concurrent_loads <= full_speed_loads
+            && now.since(full_speed_at) <= FULL_SPEED_LIFETIME_MS;
+        if slowdown > SLOW_LOAD_RATIO {
+            if !is_within_full_speed {
+                self.decrease(concurrent_loads as f64 / slowdown);
             }
             return;
         }
-        if !is_proved || crowd == proved {
-            self.proof = (crowd, now);
+        if !is_within_full_speed || concurrent_loads == full_speed_loads {
+            self.full_speed = (concurrent_loads, now);
         }
-        if crowd >= self.most() {
-            self.widen();
+        if concurrent_loads >= self.max_loads() {
+            self.increase();
         }
     }
 
-    /// The store was crowded; it would have made so many loads at full speed.
-    fn narrow(&mut self, at_full_speed: f64) {
-        let found = &mut self.found;
-        found.has_been_slow = true;
-        let at_full_speed = at_full_speed.clamp(1.0, found.at_once);
-        found.at_once += (at_full_speed - found.at_once) * SLOW_WEIGHT;
+    /// Lowers the estimate towards the number of loads that would have run at full speed.
+    fn decrease(&mut self, at_full_speed: f64) {
+        let estimate = &mut self.estimate;
+        estimate.has_been_slow = true;
+        let at_full_speed = at_full_speed.clamp(1.0, estimate.at_once);
+        estimate.at_once += (at_full_speed - estimate.at_once) * SLOW_LOAD_WEIGHT;
     }
 
-    /// A load that filled the window went at full speed.
-    fn widen(&mut self) {
-        let found = &mut self.found;
-        if found.has_been_slow {
-            found.at_once += SLOW_GROWTH;
+    /// Raises the estimate after a load that filled the window ran at full speed.
+    fn increase(&mut self) {
+        let estimate = &mut self.estimate;
+        if estimate.has_been_slow {
+            estimate.at_once += GROWTH_LOADS;
         } else {
-            found.at_once *= FAST_GROWTH;
+            estimate.at_once *= INITIAL_GROWTH_FACTOR;
         }
     }
 }
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -1,13 +1,13 @@
-//! Placement by the holder: which engine loads, unloads or keeps which model
-//! and adapter.
+//! Placement of models and adapters by the placement holder: decides which engine loads, unloads or
+//! keeps which model and adapter.
 //!
-//! In: reports of engines, demand of all gateways, outcomes of orders, time.
-//! Out: actions, at most one at a time for each engine.
+//! The input is engine reports, the demand at all gateways, the results of orders and the time. The
+//! output is actions, at most one at a time for each engine.
 //!
-//! Invariant: an order is sized by holdings that are known for a sequence
-//! number of the engine, and is sent on the condition of just that number. An
-//! order that is carried out late, or another holder's, changes the number; so
-//! memory and adapter places are never overcommitted, whatever was lost.
+//! Invariant: memory and adapter slots for an order are computed from holdings that are known for a
+//! sequence number of the engine, and the order is sent on the condition of exactly that number. An
+//! order that is executed late, or one of another holder, changes the sequence number. Therefore
+//! memory and adapter slots are never overcommitted, whichever messages were lost.
 
 mod adapters;
 mod engine;
@@ -32,108 +32,105 @@
 
 use engine::EngineState;
 use forecast::Forecast;
-pub use goals::{Obstacle, UnmetWish};
-pub use load_ends::EndedLoads;
+pub use goals::{DeferredLoad, Obstacle};
+pub use load_ends::LoadCrashRecord;
 pub use load_window::{FoundLimit, LoadWindow};
 pub use pace::{LoadBound, LoadPace, RecentLoad};
-use totals::Totals;
+use totals::DemandTotals;
 use weight_store::WeightStore;
 pub use weight_store::{StoreRecord, StoreRecords};
 
-/// What an engine is ordered to do.
+/// The operation that an order asks of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderKind {
-    /// Load a model.
     LoadModel(ModelId),
-    /// Unload a model with its adapters.
+    /// Unload a model and its adapters.
     UnloadModel(ModelId),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a model that is loaded.
     LoadAdapter(ModelId, AdapterId),
-    /// Unload an adapter.
     UnloadAdapter(ModelId, AdapterId),
 }
 
-/// What came of an order.
+/// The result of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// It is under way.
+    /// The engine is executing the order.
     Accepted,
-    /// It is in force already.
+    /// The engine already has the state that the order asks for.
     InForce,
-    /// Another order is under way, or the sequence number differs.
+    /// Another order is in progress, or the sequence number does not match.
     Conflict,
-    /// The engine has seen a higher fence.
+    /// The engine has accepted a higher fencing token.
     Fenced,
-    /// It was refused for good.
+    /// The engine refused the order permanently.
     Refused,
-    /// No answer: it may be carried out, even later.
+    /// The order had no response, so it may have been executed or may still be.
     Unanswered,
-    /// Nothing was sent.
+    /// The order was not sent.
     NotSent,
 }
 
-/// What to do at an engine.
+/// The kind of an action at an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ActionKind {
-    /// Ask what it holds.
+    /// Poll the engine for its state.
     Report,
-    /// Give an order, on the condition that it has taken `sequence` orders.
+    /// Send an order, on the condition that the engine has accepted `sequence` orders.
     Order {
-        /// The order.
         order: OrderKind,
-        /// Orders that the engine must have taken.
+        /// Number of orders that the engine must have accepted.
         sequence: u64,
     },
 }
 
-/// One thing to do.
+/// An action to be carried out at one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Action {
-    /// The engine.
     pub engine: BackEndId,
-    /// What to do there.
     pub kind: ActionKind,
-    /// Why, for the logs.
+    /// The reason for the action, for log lines.
     pub reason: &'static str,
-    /// The start of the engine's life that is meant; none if it does not tell it.
+    /// The start time of the incarnation that the action is for; `None` if the engine does not
+    /// report start times.
     pub born: Option<Born>,
 }
 
-/// The holder's view and plans.
+/// The placement holder's knowledge of all engines and weight stores, and its plans.
 #[derive(Debug, Default)]
 pub struct Planner {
     engines: BTreeMap<BackEndId, EngineState>,
     stores: BTreeMap<ServiceId, WeightStore>,
-    bound: LoadBound,
-    former: StoreRecords,
-    inherited: Vec<BackEndId>,
-    begun: Timestamp,
-    unmet: Vec<UnmetWish>,
-    /// Loads under which engines were gone.
-    gone_loading: BTreeMap<BackEndId, GoneLoad>,
+    rate_limit: LoadBound,
+    previous_records: StoreRecords,
+    restored_loads: Vec<BackEndId>,
+    started_at: Timestamp,
+    deferred: Vec<DeferredLoad>,
+    /// Loads during which engines disappeared from discovery.
+    interrupted_loads: BTreeMap<BackEndId, InterruptedLoad>,
 }
 
-/// A load under which an engine was gone.
+/// A load during which the engine disappeared from discovery.
 #[derive(Clone, Debug)]
-struct GoneLoad {
+struct InterruptedLoad {
     service: ServiceId,
     model: ModelId,
-    /// The start of the engine's life that was gone.
+    /// The start time of the incarnation that disappeared.
     born: Option<Born>,
 }
 
 impl Planner {
-    /// A holder that begins at `now`. `former` is what those before it told of weight stores.
-    pub fn new(now: Timestamp, bound: LoadBound, former: StoreRecords) -> Self {
+    /// Creates the planner of a holder that starts at `now`. `previous_records` contains the weight store
+    /// records of previous holders.
+    pub fn new(now: Timestamp, rate_limit: LoadBound, previous_records: StoreRecords) -> Self {
         Planner {
-            bound,
-            former,
-            begun: now,
+            rate_limit,
+            previous_records,
+            started_at: now,
             ..Planner::default()
         }
     }
 
-    /// What this holder and those before it know of weight stores, for the next one.
+    /// The knowledge of this holder and of previous ones about weight stores, for the next holder.
     pub fn store_records(&self, now: Timestamp) -> StoreRecords {
         let born = |id: &BackEndId| self.engines.get(id).and_then(EngineState::born);
         let stores = self.stores.iter();
@@ -142,30 +139,30 @@
             .collect()
     }
 
-    /// Takes in the back ends that discovery shows. `ended` are those whose process ended
-    /// while requests were there: the row of each stands for some heartbeats yet.
+    /// Applies the back ends that discovery shows. `crashed` contains those whose process crashed
+    /// while it ran requests; the discovery row of each remains for some heartbeats.
     pub fn observe(
         &mut self,
         now: Timestamp,
         reports: &[BackEndReport],
-        ended: &BTreeSet<BackEndId>,
+        crashed: &BTreeSet<BackEndId>,
     ) {
-        let lives = |id: &BackEndId| !ended.contains(id);
-        let there = reports.iter().filter(|report| lives(&report.id));
-        let there: BTreeMap<&BackEndId, &BackEndReport> =
-            there.map(|report| (&report.id, report)).collect();
-        let is_there = |id: &BackEndId| there.contains_key(id);
-        self.note_gone(now, |id| lives(id) && !is_there(id));
-        self.note_back(&there);
-        self.engines.retain(|id, _| is_there(id));
+        let has_not_crashed = |id: &BackEndId| !crashed.contains(id);
+        let present = reports.iter().filter(|report| has_not_crashed(&report.id));
+        let present: BTreeMap<&BackEndId, &BackEndReport> =
+            present.map(|report| (&report.id, report)).collect();
+        let is_present = |id: &BackEndId| present.contains_key(id);
+        self.record_missing_engines(now, |id| has_not_crashed(id) && !is_present(id));
+        self.retract_returned_engines(&present);
+        self.engines.retain(|id, _| is_present(id));
         for store in self.stores.values_mut() {
             store.retain(|id| self.engines.contains_key(id));
         }
-        for (id, report) in there {
+        for (id, report) in present {
             match self.engines.get_mut(id) {
                 Some(engine) => {
                     if engine.observe(now, report) == Heard::Other {
-                        self.begin_life(now, report.clone());
+                        self.begin_incarnation(now, report.clone());
                     }
                 }
                 None => {
@@ -176,80 +173,82 @@
         }
     }
 
-    /// Engines that state limits, with the requests a second that each takes, and no others.
+    /// Sets the rate limits that engines state, in requests per second. Engines that are not in
+    /// `limits` state none.
     pub fn set_limits(&mut self, limits: &BTreeMap<BackEndId, f64>) {
         for (id, engine) in &mut self.engines {
             engine.set_limit(limits.get(id).copied());
         }
     }
 
-    /// An engine has started again under its name: it holds nothing that was ordered before,
-    /// and a load that was under way there has ended with its process.
-    fn begin_life(&mut self, now: Timestamp, report: BackEndReport) {
+    /// Handles the restart of an engine under its name: nothing that was ordered before is loaded,
+    /// and a load in progress has ended with the process.
+    fn begin_incarnation(&mut self, now: Timestamp, report: BackEndReport) {
         let Some(engine) = self.engines.get_mut(&report.id) else {
             return;
         };
         if let Some(store) = self.stores.get_mut(engine.service()) {
             if let Some(model) = engine.loading() {
-                store.engine_ended(now, model);
+                store.record_exit(now, model);
             }
-            store.engine_restarted(now, &report.id);
+            store.record_restart(now, &report.id);
         }
-        engine.begin_life(now, report, self.begun + engine::ORDER_LIFETIME);
+        engine.begin_incarnation(now, report, self.started_at + engine::ORDER_LIFETIME_MS);
     }
 
-    /// Whether this start is that of the engine's life that is planned for.
+    /// Whether this start time may be that of the incarnation that the planner knows.
     pub fn plans_for(&self, id: &BackEndId, born: Option<Born>) -> bool {
         self.engines
             .get(id)
-            .is_some_and(|engine| engine.may_be(born))
+            .is_some_and(|engine| engine.may_be_incarnation(born))
     }
 
-    /// Engines are gone that no request ended: if one was loading, its load may have.
-    fn note_gone(&mut self, now: Timestamp, is_gone: impl Fn(&BackEndId) -> bool) {
-        for (id, engine) in self.engines.iter().filter(|(id, _)| is_gone(id)) {
+    /// Records loads of engines that disappeared from discovery and did not crash because of a
+    /// request, since the load may be the cause.
+    fn record_missing_engines(&mut self, now: Timestamp, is_missing: impl Fn(&BackEndId) -> bool) {
+        for (id, engine) in self.engines.iter().filter(|(id, _)| is_missing(id)) {
             let Some(model) = engine.loading() else {
                 continue;
             };
             if let Some(store) = self.stores.get_mut(engine.service()) {
-                store.engine_ended(now, model);
-                let gone = GoneLoad {
+                store.record_exit(now, model);
+                let interrupted = InterruptedLoad {
                     service: engine.service().clone(),
                     model: model.clone(),
                     born: engine.born(),
                 };
-                self.gone_loading.insert(id.clone(), gone);
+                self.interrupted_loads.insert(id.clone(), interrupted);
             }
         }
     }
 
-    /// Rows lapse while the table is away, and engines that were gone are there again. One that
-    /// has started again had ended all the same.
-    fn note_back(&mut self, there: &BTreeMap<&BackEndId, &BackEndReport>) {
-        self.gone_loading.retain(|id, gone| {
-            let Some(report) = there.get(id) else {
+    /// Corrects the records of engines that are in discovery again: rows expire while the table is
+    /// unavailable. An engine with another start time has exited nevertheless.
+    fn retract_returned_engines(&mut self, present: &BTreeMap<&BackEndId, &BackEndReport>) {
+        self.interrupted_loads.retain(|id, interrupted| {
+            let Some(report) = present.get(id) else {
                 return true;
             };
-            if report.born == gone.born
-                && let Some(store) = self.stores.get_mut(&gone.service)
+            if report.born == interrupted.born
+                && let Some(store) = self.stores.get_mut(&interrupted.service)
             {
-                store.engine_is_back(&gone.model);
+                store.retract_exit(&interrupted.model);
             }
             false
         });
     }
 
-    /// A former holder's row: the engine is asked before anything else is done there.
+    /// Restores the row of a previous holder. The engine is polled before any order is sent to it.
     pub fn inherit(&mut self, id: &BackEndId, row: &PlacedRow) {
         if row.loading.is_some() {
-            self.inherited.push(id.clone());
+            self.restored_loads.push(id.clone());
         }
         if let Some(engine) = self.engines.get_mut(id) {
-            engine.inherit(self.begun, row);
+            engine.restore(self.started_at, row);
         }
     }
 
-    /// What to do now.
+    /// Computes the actions to start now.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -257,9 +256,9 @@
         rows: &[DemandRow],
     ) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.unmet.clear();
+        self.deferred.clear();
         for (service, spec) in configuration.engine_services() {
-            let totals = Totals::new(service, rows);
+            let totals = DemandTotals::new(service, rows);
             self.plan_service(now, service, spec, &totals, &mut actions);
         }
         actions
@@ -270,7 +269,7 @@
         now: Timestamp,
         service: &ServiceId,
         spec: &Engine,
-        totals: &Totals,
+        totals: &DemandTotals,
         actions: &mut Vec<Action>,
     ) {
         let mut engines: Vec<&mut EngineState> = self
@@ -279,24 +278,24 @@
             .filter(|engine| engine.serves(service))
             .collect();
         let store = self.stores.entry(service.clone()).or_insert_with(|| {
-            let former = self.former.remove(service).unwrap_or_default();
-            let mut store = WeightStore::new(self.begun, self.bound, &former);
-            // An engine that is gone by now may have begun its load all the same.
-            // What is not known to be of an engine's present life may be of a former one.
-            for load in &former.recent {
+            let previous_records = self.previous_records.remove(service).unwrap_or_default();
+            let mut store = WeightStore::new(self.started_at, self.rate_limit, &previous_records);
+            // An engine that has disappeared by now may still have started its load. A load without
+            // a matching start time may belong to a previous incarnation of the engine.
+            for load in &previous_records.recent {
                 let known = engines.iter().find(|engine| *engine.id() == load.engine);
                 if known.is_some_and(|engine| engine.born() != load.born) {
-                    store.engine_restarted(self.begun, &load.engine);
+                    store.record_restart(self.started_at, &load.engine);
                 }
             }
-            for engine in &self.inherited {
-                store.inherit(self.begun, engine);
+            for engine in &self.restored_loads {
+                store.restore(self.started_at, engine);
             }
             store
         });
         let forecast = Forecast::new(spec, totals);
-        let unmet = goals::choose(now, spec, totals, &forecast, &mut engines, store);
-        self.unmet.extend(unmet);
+        let deferred = goals::set_goals(now, spec, totals, &forecast, &mut engines, store);
+        self.deferred.extend(deferred);
         adapters::assign(spec, totals, &forecast, &mut engines);
         for engine in engines {
             if let Some(action) = engine.next_action(now, spec, totals, store) {
@@ -305,24 +304,24 @@
         }
     }
 
-    /// Models that the last plan could not load, and why.
-    pub fn unmet_wishes(&self) -> &[UnmetWish] {
-        &self.unmet
+    /// Loads that the last plan deferred, with the reasons.
+    pub fn unmet_wishes(&self) -> &[DeferredLoad] {
+        &self.deferred
     }
 
-    /// An engine answered the question for its state.
+    /// Applies the response of an engine to a poll; `None` if the engine did not respond.
     pub fn reported(&mut self, now: Timestamp, id: &BackEndId, report: Option<EngineReport>) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         let told = report.as_ref().and_then(|report| report.born);
-        let report = match engine.hear(now, told) {
+        let report = match engine.match_incarnation(now, told) {
             Heard::Same => report,
-            // The answer came by a connection to a process that is over.
+            // The response came over a connection to a process that has exited.
             Heard::Outdated => None,
             Heard::Other => {
                 let observed = engine.restarted_as(told);
-                self.begin_life(now, observed);
+                self.begin_incarnation(now, observed);
                 report
             }
         };
@@ -330,12 +329,12 @@
             return;
         };
         if let Some(store) = self.stores.get_mut(engine.service()) {
-            store.reported(now, id, engine.loading(), report.as_ref());
+            store.apply_report(now, id, engine.loading(), report.as_ref());
         }
-        engine.reported(now, report);
+        engine.apply_report(now, report);
     }
 
-    /// An order had this result.
+    /// Applies the result of an order.
     pub fn ordered(
         &mut self,
         now: Timestamp,
@@ -348,23 +347,23 @@
         };
         let store = self.stores.get_mut(engine.service());
         if let (OrderKind::LoadModel(_), Some(store)) = (order, store) {
-            store.ordered(now, id, result);
+            store.apply_order_result(now, id, result);
         }
-        engine.ordered(now, order, result);
+        engine.apply_order_result(now, order, result);
     }
 
-    /// An action could not be begun.
-    pub fn abandoned(&mut self, now: Timestamp, id: &BackEndId) {
+    /// Records that an action could not be started.
+    pub fn cancel_action(&mut self, now: Timestamp, id: &BackEndId) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         if let Some(store) = self.stores.get_mut(engine.service()) {
-            store.unsent(id);
+            store.cancel_order(id);
         }
-        engine.abandoned(now);
+        engine.cancel_action(now);
     }
 
-    /// The rows that gateways should know, for engines with anything to say.
+    /// The rows for gateways, one for each engine whose state differs from discovery.
     pub fn rows(&self, now: Timestamp, fence: u64) -> Vec<(BackEndId, PlacedRow)> {
         self.engines
             .iter()
--- a/crates/fleet/src/placement/pace.rs
+++ b/crates/fleet/src/placement/pace.rs
@@ -1,14 +1,16 @@
-//! Keeps loads from the weight store under its bound.
+//! Limits the rate of loads from the weight store.
 //!
-//! The bound holds over every window, for all holders together, and counts the
-//! moment at which a load begins. A load whose order was acknowledged began by
-//! then. One whose order had no answer may begin at any time until the engine is
-//! seen to have taken another order, or the order is too old; it counts all that
-//! while. Orders to one engine are sent on the condition of its sequence number,
-//! so of several for one number only one can begin a load.
+//! The limit holds for every time window and for all holders together, and counts a load at the
+//! moment at which it starts. A load whose order was acknowledged started no later than the
+//! acknowledgement. A load whose order had no response may start at any time until the engine is
+//! seen to have accepted another order or until the order has expired, and counts for that whole
+//! time. Orders to one engine are sent on the condition of its sequence number, so only one of
+//! several orders for the same number can start a load.
 //!
-//! A holder begins with the loads of those before it: the lease's row tells of
-//! them, and an engine's row tells of each load before it is ordered.
+//! A holder starts with the loads of previous holders: the row that is written with the lease lists
+//! them, and the row of an engine names each load before the load is ordered.
+//!
+//! The input is load orders and their results. The output is whether another load may start.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,22 +22,22 @@
 use super::OrderResult;
 use crate::incarnation::Born;
 
-/// Loads that are left for what a holder cannot know.
-const RESERVE: f64 = 2.0;
-/// Time from an order until its acknowledgement, and as long for the way of the
-/// report that a former holder had of it, in milliseconds.
-const ORDER_TIME: u64 = 500;
-/// An order without an answer is carried out within this time or never, in milliseconds.
-const OPEN_LIFETIME: u64 = 13_000;
+/// Number of loads per window that are left unused for loads that a holder cannot know of.
+const RESERVED_LOADS: f64 = 2.0;
+/// Allowance for the time from an order until its acknowledgement and for the age of the report
+/// from which a previous holder knew of the load, in milliseconds.
+const ORDER_DELAY_MS: u64 = 500;
+/// An order without a response is executed within this time or never, in milliseconds.
+const UNRESOLVED_ORDER_LIFETIME_MS: u64 = 13_000;
 
-/// The bound on loads from the weight store.
+/// The rate limit of loads from the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadBound {
-    /// Window over which loads are counted.
+    /// Time window over which loads are counted.
     pub window: Duration,
-    /// Part of the weight store's rate that may begin, 1 for all of it.
+    /// Fraction of the weight store's rate that may be used; 1 for the whole rate.
     pub overage: f64,
-    /// Loads on top, in each window.
+    /// Number of additional loads in each window.
     pub extra: f64,
 }
 
@@ -49,133 +51,143 @@
     }
 }
 
-/// A load that was ordered not long ago.
+/// A load that was ordered recently.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentLoad {
-    /// Where.
     pub engine: BackEndId,
-    /// How long ago, in milliseconds.
+    /// Time since the order, in milliseconds.
+    #[serde(rename = "age")]
     pub age: u64,
-    /// The sequence number under which it was ordered, if it may not have begun yet.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
+    /// The sequence number of the order, if the load may not have started yet.
+    #[serde(rename = "open", default, skip_serializing_if = "Option::is_none")]
     pub open: Option<u64>,
-    /// The start of the engine's life in which it was ordered; none if that is not known, or if
-    /// that life is over.
+    /// The start time of the incarnation that was ordered to load; `None` if it is not known, or if
+    /// that incarnation has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Born>,
 }
 
 #[derive(Debug)]
-struct Load {
-    time: Timestamp,
-    /// The sequence number under which it was ordered, while it may not have begun yet.
-    open: Option<u64>,
-    /// Whether an order under that number had no answer.
-    unanswered: bool,
-    /// Whether the engine has started again since: its numbers began anew.
-    is_of_former_life: bool,
+struct OrderedLoad {
+    ordered_at: Timestamp,
+    /// The sequence number of the order, while the load may not have started yet.
+    unresolved_sequence: Option<u64>,
+    /// Whether an order with that sequence number had no response.
+    had_no_response: bool,
+    /// Whether the engine has restarted since, so that its sequence numbers started again.
+    is_of_previous_incarnation: bool,
 }
 
-impl Load {
-    /// Whether it was ordered under this number of the engine's present life and may not have
-    /// begun yet.
-    fn is_open_as(&self, sequence: u64) -> bool {
-        self.open == Some(sequence) && !self.is_of_former_life
+impl OrderedLoad {
+    /// Whether the load was ordered from the present incarnation with this sequence number and may
+    /// not have started yet.
+    fn is_unresolved_order(&self, sequence: u64) -> bool {
+        self.unresolved_sequence == Some(sequence) && !self.is_of_previous_incarnation
     }
 
-    fn counts(&self, now: Timestamp, span: u64) -> bool {
-        let lifetime = match self.open {
-            Some(_) => OPEN_LIFETIME + span,
-            None => span,
+    fn is_counted(&self, now: Timestamp, counting_window_ms: u64) -> bool {
+        let lifetime = match self.unresolved_sequence {
+            Some(_) => UNRESOLVED_ORDER_LIFETIME_MS + counting_window_ms,
+            None => counting_window_ms,
         };
-        now.since(self.time) <= lifetime
+        now.since(self.ordered_at) <= lifetime
     }
 }
 
-/// Loads of late.
+/// The recent loads of one weight store and their rate limit.
 #[derive(Debug)]
 pub struct LoadPace {
     bound: LoadBound,
-    loads: BTreeMap<BackEndId, Vec<Load>>,
+    loads: BTreeMap<BackEndId, Vec<OrderedLoad>>,
 }
 
 impl LoadPace {
-    /// A holder begins at `now`, and knows of loads of those before it.
+    /// Creates the limiter of a holder that starts at `now` and knows the recent loads of previous
+    /// holders.
     pub fn new(now: Timestamp, bound: LoadBound, former: &[RecentLoad]) -> Self {
         let mut pace = LoadPace {
             bound,
             loads: BTreeMap::new(),
         };
         for load in former {
-            let load_of = Load {
-                time: now - load.age,
-                open: load.open,
-                unanswered: load.open.is_some(),
-                is_of_former_life: false,
+            let ordered_load = OrderedLoad {
+                ordered_at: now - load.age,
+                unresolved_sequence: load.open,
+                had_no_response: load.open.is_some(),
+                is_of_previous_incarnation: false,
             };
             let loads = pace.loads.entry(load.engine.clone()).or_default();
-            loads.push(load_of);
+            loads.push(ordered_load);
         }
         pace
     }
 
-    /// Whether another load may begin now.
+    /// Whether another load may start now.
     pub fn allows(&self, now: Timestamp, loads_per_second: f64) -> bool {
-        let span = self.span();
+        let counting_window_ms = self.counting_window_ms();
         let loads = self.loads.values().flatten();
-        let count = loads.filter(|load| load.counts(now, span)).count();
+        let count = loads
+            .filter(|load| load.is_counted(now, counting_window_ms))
+            .count();
         let bound = loads_per_second * self.bound.window.as_secs_f64() * self.bound.overage;
-        let most = (bound + self.bound.extra - RESERVE).floor();
-        (count as f64) < most.max(1.0)
+        let max_loads = (bound + self.bound.extra - RESERVED_LOADS).floor();
+        (count as f64) < max_loads.max(1.0)
     }
 
-    /// Whether a load that was ordered at an engine under this sequence number
-    /// counts still: the order may be repeated without another load.
+    /// Whether a load that was ordered from an engine with this sequence number still counts. The
+    /// order may then be repeated without counting another load.
     pub fn is_open(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
-        let span = self.span();
+        let counting_window_ms = self.counting_window_ms();
         let mut loads = self.loads.get(engine).into_iter().flatten();
-        loads.any(|load| load.is_open_as(sequence) && load.counts(now, span))
+        loads.any(|load| {
+            load.is_unresolved_order(sequence) && load.is_counted(now, counting_window_ms)
+        })
     }
 
-    /// A load is about to be ordered at an engine under this sequence number.
+    /// Records a load that is about to be ordered from an engine with this sequence number.
     pub fn note(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         self.forget_old(now);
         let loads = self.loads.entry(engine.clone()).or_default();
-        let former = loads.iter_mut().find(|load| load.is_open_as(sequence));
+        let former = loads
+            .iter_mut()
+            .find(|load| load.is_unresolved_order(sequence));
         match former {
-            Some(load) => load.time = now,
-            None => loads.push(Load {
-                time: now,
-                open: Some(sequence),
-                unanswered: false,
-                is_of_former_life: false,
+            Some(load) => load.ordered_at = now,
+            None => loads.push(OrderedLoad {
+                ordered_at: now,
+                unresolved_sequence: Some(sequence),
+                had_no_response: false,
+                is_of_previous_incarnation: false,
             }),
         }
     }
 
     fn forget_old(&mut self, now: Timestamp) {
-        let span = self.span();
+        let counting_window_ms = self.counting_window_ms();
         for loads in self.loads.values_mut() {
-            loads.retain(|load| load.counts(now, span));
+            loads.retain(|load| load.is_counted(now, counting_window_ms));
         }
         self.loads.retain(|_, loads| !loads.is_empty());
     }
 
-    /// What came of the order of a load.
+    /// Applies the result of a load order.
     pub fn ordered(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
         let Some(loads) = self.loads.get_mut(engine) else {
             return;
         };
-        let Some(index) = loads.iter().rposition(|load| load.open.is_some()) else {
+        let Some(index) = loads
+            .iter()
+            .rposition(|load| load.unresolved_sequence.is_some())
+        else {
             return;
         };
         match result {
-            OrderResult::Unanswered => loads[index].unanswered = true,
-            OrderResult::NotSent if loads[index].unanswered => {}
-            // An earlier order that had no answer may be why this one was refused.
-            _ if result == OrderResult::Accepted || loads[index].unanswered => {
-                loads[index].time = now;
-                loads[index].open = None;
+            OrderResult::Unanswered => loads[index].had_no_response = true,
+            OrderResult::NotSent if loads[index].had_no_response => {}
+            // An earlier order without a response may be the reason why this one was refused.
+            _ if result == OrderResult::Accepted || loads[index].had_no_response => {
+                loads[index].ordered_at = now;
+                loads[index].unresolved_sequence = None;
             }
             _ => {
                 loads.remove(index);
@@ -183,74 +195,79 @@
         }
     }
 
-    /// An engine has started again under its name, and counts its orders anew. What was ordered
-    /// before and had no answer may yet begin.
-    pub fn engine_restarted(&mut self, now: Timestamp, engine: &BackEndId) {
+    /// Records that an engine has restarted under its name and counts its orders from zero. A load
+    /// that was ordered before without a response may still start.
+    pub fn record_restart(&mut self, now: Timestamp, engine: &BackEndId) {
         for load in self.loads.get_mut(engine).into_iter().flatten() {
-            load.is_of_former_life = true;
-            if load.open.is_some() {
-                load.time = now;
-                load.unanswered = true;
+            load.is_of_previous_incarnation = true;
+            if load.unresolved_sequence.is_some() {
+                load.ordered_at = now;
+                load.had_no_response = true;
             }
         }
     }
 
-    /// The order of a load was not sent.
+    /// Records that a load order was not sent.
     pub fn unsent(&mut self, engine: &BackEndId) {
         if let Some(loads) = self.loads.get_mut(engine) {
-            loads.retain(|load| load.open.is_none() || load.unanswered);
+            loads.retain(|load| load.unresolved_sequence.is_none() || load.had_no_response);
         }
     }
 
-    /// An engine was seen to have taken `sequence` orders: what was ordered under
-    /// a lower number has begun by now, or never will.
+    /// Records that an engine has accepted `sequence` orders. A load that was ordered with a lower
+    /// sequence number has started by now, or never will.
     pub fn taken(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         let loads = self.loads.get_mut(engine).into_iter().flatten();
         for load in loads {
-            let is_settled = load.open.is_some_and(|ordered| ordered < sequence);
-            if load.unanswered && is_settled && !load.is_of_former_life {
-                load.time = now;
-                load.open = None;
+            let is_resolved = load
+                .unresolved_sequence
+                .is_some_and(|ordered| ordered < sequence);
+            if load.had_no_response && is_resolved && !load.is_of_previous_incarnation {
+                load.ordered_at = now;
+                load.unresolved_sequence = None;
             }
         }
     }
 
-    /// A former holder's row tells of a load at an engine. It may have been
-    /// ordered just now, unless it is known already.
-    pub fn note_unless_known(&mut self, now: Timestamp, engine: &BackEndId) {
+    /// Records a load from the row of a previous holder, unless a load on the engine is already
+    /// known. The load may have been ordered just now.
+    pub fn record_restored_load(&mut self, now: Timestamp, engine: &BackEndId) {
         let loads = self.loads.entry(engine.clone()).or_default();
-        if loads.iter().all(|load| load.is_of_former_life) {
-            loads.push(Load {
-                time: now,
-                open: None,
-                unanswered: false,
-                is_of_former_life: false,
+        if loads.iter().all(|load| load.is_of_previous_incarnation) {
+            loads.push(OrderedLoad {
+                ordered_at: now,
+                unresolved_sequence: None,
+                had_no_response: false,
+                is_of_previous_incarnation: false,
             });
         }
     }
 
-    /// Loads of late, for the next holder. `born` tells when engines started.
+    /// The recent loads, for the next holder. `born` returns the start times of engines.
     pub fn recent(
         &self,
         now: Timestamp,
         born: impl Fn(&BackEndId) -> Option<Born>,
     ) -> Vec<RecentLoad> {
-        let span = self.span();
+        let counting_window_ms = self.counting_window_ms();
         let mut recent = Vec::new();
         for (engine, loads) in &self.loads {
-            for load in loads.iter().filter(|load| load.counts(now, span)) {
+            for load in loads
+                .iter()
+                .filter(|load| load.is_counted(now, counting_window_ms))
+            {
                 recent.push(RecentLoad {
                     engine: engine.clone(),
-                    age: now.since(load.time),
-                    open: load.open,
-                    born: born(engine).filter(|_| !load.is_of_former_life),
+                    age: now.since(load.ordered_at),
+                    open: load.unresolved_sequence,
+                    born: born(engine).filter(|_| !load.is_of_previous_incarnation),
                 });
             }
         }
         recent
     }
 
-    fn span(&self) -> u64 {
-        self.bound.window.as_millis() as u64 + ORDER_TIME
+    fn counting_window_ms(&self) -> u64 {
+        self.bound.window.as_millis() as u64 + ORDER_DELAY_MS
     }
 }
--- a/crates/fleet/src/placement/totals.rs
+++ b/crates/fleet/src/placement/totals.rs
@@ -1,4 +1,6 @@
-//! Demand of all gateways together, for one service.
+//! Total demand at all gateways for one service.
+//!
+//! The input is the demand row of each gateway. The output is sums by model and by adapter.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,19 +8,19 @@
 
 use crate::demand::{DemandRow, ModelDemand};
 
-/// A request that can wait for a load counts for so much of one that cannot.
-const PATIENT_WEIGHT: f64 = 0.6;
+/// Weight of a request that can wait for a load, relative to an urgent one, which cannot.
+const NON_URGENT_WEIGHT: f64 = 0.6;
 
-/// Sums over gateways, by model.
+/// Demand summed over gateways, by model.
 #[derive(Debug, Default)]
-pub struct Totals {
+pub struct DemandTotals {
     models: BTreeMap<ModelId, ModelDemand>,
 }
 
-impl Totals {
+impl DemandTotals {
     /// Sums the rows for one service.
     pub fn new(service: &ServiceId, rows: &[DemandRow]) -> Self {
-        let mut totals = Totals::default();
+        let mut totals = DemandTotals::default();
         let services = rows.iter().filter_map(|row| row.services.get(service));
         for (model, demand) in services.flatten() {
             totals.add(model, demand);
@@ -40,50 +42,50 @@
         total.missing_adapters.extend(missing);
     }
 
-    /// Models with any demand.
+    /// Models with any demand, each with its total.
     pub fn models(&self) -> impl Iterator<Item = (&ModelId, &ModelDemand)> {
         self.models.iter()
     }
 
-    /// What it costs to be without a model, in urgent requests a second. A
-    /// patient request waits for a load and loses little.
+    /// Cost of not having a model loaded, in urgent requests per second. Requests that can wait
+    /// count for less, because they lose little by waiting for a load.
     pub fn absence_cost(&self, model: &ModelId) -> f64 {
         self.models.get(model).map_or(0.0, |demand| {
-            let patient = demand.rate - demand.urgent_rate;
-            demand.urgent_rate + PATIENT_WEIGHT * patient.max(0.0)
+            let non_urgent_rate = demand.rate - demand.urgent_rate;
+            demand.urgent_rate + NON_URGENT_WEIGHT * non_urgent_rate.max(0.0)
         })
     }
 
-    /// Requests a second for a model.
+    /// Request rate of a model, in requests per second.
     pub fn rate(&self, model: &ModelId) -> f64 {
         self.models.get(model).map_or(0.0, |demand| demand.rate)
     }
 
-    /// Requests that run on a model.
+    /// Number of running requests on a model.
     pub fn running(&self, model: &ModelId) -> u32 {
         self.models.get(model).map_or(0, |demand| demand.running)
     }
 
-    /// Requests that wait for a model, by the weight of their rank.
+    /// Number of requests that wait for a model, each weighted by the priority of its route.
     pub fn waiting(&self, model: &ModelId) -> f64 {
         let demand = self.models.get(model);
         demand.map_or(0.0, |demand| demand.waiting_weight)
     }
 
-    /// Requests a second for any adapter of a model.
+    /// Request rate of all adapters of a model together, in requests per second.
     pub fn adapters_rate(&self, model: &ModelId) -> f64 {
         let demand = self.models.get(model);
         demand.map_or(0.0, |demand| demand.adapters.values().sum())
     }
 
-    /// Requests a second for an adapter.
+    /// Request rate of an adapter, in requests per second.
     pub fn adapter_rate(&self, model: &ModelId, adapter: &AdapterId) -> f64 {
         let demand = self.models.get(model);
         let rate = demand.and_then(|demand| demand.adapters.get(adapter));
         rate.copied().unwrap_or(0.0)
     }
 
-    /// Adapters of a model that requests wait for.
+    /// Adapters of a model that requests wait for; `None` if there are none.
     pub fn missing_adapters(&self, model: &ModelId) -> Option<&BTreeSet<AdapterId>> {
         let demand = self.models.get(model)?;
         (!demand.missing_adapters.is_empty()).then_some(&demand.missing_adapters)
--- a/crates/fleet/src/placement/weight_store.rs
+++ b/crates/fleet/src/placement/weight_store.rs
@@ -1,7 +1,9 @@
-//! What the weight store of a service is given to do: how often loads begin there, how many
-//! are under way at once, and which models engines do not bear.
+//! The use of one service's weight store: limits the rate of loads and the number of concurrent
+//! loads, and defers models during whose loads engines have exited.
 //!
-//! Every event of a load goes to both bounds, so that they speak of the same loads.
+//! Each event of a load is passed to both limits, so that they count the same loads. The input is
+//! load orders, their results and engine reports. The output is whether another load may start, and
+//! a record for the next holder.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,115 +12,125 @@
 use gorsebank_world::{BackEndId, ModelId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use super::load_ends::{EndedLoads, LoadEnds};
+use super::load_ends::{LoadCrashRecord, LoadCrashes};
 use super::load_window::{FoundLimit, LoadWindow};
 use super::pace::{LoadBound, LoadPace, RecentLoad};
 use super::{Obstacle, OrderResult};
 use crate::back_end::EngineReport;
 use crate::incarnation::Born;
 
-/// What a holder tells the next one of each service's weight store.
+/// The records of weight stores that one holder leaves for the next, by service.
 pub type StoreRecords = BTreeMap<ServiceId, StoreRecord>;
 
-/// What is known of one weight store.
+/// The state of one weight store that one holder leaves for the next.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreRecord {
-    /// Loads that were ordered not long ago.
+    /// Loads that were ordered recently.
     pub recent: Vec<RecentLoad>,
-    /// Loads that it makes at once.
-    pub limit: FoundLimit,
-    /// Models under whose loads engines ended.
-    #[serde(default)]
-    pub ended: Vec<EndedLoads>,
+    /// The estimated number of loads that the store performs at full speed at the same time.
+    #[serde(rename = "limit")]
+    pub concurrency: FoundLimit,
+    /// Models during whose loads engines exited.
+    #[serde(rename = "ended", default)]
+    pub load_crashes: Vec<LoadCrashRecord>,
 }
 
-/// One weight store as the holder uses it.
+/// One weight store as the placement holder uses it.
 #[derive(Debug)]
 pub struct WeightStore {
-    pace: LoadPace,
-    window: LoadWindow,
-    ends: LoadEnds,
+    rate_limiter: LoadPace,
+    concurrency: LoadWindow,
+    crashes: LoadCrashes,
 }
 
 impl WeightStore {
-    /// A holder begins at `now`, with what those before it knew.
-    pub fn new(now: Timestamp, bound: LoadBound, former: &StoreRecord) -> Self {
+    /// Creates the state for a holder that starts at `now`, from the record of previous holders.
+    pub fn new(now: Timestamp, rate_limit: LoadBound, previous: &StoreRecord) -> Self {
         WeightStore {
-            pace: LoadPace::new(now, bound, &former.recent),
-            window: LoadWindow::new(former.limit),
-            ends: LoadEnds::new(now, &former.ended),
+            rate_limiter: LoadPace::new(now, rate_limit, &previous.recent),
+            concurrency: LoadWindow::new(previous.concurrency),
+            crashes: LoadCrashes::new(now, &previous.load_crashes),
         }
     }
 
-    /// Whether another load may begin beside `reserved` that are still to be ordered.
-    pub fn allows(
+    /// Checks whether another load may start besides `reserved` loads that are still to be ordered.
+    pub fn check_limits(
         &self,
         now: Timestamp,
         loads_per_second: f64,
         reserved: usize,
     ) -> Result<(), Obstacle> {
-        if !self.window.allows(now, reserved) {
+        if !self.concurrency.allows(now, reserved) {
             return Err(Obstacle::StoreCrowded);
         }
-        if !self.pace.allows(now, loads_per_second) {
+        if !self.rate_limiter.allows(now, loads_per_second) {
             return Err(Obstacle::Pace);
         }
         Ok(())
     }
 
-    /// Whether engines ended under loads of the model, so that it is not loaded now.
-    pub fn puts_off(&self, now: Timestamp, model: &ModelId) -> bool {
-        self.ends.puts_off(now, model)
+    /// Whether loads of the model are deferred, because engines exited during earlier ones.
+    pub fn is_deferred(&self, now: Timestamp, model: &ModelId) -> bool {
+        self.crashes.is_deferred(now, model)
     }
 
-    /// An engine was gone while it loaded a model, and no request was there.
-    pub fn engine_ended(&mut self, now: Timestamp, model: &ModelId) {
-        self.ends.ended(now, model);
+    /// Records that an engine that was loading a model has disappeared, without a request as the
+    /// likely cause.
+    pub fn record_exit(&mut self, now: Timestamp, model: &ModelId) {
+        self.crashes.record_exit(now, model);
     }
 
-    /// An engine has started again under its name: its load is over, and orders that its former
-    /// life did not answer may still be carried out.
-    pub fn engine_restarted(&mut self, now: Timestamp, engine: &BackEndId) {
-        self.pace.engine_restarted(now, engine);
-        self.window.forget(engine);
+    /// Records that an engine has restarted under its name. Its load has ended, and orders to the
+    /// previous incarnation that had no response may still be executed.
+    pub fn record_restart(&mut self, now: Timestamp, engine: &BackEndId) {
+        self.rate_limiter.record_restart(now, engine);
+        self.concurrency.forget(engine);
     }
 
-    /// Such an engine is there after all.
-    pub fn engine_is_back(&mut self, model: &ModelId) {
-        self.ends.is_back(model);
+    /// Retracts the exit of an engine that is in discovery again.
+    pub fn retract_exit(&mut self, model: &ModelId) {
+        self.crashes.retract_exit(model);
     }
 
-    /// Whether a load that was ordered under this sequence number may be ordered again
-    /// without another load.
-    pub fn is_open(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
-        self.pace.is_open(now, engine, sequence)
+    /// Whether a load order with this sequence number may be repeated without counting another
+    /// load.
+    pub fn is_unresolved(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
+        self.rate_limiter.is_open(now, engine, sequence)
     }
 
-    /// A load that takes this long alone is about to be ordered.
-    pub fn begin(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64, alone: Duration) {
-        self.pace.note(now, engine, sequence);
-        self.window.begin(now, engine, sequence, alone);
+    /// Records a load that is about to be ordered. `uncontended_duration` is the duration of the load without
+    /// other loads.
+    pub fn record_order(
+        &mut self,
+        now: Timestamp,
+        engine: &BackEndId,
+        sequence: u64,
+        uncontended_duration: Duration,
+    ) {
+        self.rate_limiter.note(now, engine, sequence);
+        self.concurrency
+            .begin(now, engine, sequence, uncontended_duration);
     }
 
-    /// What came of the order of a load.
-    pub fn ordered(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
-        self.pace.ordered(now, engine, result);
+    /// Applies the result of a load order.
+    pub fn apply_order_result(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
+        self.rate_limiter.ordered(now, engine, result);
         match result {
             OrderResult::Accepted => {}
-            OrderResult::Unanswered => self.window.uncertain(engine),
-            _ => self.window.dropped(engine),
+            OrderResult::Unanswered => self.concurrency.uncertain(engine),
+            _ => self.concurrency.dropped(engine),
         }
     }
 
-    /// The order of a load was not sent.
-    pub fn unsent(&mut self, engine: &BackEndId) {
-        self.pace.unsent(engine);
-        self.window.dropped(engine);
+    /// Records that a load order was not sent.
+    pub fn cancel_order(&mut self, engine: &BackEndId) {
+        self.rate_limiter.unsent(engine);
+        self.concurrency.dropped(engine);
     }
 
-    /// An engine answered the question for its state, or did not; `loading` is what it was
-    /// ordered to load.
-    pub fn reported(
+    /// Applies the response of an engine to a poll; `report` is `None` if the engine did not
+    /// respond. `loading` is the model that the engine was ordered to load.
+    pub fn apply_report(
         &mut self,
         now: Timestamp,
         engine: &BackEndId,
@@ -126,34 +138,34 @@
         report: Option<&EngineReport>,
     ) {
         let Some(report) = report else {
-            return self.window.forget(engine);
+            return self.concurrency.forget(engine);
         };
         if let Some(model) = loading.filter(|model| report.holdings.contains_key(*model)) {
-            self.ends.done(model);
+            self.crashes.clear(model);
         }
-        self.pace.taken(now, engine, report.sequence);
+        self.rate_limiter.taken(now, engine, report.sequence);
         if !report.busy {
-            self.window.idle(now, engine, report.sequence);
+            self.concurrency.idle(now, engine, report.sequence);
         }
     }
 
-    /// A former holder's row tells of a load at an engine.
-    pub fn inherit(&mut self, now: Timestamp, engine: &BackEndId) {
-        self.pace.note_unless_known(now, engine);
-        self.window.inherit(now, engine);
+    /// Restores a load from the row of a previous holder.
+    pub fn restore(&mut self, now: Timestamp, engine: &BackEndId) {
+        self.rate_limiter.record_restored_load(now, engine);
+        self.concurrency.inherit(now, engine);
     }
 
-    /// Loads at engines that are gone are over.
+    /// Removes the concurrent loads of engines for which `known` is false.
     pub fn retain(&mut self, known: impl Fn(&BackEndId) -> bool) {
-        self.window.retain(known);
+        self.concurrency.retain(known);
     }
 
-    /// For the next holder. `born` tells when engines started.
+    /// The record for the next holder. `born` returns the start times of engines.
     pub fn record(&self, now: Timestamp, born: impl Fn(&BackEndId) -> Option<Born>) -> StoreRecord {
         StoreRecord {
-            recent: self.pace.recent(now, born),
-            limit: self.window.found(),
-            ended: self.ends.record(now),
+            recent: self.rate_limiter.recent(now, born),
+            concurrency: self.concurrency.found(),
+            load_crashes: self.crashes.records(now),
         }
     }
 }
--- a/crates/gateway/src/demand_rows.rs
+++ b/crates/gateway/src/demand_rows.rs
@@ -1,4 +1,7 @@
-//! What all gateways have told of their demand, as the placement holder hears it.
+//! The demand that gateways send to the placement holder.
+//!
+//! The input is one demand row per gateway, which replaces the previous one. The output is the
+//! recent rows and the merged prefill speed samples.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -8,10 +11,10 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Demand that nobody has renewed counts for so long, in milliseconds.
-const DEMAND_LIFETIME: u64 = 15_000;
+/// Time for which a demand row counts if its gateway does not send a new one, in milliseconds.
+const DEMAND_LIFETIME_MS: u64 = 15_000;
 
-/// A task that ends with its owner.
+/// A task that is aborted when its owner is dropped.
 pub struct AbortOnDrop(pub tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -20,35 +23,35 @@
     }
 }
 
-/// The newest demand of each gateway.
+/// The newest demand row of each gateway.
 #[derive(Default)]
 pub struct DemandRows {
     rows: Mutex<HashMap<NodeId, (DemandRow, Timestamp)>>,
-    /// Rings when a gateway told something.
-    pub news: Notify,
+    /// Notifies when a gateway sent its demand.
+    pub updated: Notify,
 }
 
 impl DemandRows {
-    /// What was told not long ago.
-    pub fn fresh(&self, now: Timestamp) -> Vec<DemandRow> {
+    /// The demand rows that were received recently.
+    pub fn recent_rows(&self, now: Timestamp) -> Vec<DemandRow> {
         let rows = self.rows.lock();
-        let fresh = rows.values().filter(|(_, heard)| is_fresh(now, *heard));
-        fresh.map(|(row, _)| row.clone()).collect()
+        let recent = rows.values().filter(|(_, heard)| is_recent(now, *heard));
+        recent.map(|(row, _)| row.clone()).collect()
     }
 
-    /// Gateways that told something not long ago.
+    /// The gateways that sent their demand recently.
     pub fn heard(&self, now: Timestamp) -> Vec<NodeId> {
         let rows = self.rows.lock();
-        let fresh = rows.iter().filter(|(_, (_, heard))| is_fresh(now, *heard));
-        fresh.map(|(name, _)| name.clone()).collect()
+        let recent = rows.iter().filter(|(_, (_, heard))| is_recent(now, *heard));
+        recent.map(|(name, _)| name.clone()).collect()
     }
 
-    /// What gateways have seen of late of how fast engines are, by service.
+    /// The recent prefill speed samples of all gateways, merged by service.
     pub fn merged_reading(&self, now: Timestamp) -> BTreeMap<ServiceId, ReadingRow> {
         let rows = self.rows.lock();
-        let fresh = rows.values().filter(|(_, heard)| is_fresh(now, *heard));
+        let recent = rows.values().filter(|(_, heard)| is_recent(now, *heard));
         let mut samples: BTreeMap<&ServiceId, Vec<&ReadingSample>> = BTreeMap::new();
-        for (service, sample) in fresh.flat_map(|(row, _)| &row.reading) {
+        for (service, sample) in recent.flat_map(|(row, _)| &row.reading) {
             samples.entry(service).or_default().push(sample);
         }
         samples
@@ -57,18 +60,19 @@
             .collect()
     }
 
-    /// A gateway told of its demand.
+    /// Stores the demand row of a gateway.
     pub fn put(&self, now: Timestamp, from: NodeId, row: DemandRow) {
         self.rows.lock().insert(from, (row, now));
-        self.news.notify_one();
+        self.updated.notify_one();
     }
 
-    /// This gateway places models no more: what it was told grows old.
+    /// Removes all rows. It is called when this gateway no longer holds the placement lease,
+    /// because the rows are then no longer updated.
     pub fn clear(&self) {
         self.rows.lock().clear();
     }
 }
 
-fn is_fresh(now: Timestamp, heard: Timestamp) -> bool {
-    now.since(heard) < DEMAND_LIFETIME
+fn is_recent(now: Timestamp, heard: Timestamp) -> bool {
+    now.since(heard) < DEMAND_LIFETIME_MS
 }
--- a/crates/gateway/src/demand_teller.rs
+++ b/crates/gateway/src/demand_teller.rs
@@ -1,8 +1,9 @@
-//! Tells the placement holder what callers of this gateway ask for.
+//! Sends the demand of this gateway's callers to the placement holder.
 //!
-//! In: demand of callers. Out: one message over a kept connection, at once when something
-//! is missing and otherwise only when it says something new. A holder that is not reached
-//! is told through another gateway.
+//! The input is the demand of callers. The output is one message over a kept connection, which is
+//! sent immediately when a model or an adapter is missing and otherwise only when the demand has
+//! changed or has not been sent for some time. If the holder cannot be reached, the message is
+//! forwarded by another gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,157 +15,160 @@
 use crate::relay::{RelayAnswer, RelayRequest, ToldDemand};
 use crate::shared::Shared;
 
-/// Pause between two messages at least.
-const LEAST_PAUSE: Duration = Duration::from_millis(40);
-/// Messages a second that the holder hears, if all gateways tell it something urgent.
-const MOST_HEARD: f64 = 1_500.0;
-/// Pause between two messages that say nothing urgent.
-const USUAL_PAUSE: Duration = Duration::from_millis(1_000);
-/// Longest such pause: with the refresh below, demand is told well before the holder
-/// takes it for old.
-const LONGEST_USUAL_PAUSE: Duration = Duration::from_secs(4);
-/// Demand is told this often even without news, so that the holder can tell that the
-/// gateway lives.
-const REFRESH: Duration = Duration::from_secs(6);
-/// Each of more gateways than this says less often what is not urgent: the holder reads
-/// so many messages a second.
-const FEW_GATEWAYS: usize = 250;
-/// The holder answers within this time.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after nobody heard it.
-const UNHEARD_PAUSE: Duration = Duration::from_millis(200);
-/// Rates that differ by less than this part are the same.
-const SAME_RATE: f64 = 0.3;
-
-/// Tells until the process stops.
+/// Minimum interval between two messages.
+const MIN_INTERVAL: Duration = Duration::from_millis(40);
+/// Maximum number of messages per second that the holder receives if all gateways have urgent
+/// demand.
+const MAX_MESSAGES_PER_SECOND: f64 = 1_500.0;
+/// Interval between two checks for demand to send that is not urgent.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Maximum of that interval with many gateways. Together with the refresh interval, it ensures that
+/// demand is sent well before the holder treats it as outdated.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_secs(4);
+/// Interval after which unchanged demand is sent again, so that the holder knows that the gateway
+/// is running.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(6);
+/// Number of gateways above which each sends non-urgent demand less often, so that the message rate
+/// at the holder is limited.
+const FULL_RATE_GATEWAYS: usize = 250;
+/// Maximum time for the response of the holder.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Delay after a message that was not delivered.
+const UNDELIVERED_DELAY: Duration = Duration::from_millis(200);
+/// Relative difference up to which two request rates count as equal.
+const RATE_TOLERANCE: f64 = 0.3;
+
+/// Sends demand until the process stops.
 pub async fn run(shared: Arc<Shared>) {
-    let mut teller = Teller {
-        told: None,
-        unheard: false,
+    let mut sender = DemandSender {
+        last_sent: None,
+        is_undelivered: false,
         shared,
     };
-    while !teller.shared.is_stopping() {
-        let is_urgent = teller.wait().await;
-        teller.turn(is_urgent).await;
-        sleep(teller.least_pause()).await;
+    while !sender.shared.is_stopping() {
+        let is_urgent = sender.wait().await;
+        sender.run_iteration(is_urgent).await;
+        sleep(sender.min_interval()).await;
     }
 }
 
-struct Teller {
+struct DemandSender {
     shared: Arc<Shared>,
-    /// What the holder at this address was told, and when.
-    told: Option<(SocketAddr, DemandRow, Instant)>,
-    /// The last message was not heard.
-    unheard: bool,
+    /// The address of the holder that received the last message, the message, and the time at which
+    /// it was sent.
+    last_sent: Option<(SocketAddr, DemandRow, Instant)>,
+    /// Whether the last message was not delivered.
+    is_undelivered: bool,
 }
 
-impl Teller {
-    /// Until something should be told. Whether it is urgent.
+impl DemandSender {
+    /// Waits until demand should be sent. Returns whether that is urgent.
     async fn wait(&self) -> bool {
-        if self.unheard {
+        if self.is_undelivered {
             return true;
         }
-        let usual_pause = usual_pause(self.shared.possible_gateways());
+        let check_interval = check_interval(self.shared.possible_gateways());
         let woken = async {
             tokio::select! {
                 () = self.shared.urgent_demand.notified() => {}
                 () = self.shared.new_holder.notified() => {}
             }
         };
-        timeout(usual_pause, woken).await.is_ok()
+        timeout(check_interval, woken).await.is_ok()
     }
 
-    fn least_pause(&self) -> Duration {
-        let crowd = self.shared.possible_gateways() as f64 / MOST_HEARD;
-        let pause = LEAST_PAUSE.max(Duration::from_secs_f64(crowd));
-        if self.unheard {
-            pause.max(UNHEARD_PAUSE)
+    fn min_interval(&self) -> Duration {
+        let shared_interval = self.shared.possible_gateways() as f64 / MAX_MESSAGES_PER_SECOND;
+        let pause = MIN_INTERVAL.max(Duration::from_secs_f64(shared_interval));
+        if self.is_undelivered {
+            pause.max(UNDELIVERED_DELAY)
         } else {
             pause
         }
     }
 
-    async fn turn(&mut self, is_urgent: bool) {
+    async fn run_iteration(&mut self, is_urgent: bool) {
         let mut row = self.shared.demand.lock().row(self.shared.now());
         row.reading = self.shared.reading_samples();
         if self.shared.is_placing() {
             let (now, node) = (self.shared.now(), self.shared.settings.node.clone());
             self.shared.demand_rows.put(now, node, row);
-            self.told = None;
-            self.unheard = false;
+            self.last_sent = None;
+            self.is_undelivered = false;
             return;
         }
         let Some(holder) = self.shared.holder_address() else {
-            // There is none; the next one is told at once.
+            // There is no holder; the next one is sent the demand as soon as it is known.
             return;
         };
-        if is_urgent || self.is_news(holder, &row) {
-            self.unheard = !self.tell(holder, &row).await;
-            self.told = (!self.unheard).then(|| (holder, row, Instant::now()));
+        if is_urgent || self.needs_sending(holder, &row) {
+            self.is_undelivered = !self.send(holder, &row).await;
+            self.last_sent = (!self.is_undelivered).then(|| (holder, row, Instant::now()));
         }
     }
 
-    fn is_news(&self, holder: SocketAddr, row: &DemandRow) -> bool {
-        match &self.told {
-            Some((address, former, at)) => {
-                *address != holder || at.elapsed() > REFRESH || differs(former, row)
+    fn needs_sending(&self, holder: SocketAddr, row: &DemandRow) -> bool {
+        match &self.last_sent {
+            Some((address, previous, at)) => {
+                *address != holder || at.elapsed() > REFRESH_INTERVAL || differs(previous, row)
             }
             None => true,
         }
     }
 
-    /// True if the holder heard it, from this gateway or through another one.
-    async fn tell(&self, holder: SocketAddr, row: &DemandRow) -> bool {
-        if self.tell_one(holder, row, false).await {
+    /// Sends the demand directly or through another gateway, and returns whether the holder
+    /// received it.
+    async fn send(&self, holder: SocketAddr, row: &DemandRow) -> bool {
+        if self.send_to(holder, row, false).await {
             self.shared.table().count("demand_told");
             return true;
         }
         let other = self.shared.feed.parents.lock().candidates();
         let other = other.iter().find(|parent| parent.address != holder);
-        let is_handed_on = match other {
-            Some(parent) => self.tell_one(parent.address, row, true).await,
+        let is_forwarded = match other {
+            Some(parent) => self.send_to(parent.address, row, true).await,
             None => false,
         };
-        let result = if is_handed_on {
+        let result = if is_forwarded {
             "demand_handed_on"
         } else {
             "demand_unheard"
         };
         self.shared.table().count(result);
-        is_handed_on
+        is_forwarded
     }
 
-    async fn tell_one(&self, address: SocketAddr, row: &DemandRow, hand_on: bool) -> bool {
+    async fn send_to(&self, address: SocketAddr, row: &DemandRow, hand_on: bool) -> bool {
         let request = RelayRequest::Demand(ToldDemand {
             from: self.shared.settings.node.clone(),
             row: row.clone(),
             hand_on,
         });
         let client = self.shared.table().client();
-        let answer = client.call(address, &request, ANSWER_TIMEOUT).await;
+        let answer = client.call(address, &request, RESPONSE_TIMEOUT).await;
         matches!(answer, Some(RelayAnswer::Heard { by_holder: true }))
     }
 }
 
-/// Of many gateways each has a small part of the demand, and what it has to say that is
-/// not urgent may wait.
-fn usual_pause(gateways: usize) -> Duration {
-    USUAL_PAUSE
-        .mul_f64(crowd(gateways))
-        .min(LONGEST_USUAL_PAUSE)
+/// The interval between two checks for non-urgent demand. With many gateways, each has a small
+/// fraction of the demand, and non-urgent demand may wait.
+fn check_interval(gateways: usize) -> Duration {
+    CHECK_INTERVAL
+        .mul_f64(gateway_factor(gateways))
+        .min(MAX_CHECK_INTERVAL)
 }
 
-/// How many times more gateways there are than few.
-fn crowd(gateways: usize) -> f64 {
-    (gateways as f64 / FEW_GATEWAYS as f64).max(1.0)
+/// The factor by which there are more gateways than [`FULL_RATE_GATEWAYS`], at least 1.
+fn gateway_factor(gateways: usize) -> f64 {
+    (gateways as f64 / FULL_RATE_GATEWAYS as f64).max(1.0)
 }
 
-fn differs(former: &DemandRow, row: &DemandRow) -> bool {
-    if former.services.len() != row.services.len() {
+fn differs(previous: &DemandRow, row: &DemandRow) -> bool {
+    if previous.services.len() != row.services.len() {
         return true;
     }
     row.services.iter().any(|(service, models)| {
-        let Some(known) = former.services.get(service) else {
+        let Some(known) = previous.services.get(service) else {
             return true;
         };
         models.iter().any(|(model, demand)| {
@@ -174,10 +178,10 @@
     })
 }
 
-fn model_differs(former: &ModelDemand, demand: &ModelDemand) -> bool {
-    let change = (former.rate - demand.rate).abs();
-    change > SAME_RATE * former.rate.max(0.2)
-        || (former.waiting == 0) != (demand.waiting == 0)
-        || (former.running == 0) != (demand.running == 0)
-        || former.missing_adapters != demand.missing_adapters
+fn model_differs(previous: &ModelDemand, demand: &ModelDemand) -> bool {
+    let change = (previous.rate - demand.rate).abs();
+    change > RATE_TOLERANCE * previous.rate.max(0.2)
+        || (previous.waiting == 0) != (demand.waiting == 0)
+        || (previous.running == 0) != (demand.running == 0)
+        || previous.missing_adapters != demand.missing_adapters
 }
--- a/crates/gateway/src/holder.rs
+++ b/crates/gateway/src/holder.rs
@@ -1,6 +1,8 @@
-//! Keeps the placement lease, and lets [`Placement`] run while this process has it.
+//! Takes and renews the placement lease, and runs [`Placement`] and the other tasks of the lease
+//! holder while this process holds the lease.
 //!
-//! In: the lease row. Out: writes of that row.
+//! The input is the lease row, and the processor capacity and timer lag of the gateways. The output
+//! is writes of the lease row.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,123 +18,125 @@
 use crate::shared::Shared;
 use crate::{quarantine_row, reading_rows, sweeper};
 
-/// The placement lease's row.
+/// The name of the placement lease's row.
 pub const LEASE_NAME: &str = "placement";
-/// Part of the deployment's bound on turns of holders that a lease lasts: the
-/// next holder begins sooner, and cool-down keeps turns apart.
-const LEASE_PART: f64 = 0.7;
-/// The lease is looked after at least this often.
-const LONGEST_STEP: Duration = Duration::from_millis(250);
-/// Equally strong machines take the lease within this time of each other, so that most
-/// of them see that it was taken and write nothing.
-const SPREAD: Duration = Duration::from_millis(250);
-/// A machine with this part of the strongest one's processor counts as strong as that.
-const STRONG_PART: f64 = 0.8;
-/// A holder leaves the lease to a stronger machine after this time: not in its first
-/// moments, when others may be about to be known.
-const LEAST_HOLD: Duration = Duration::from_secs(6);
-/// A machine whose timers are so late on average does not offer itself ...
-const LATE: Duration = Duration::from_millis(150);
-/// ... and a holder that is so late hands the lease back.
-const TOO_LATE: Duration = Duration::from_millis(500);
+/// Duration of the lease as a fraction of the deployment's bound on changes of the holder. A
+/// shorter lease lets the next holder start sooner, and the cool-down of the lease keeps changes
+/// apart.
+const LEASE_FRACTION: f64 = 0.7;
+/// Maximum interval between two checks of the lease.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum random delay before a machine takes the lease, among machines of about the same
+/// processor capacity. Most of them then see that the lease is taken and write nothing.
+const MAX_TAKE_DELAY: Duration = Duration::from_millis(250);
+/// Fraction of the largest processor capacity from which a machine is treated as equally strong.
+const EQUAL_CAPACITY_FRACTION: f64 = 0.8;
+/// Minimum time for which a holder keeps the lease before it hands the lease to a stronger machine.
+/// In its first moments, the holder may not know the capacities of other machines yet.
+const MIN_HOLD_TIME: Duration = Duration::from_secs(6);
+/// Mean timer lag above which a machine does not try to take the lease.
+const MAX_CANDIDATE_TIMER_LAG: Duration = Duration::from_millis(150);
+/// Mean timer lag above which the holder releases the lease.
+const MAX_HOLDER_TIMER_LAG: Duration = Duration::from_millis(500);
 
-/// Keeps the lease until the process ends; places models whenever it has it.
+/// Takes and renews the lease until the process ends, and runs the tasks of the holder while the
+/// lease is held.
 pub async fn run(shared: Arc<Shared>) {
-    let lease = shared.settings.bounds.lease.mul_f64(LEASE_PART);
-    let mut holder = Holder {
+    let lease = shared.settings.bounds.lease.mul_f64(LEASE_FRACTION);
+    let mut candidate = LeaseCandidate {
         seat: LeaseSeat::new(&shared, LEASE_NAME, lease),
         lease,
-        spread: SPREAD.mul_f64(rand::random()),
+        take_delay: MAX_TAKE_DELAY.mul_f64(rand::random()),
         shared,
     };
-    let mut work: Option<Duties> = None;
+    let mut tasks: Option<HolderTasks> = None;
     loop {
-        let was_holder = holder.seat.is_held();
-        holder.step().await;
-        let is_holder = holder.seat.is_held();
-        holder.shared.set_placing(is_holder);
+        let was_holder = candidate.seat.is_held();
+        candidate.step().await;
+        let is_holder = candidate.seat.is_held();
+        candidate.shared.set_placing(is_holder);
         if is_holder && !was_holder {
-            holder.note_lease("taken");
-            work = Some(holder.begin_duties());
+            candidate.record_lease_change("taken");
+            tasks = Some(candidate.start_tasks());
         }
         if was_holder && !is_holder {
-            holder.note_lease("lost");
-            drop(work.take());
+            candidate.record_lease_change("lost");
+            drop(tasks.take());
         }
     }
 }
 
-/// What the holder does; ends when it is dropped.
-type Duties = [AbortOnDrop; 4];
+/// The tasks of the lease holder, which end when they are dropped.
+type HolderTasks = [AbortOnDrop; 4];
 
-/// This process's part in keeping the lease.
-struct Holder {
+/// The part of this process in taking and renewing the lease.
+struct LeaseCandidate {
     shared: Arc<Shared>,
     seat: LeaseSeat,
     lease: Duration,
-    /// This process's part of [`SPREAD`].
-    spread: Duration,
+    /// The random delay of this process, up to [`MAX_TAKE_DELAY`].
+    take_delay: Duration,
 }
 
-impl Holder {
+impl LeaseCandidate {
     async fn step(&mut self) {
         let offer = self.offer();
         let shared = self.shared.clone();
-        let beside = move || store_records(&shared);
-        if let Stepped::Idle(pause) = self.seat.step(offer, beside).await {
-            sleep(pause.min(LONGEST_STEP)).await;
+        let additional_put = move || store_records_row(&shared);
+        if let Stepped::Idle(pause) = self.seat.step(offer, additional_put).await {
+            sleep(pause.min(MAX_CHECK_INTERVAL)).await;
         }
     }
 
-    /// The strongest machines take the lease first, so that whoever plans for hundreds of
-    /// engines can keep up with it.
+    /// When this process may take the lease. The strongest machines take it first, because the
+    /// planner has to keep up with hundreds of engines.
     fn offer(&self) -> Offer {
         let shared = &self.shared;
         if shared.is_stopping() || !shared.can_place() {
             return Offer::Never;
         }
         let own = f64::from(shared.settings.millicores);
-        if let Some(held) = self.seat.keeper.lock().held_for(shared.now()) {
-            let leaves = Duration::from_millis(held) > LEAST_HOLD
-                && (shared.lateness() > TOO_LATE || self.a_stronger_one_lives(own));
-            return if leaves {
+        if let Some(held_ms) = self.seat.keeper.lock().held_for(shared.now()) {
+            let should_release = Duration::from_millis(held_ms) > MIN_HOLD_TIME
+                && (shared.lateness() > MAX_HOLDER_TIMER_LAG || self.has_stronger_machine(own));
+            return if should_release {
                 Offer::Never
             } else {
                 Offer::After(0)
             };
         }
-        if shared.lateness() > LATE {
+        if shared.lateness() > MAX_CANDIDATE_TIMER_LAG {
             return Offer::Never;
         }
         let strongest = f64::from(shared.strongest_millicores());
-        let part = if strongest > 0.0 {
+        let capacity_fraction = if strongest > 0.0 {
             own / strongest
         } else {
             1.0
         };
-        let delay = if part >= STRONG_PART {
-            self.spread
+        let delay = if capacity_fraction >= EQUAL_CAPACITY_FRACTION {
+            self.take_delay
         } else {
-            self.lease.mul_f64(2.0 - part) + self.spread
+            self.lease.mul_f64(2.0 - capacity_fraction) + self.take_delay
         };
         Offer::After(delay.as_millis() as u64)
     }
 
-    /// Whether a much stronger machine told of its demand not long ago.
-    fn a_stronger_one_lives(&self, own: f64) -> bool {
+    /// Whether a machine with a much higher processor capacity sent its demand recently.
+    fn has_stronger_machine(&self, own: f64) -> bool {
         let strongest = f64::from(self.shared.strongest_millicores());
-        if own >= strongest * STRONG_PART {
+        if own >= strongest * EQUAL_CAPACITY_FRACTION {
             return false;
         }
         let now = self.shared.now();
-        let heard = self.shared.demand_rows.heard(now);
-        let is_strong = |millicores: u32| f64::from(millicores) * STRONG_PART > own;
-        heard
+        let reporting = self.shared.demand_rows.heard(now);
+        let is_strong = |millicores: u32| f64::from(millicores) * EQUAL_CAPACITY_FRACTION > own;
+        reporting
             .iter()
             .any(|name| self.shared.millicores_of(name).is_some_and(is_strong))
     }
 
-    fn begin_duties(&self) -> Duties {
+    fn start_tasks(&self) -> HolderTasks {
         let shared = &self.shared;
         let placement = Placement::new(shared.clone(), self.seat.keeper.clone());
         [
@@ -144,7 +148,7 @@
         .map(AbortOnDrop)
     }
 
-    fn note_lease(&self, kind: &str) {
+    fn record_lease_change(&self, kind: &str) {
         let shared = &self.shared;
         let changes = &shared.metrics.lease_changes;
         changes.with_label_values(&[kind]).inc();
@@ -159,18 +163,19 @@
     }
 }
 
-/// The row on weight stores, so that the next holder keeps their bounds. A gateway that
-/// is not the holder yet leaves the former one's row as it is.
-fn store_records(shared: &Shared) -> Option<Put> {
+/// The row with the records of weight stores, from which the next holder restores their limits. A
+/// gateway that has not planned yet leaves the row of the previous holder unchanged.
+fn store_records_row(shared: &Shared) -> Option<Put> {
     let records = shared.store_records()?;
     let value = serde_json::to_string(&records).ok()?;
     Some(Put {
-        key: loads_key(shared),
+        key: store_records_key(shared),
         value,
     })
 }
 
-/// The row on weight stores: recent loads, and how many go at once.
-pub fn loads_key(shared: &Shared) -> String {
+/// The key of the row with the records of weight stores: recent loads and the number of concurrent
+/// loads.
+pub fn store_records_key(shared: &Shared) -> String {
     format!("{}/placement", shared.platform.tables().loads)
 }
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,4 +1,7 @@
-//! Gives orders to engines and asks for their state, for the placement holder.
+//! Sends orders and polls to engines for the placement holder.
+//!
+//! The input is an order or a poll of an engine. The output is the result of the order, or the
+//! engine's report. Each message uses a kept connection to the engine or a new one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,36 +21,37 @@
 use crate::ports::FencedOrder;
 use crate::shared::Shared;
 
-/// An engine answers within this time, or not at all.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// While engines answer orders quickly, one without an answer after this time is
-/// believed to have none.
-const LEAST_ANSWER_TIMEOUT: Duration = Duration::from_millis(200);
+/// Maximum time for a response of an engine.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Minimum time for which an order waits for its response. While engines respond quickly, an order
+/// without a response after this time is taken to have none.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// How long orders wait for their answers.
+/// The timeout of orders, which adapts to the response times of engines.
 pub fn patience() -> Patience {
-    Patience::new(LEAST_ANSWER_TIMEOUT, ANSWER_TIMEOUT)
+    Patience::new(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT)
 }
 
-/// Asks an engine for its state.
-pub async fn ask(shared: &Shared, engine: &Arc<BackEnd>) -> Option<EngineReport> {
+/// Polls an engine for its state. Returns `None` if the engine does not respond or its report
+/// cannot be read.
+pub async fn poll_engine(shared: &Shared, engine: &Arc<BackEnd>) -> Option<EngineReport> {
     let request = shared.platform.report_request(&engine.id);
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let suspended = shared.clock.suspended();
-    let Ok(answered) = timeout(ANSWER_TIMEOUT, send(shared, engine, request)).await else {
-        engine.drop_unproved(asked);
+    let Ok(answered) = timeout(RESPONSE_TIMEOUT, send(shared, engine, request)).await else {
+        engine.drop_unproved(sent_at);
         return None;
     };
     let (response, connection) = answered?;
-    note_if_leaving(shared, engine, &response);
+    record_if_draining(shared, engine, &response);
     let status = response.status();
     let rest = stated_rest(response.headers());
-    let body = timeout(ANSWER_TIMEOUT, response.into_body().collect())
+    let body = timeout(RESPONSE_TIMEOUT, response.into_body().collect())
         .await
         .ok()?
         .ok()?;
     engine.keep(connection, rest, shared.idle_connections(&engine.service));
-    // What lay there while the machine was suspended says nothing of now.
+    // A response that arrived while the machine was suspended does not describe the present state.
     if !status.is_success() || shared.clock.was_suspended_since(suspended) {
         return None;
     }
@@ -61,41 +65,41 @@
     }
 }
 
-/// Gives an order. `still_valid` is asked right before it is written.
-pub async fn order(
+/// Sends an order. `still_valid` is called right before the order is written to the connection.
+pub async fn send_order(
     shared: &Shared,
     engine: &Arc<BackEnd>,
     order: &FencedOrder<'_>,
     still_valid: impl Fn() -> bool,
 ) -> OrderResult {
     let request = shared.platform.order_request(order);
-    let sending = send_if(shared, engine, request, still_valid);
-    let began = Instant::now();
+    let sending = send_if_valid(shared, engine, request, still_valid);
+    let sent_at = Instant::now();
     let (response, connection) = match timeout(shared.order_patience.wait(), sending).await {
         Ok(Ok(answered)) => answered,
-        Ok(Err(Unsent)) => return OrderResult::NotSent,
+        Ok(Err(NotWritten)) => return OrderResult::NotSent,
         Err(_) => {
             shared.order_patience.expired();
-            engine.drop_unproved(began);
+            engine.drop_unproved(sent_at);
             return OrderResult::Unanswered;
         }
     };
     let Some(response) = response else {
         return OrderResult::Unanswered;
     };
-    shared.order_patience.answered(began.elapsed());
-    note_if_leaving(shared, engine, &response);
+    shared.order_patience.answered(sent_at.elapsed());
+    record_if_draining(shared, engine, &response);
     let result = shared.platform.order_result(response.status());
     let rest = stated_rest(response.headers());
-    if let Ok(Ok(_)) = timeout(ANSWER_TIMEOUT, response.into_body().collect()).await {
+    if let Ok(Ok(_)) = timeout(RESPONSE_TIMEOUT, response.into_body().collect()).await {
         engine.keep(connection, rest, shared.idle_connections(&engine.service));
     }
     result
 }
 
-/// An engine may say with any answer that it leaves. Whoever is misdirected was answered by
-/// another one.
-fn note_if_leaving(shared: &Shared, engine: &BackEnd, response: &Response<Incoming>) {
+/// Records an engine whose response announces that it is draining. A response for a misdirected
+/// request comes from another engine and is ignored.
+fn record_if_draining(shared: &Shared, engine: &BackEnd, response: &Response<Incoming>) {
     let status = response.status();
     let marks = shared.platform.answer_marks(status, response.headers());
     if marks.is_leaving && status != StatusCode::MISDIRECTED_REQUEST {
@@ -108,27 +112,28 @@
     engine: &Arc<BackEnd>,
     request: Request<Bytes>,
 ) -> Option<(Response<Incoming>, Connection)> {
-    let (response, connection) = send_if(shared, engine, request, || true).await.ok()?;
+    let (response, connection) = send_if_valid(shared, engine, request, || true).await.ok()?;
     Some((response?, connection))
 }
 
-/// Nothing was written: there is no connection, or the order is no longer valid.
-struct Unsent;
+/// The request was not written: there is no connection, or the order is no longer valid.
+struct NotWritten;
 
-/// A connection is made first, so that nothing lies between the check and the write.
-/// Out: no response if the connection was lost after that.
-async fn send_if(
+/// Sends a request if `still_valid` returns true. The connection is made before that call, so that
+/// no wait lies between the check and the write. Returns no response if the connection was lost
+/// after the write.
+async fn send_if_valid(
     shared: &Shared,
     engine: &Arc<BackEnd>,
     request: Request<Bytes>,
     still_valid: impl Fn() -> bool,
-) -> Result<(Option<Response<Incoming>>, Connection), Unsent> {
+) -> Result<(Option<Response<Incoming>>, Connection), NotWritten> {
     let mut connection = match engine.kept_connection(shared.clock.suspended()) {
         Some(connection) => connection,
-        None => engine.connect().await.map_err(|_| Unsent)?,
+        None => engine.connect().await.map_err(|_| NotWritten)?,
     };
     if !still_valid() {
-        return Err(Unsent);
+        return Err(NotWritten);
     }
     let request = request.map(Full::new);
     let response = connection.http.sender.send_request(request).await.ok();
