--- a/crates/gateway/src/placed_rows.rs
+++ b/crates/gateway/src/placed_rows.rs
@@ -1,8 +1,8 @@
-//! Writes the placement holder's rows on engines, many in one transaction.
+//! Writes the placement holder's rows on engines, several in one transaction.
 //!
-//! In: rows, each with the version that must stand before it. Out: what came of each. The
-//! table makes the writes of one part one after the other: a write for each row stood in
-//! a queue for longer than its answer was waited for.
+//! The input is rows, each with the version that its key must have before the write. The output is
+//! the result for each row. The table executes the writes under one key prefix one after the other;
+//! with one write per row, a write waited in that queue for longer than its response timeout.
 
 use std::time::Duration;
 
@@ -14,51 +14,48 @@
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
 
-/// Rows in one transaction at most: the platform takes 100.
-pub const MOST_ROWS: usize = 48;
-/// A write that had no answer is made again so often ...
-const TRIES: u32 = 4;
-/// ... after this pause.
-const TRY_PAUSE: Duration = Duration::from_millis(30);
+/// Maximum number of rows in one transaction. The platform allows 100.
+pub const MAX_ROWS_PER_TRANSACTION: usize = 48;
+/// Maximum number of attempts to write, if attempts have no response.
+const MAX_ATTEMPTS: u32 = 4;
+/// Delay before the next attempt.
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// A row that is to be written.
+/// A row to be written.
 pub struct RowToWrite {
-    /// The engine.
+    /// The engine that the row is about.
     pub id: BackEndId,
-    /// The row.
     pub row: PlacedRow,
-    /// Version of the row that stands there; 0 if there is none.
+    /// The version of the present row; 0 if there is none.
     pub version: u64,
 }
 
-/// A row, and what came of writing it.
-pub struct WrittenRow {
-    /// The engine.
+/// A row and the result of its write.
+pub struct AttemptedRow {
+    /// The engine that the row is about.
     pub id: BackEndId,
-    /// The row.
     pub row: PlacedRow,
-    /// What came of it.
-    pub write: RowWrite,
+    pub result: RowWriteResult,
 }
 
-/// What came of writing a row.
-pub enum RowWrite {
-    /// It stands at this version.
+/// The result of writing a row.
+pub enum RowWriteResult {
+    /// The row was written at this version.
     Committed(u64),
-    /// Another row stands at this version.
-    Refused(u64),
-    /// Nothing is known.
+    /// The table contains another row at this version.
+    Conflict(u64),
+    /// The result is unknown.
     Unknown,
-    /// It was not written because of another row of the same transaction.
-    NotTried,
+    /// The row was not written because another row of the same transaction had a conflict.
+    NotAttempted,
 }
 
-/// Writes rows, each only if the one before it stands at its version. A write whose
-/// answer was lost is repeated under the same conditions, so that it takes effect once.
-pub async fn write(shared: &Shared, rows: Vec<RowToWrite>) -> Vec<WrittenRow> {
-    let puts: Option<Vec<Put>> = rows.iter().map(|row| put(shared, row)).collect();
+/// Writes rows, each only if the present row has the expected version. A write whose response was
+/// lost is repeated under the same conditions, so that it takes effect once.
+pub async fn write(shared: &Shared, rows: Vec<RowToWrite>) -> Vec<AttemptedRow> {
+    let puts: Option<Vec<Put>> = rows.iter().map(|row| build_put(shared, row)).collect();
     let Some(puts) = puts else {
-        return each(rows, |_| RowWrite::Unknown);
+        return map_rows(rows, |_| RowWriteResult::Unknown);
     };
     let compares = rows.iter().zip(&puts).map(|(row, put)| Compare {
         key: put.key.clone(),
@@ -69,49 +66,52 @@
         puts: puts.clone(),
         reads: Vec::new(),
     };
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match shared.table().transact(transaction.clone()).await {
             TableAnswer::Committed { revision, .. } => {
-                return each(rows, |_| RowWrite::Committed(revision));
+                return map_rows(rows, |_| RowWriteResult::Committed(revision));
             }
             TableAnswer::Conflict { rows: current } => {
                 let mut puts = puts.iter();
-                return each(rows, |row| match puts.next() {
-                    Some(put) => compared(row, put, &current),
-                    None => RowWrite::Unknown,
+                return map_rows(rows, |row| match puts.next() {
+                    Some(put) => conflict_result(row, put, &current),
+                    None => RowWriteResult::Unknown,
                 });
             }
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => sleep(TRY_PAUSE).await,
+            TableAnswer::Refused { .. } | TableAnswer::Unknown => sleep(RETRY_DELAY).await,
         }
     }
-    each(rows, |_| RowWrite::Unknown)
+    map_rows(rows, |_| RowWriteResult::Unknown)
 }
 
-fn put(shared: &Shared, row: &RowToWrite) -> Option<Put> {
+fn build_put(shared: &Shared, row: &RowToWrite) -> Option<Put> {
     let value = serde_json::to_string(&row.row).ok()?;
     let key = format!("{}/{}", shared.platform.tables().placed, row.id);
     Some(Put { key, value })
 }
 
-fn each(rows: Vec<RowToWrite>, mut write: impl FnMut(&RowToWrite) -> RowWrite) -> Vec<WrittenRow> {
-    let written = rows.into_iter().map(|row| WrittenRow {
-        write: write(&row),
+fn map_rows(
+    rows: Vec<RowToWrite>,
+    mut result_of: impl FnMut(&RowToWrite) -> RowWriteResult,
+) -> Vec<AttemptedRow> {
+    let written = rows.into_iter().map(|row| AttemptedRow {
+        result: result_of(&row),
         id: row.id,
         row: row.row,
     });
     written.collect()
 }
 
-/// What a transaction whose conditions did not all hold means for one row.
-fn compared(row: &RowToWrite, put: &Put, current: &[TableRow]) -> RowWrite {
+/// The result for one row of a transaction in which not all conditions held.
+fn conflict_result(row: &RowToWrite, put: &Put, current: &[TableRow]) -> RowWriteResult {
     let current = current.iter().find(|current| current.key == put.key);
     let version = current.map_or(0, |current| current.modified);
     if current.is_some_and(|current| current.value == put.value) {
-        return RowWrite::Committed(version);
+        return RowWriteResult::Committed(version);
     }
     if version == row.version {
-        RowWrite::NotTried
+        RowWriteResult::NotAttempted
     } else {
-        RowWrite::Refused(version)
+        RowWriteResult::Conflict(version)
     }
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,13 +1,12 @@
-//! Places models while this process has the lease.
+//! Places models and adapters on engines while this process holds the placement lease.
 //!
-//! In: what gateways tell of their demand, discovery, reports of engines. Out: orders under the
-//! lease's fence, and rows that tell gateways what is where.
+//! The input is the demand that gateways send, discovery, and the reports of engines. The output is
+//! orders under the fencing token of the lease, and rows that tell gateways what each engine holds.
 //!
-//! A crash between a row and its order leaves a row that says too little about
-//! an engine; the next holder asks every engine whose row speaks of something
-//! under way. A crash after an order leaves an engine whose sequence number is
-//! higher than the next holder's report says, so its first order is refused
-//! and the state is read again.
+//! A crash between the write of a row and its order leaves a row that names an operation that was
+//! never ordered; the next holder polls every engine whose row names an operation in progress. A
+//! crash after an order leaves an engine whose sequence number is higher than the next holder
+//! expects, so the first order of that holder is refused and the state is read again.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,137 +25,144 @@
 
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::holder::loads_key;
+use crate::holder::store_records_key;
 use crate::lines::{self, Rank};
 use crate::orders;
-use crate::placed_rows::{self, MOST_ROWS, RowToWrite, RowWrite, WrittenRow};
+use crate::placed_rows::{
+    self, AttemptedRow, MAX_ROWS_PER_TRANSACTION, RowToWrite, RowWriteResult,
+};
 use crate::ports::{FencedOrder, WatchedTable};
 use crate::shared::Shared;
 use crate::watch::{LOST_PAUSE, row_name};
 
-/// Plans are made at least this often.
-const PLAN_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum time between two plans.
+const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Pause between two writes of rows at least: rows that change one by one are written
-/// together. The next turn writes what waits; orders wait for half of it on average.
-const WRITE_PAUSE: Duration = Duration::from_millis(40);
-/// Between two plans the planner rests for so many times as long as the last one took.
-const PLAN_REST: u32 = 2;
-/// A new holder plans once so many of the gateways have told of their demand ...
-const HEARD_PART: f64 = 0.8;
-/// ... or after this time.
-const LONGEST_HEARING: Duration = Duration::from_millis(1_000);
-/// Pause between two looks at who has.
-const HEARING_PAUSE: Duration = Duration::from_millis(50);
-/// A model that still cannot be loaded has another line after this time, in milliseconds.
-const UNMET_PAUSE: u64 = 3_000;
+/// Minimum interval between two writes of rows, so that rows that change one after the other are
+/// written together. Rows that are not due yet are written in a later iteration; an order waits for
+/// half of the interval on average.
+const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(40);
+/// Ratio of the pause after a plan to the duration of the plan, which bounds the planner's share of
+/// the processor.
+const PLAN_REST_FACTOR: u32 = 2;
+/// Fraction of the known gateways whose demand a new holder waits for before its first plan.
+const REPORTING_GATEWAY_FRACTION: f64 = 0.8;
+/// Maximum time that a new holder waits for the demand of gateways before its first plan.
+const MAX_DEMAND_WAIT: Duration = Duration::from_millis(1_000);
+/// Maximum interval between two checks for how many gateways have sent their demand.
+const DEMAND_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Minimum interval between two log lines on the same deferred model, in milliseconds.
+const DEFERRED_LOG_INTERVAL_MS: u64 = 3_000;
 
-/// What came of an action.
-enum Done {
-    Asked(Asked),
-    Written(Vec<WrittenRow>),
+/// The completion of an asynchronous operation of the placement loop.
+enum Completion {
+    EngineResponded(EngineResponse),
+    RowsWritten(Vec<AttemptedRow>),
 }
 
-/// What came of an action at one life of an engine.
-struct Asked {
+/// The response of one incarnation of an engine.
+struct EngineResponse {
     engine: BackEndId,
     born: Option<Born>,
-    answer: Answer,
+    content: ResponseContent,
 }
 
-/// What an engine answered.
-enum Answer {
+/// The content of an engine's response.
+enum ResponseContent {
     Reported(Option<EngineReport>),
     Ordered(OrderKind, OrderResult),
 }
 
-/// Places models while the lease is held. Dropping it begins nothing more.
+/// The placement loop, which runs while the lease is held. After it is dropped, no further
+/// operation starts.
 pub struct Placement {
     shared: Arc<Shared>,
-    keeper: Arc<Mutex<LeaseKeeper>>,
+    lease: Arc<Mutex<LeaseKeeper>>,
     planner: Planner,
     published: BTreeMap<BackEndId, (PlacedRow, u64)>,
-    /// Rows that wait for the write under way to end.
+    /// Rows that wait for the write in progress to end.
     queued: BTreeMap<BackEndId, PlacedRow>,
-    /// Engines whose row waits or is being written, with what is to be done once it stands.
-    writing: BTreeMap<BackEndId, Option<Action>>,
-    /// A write is under way: there is one at a time, of as many rows as wait.
-    is_writing: bool,
-    /// When the last write began.
-    written_at: Option<Instant>,
-    unmet: BTreeMap<ModelId, Timestamp>,
-    results: mpsc::UnboundedReceiver<Done>,
-    done: mpsc::UnboundedSender<Done>,
+    /// Engines whose row is queued or being written, with the action to start once the row is
+    /// written.
+    waiting_actions: BTreeMap<BackEndId, Option<Action>>,
+    /// Whether a write is in progress. Only one write runs at a time, and it contains all queued
+    /// rows up to the maximum of a transaction.
+    is_write_in_progress: bool,
+    /// The start of the last write.
+    last_write_at: Option<Instant>,
+    deferred_logged_at: BTreeMap<ModelId, Timestamp>,
+    completions: mpsc::UnboundedReceiver<Completion>,
+    completion_sender: mpsc::UnboundedSender<Completion>,
 }
 
 impl Placement {
-    /// Begins with nothing planned.
-    pub fn new(shared: Arc<Shared>, keeper: Arc<Mutex<LeaseKeeper>>) -> Self {
-        let (done, results) = mpsc::unbounded_channel();
+    /// Creates the loop with an empty planner.
+    pub fn new(shared: Arc<Shared>, lease: Arc<Mutex<LeaseKeeper>>) -> Self {
+        let (completion_sender, completions) = mpsc::unbounded_channel();
         let records = StoreRecords::new();
         Placement {
-            keeper,
+            lease,
             planner: Planner::new(shared.now(), shared.settings.bounds.loads, records),
             published: BTreeMap::new(),
             queued: BTreeMap::new(),
-            writing: BTreeMap::new(),
-            is_writing: false,
-            written_at: None,
-            unmet: BTreeMap::new(),
-            results,
-            done,
+            waiting_actions: BTreeMap::new(),
+            is_write_in_progress: false,
+            last_write_at: None,
+            deferred_logged_at: BTreeMap::new(),
+            completions,
+            completion_sender,
             shared,
         }
     }
 
-    /// Runs until it is dropped.
+    /// Runs until the loop is dropped.
     pub async fn run(mut self) {
-        self.inherit().await;
-        self.hear_demand().await;
+        self.restore().await;
+        self.await_demand().await;
         let shared = self.shared.clone();
         let mut changes = shared.subscribe();
         loop {
             let began = Instant::now();
-            self.turn();
-            // Plans take their part of the processor and no more, however much changes.
-            sleep(began.elapsed() * PLAN_REST).await;
+            self.run_iteration();
+            // The rest bounds the processor time for plans, however often the input changes.
+            sleep(began.elapsed() * PLAN_REST_FACTOR).await;
             let woken = async {
                 tokio::select! {
-                    done = self.results.recv() => done,
+                    completion = self.completions.recv() => completion,
                     _ = changes.changed() => None,
-                    () = shared.demand_rows.news.notified() => None,
+                    () = shared.demand_rows.updated.notified() => None,
                 }
             };
             let pause = if self.queued.is_empty() {
-                PLAN_PAUSE
+                MAX_PLAN_INTERVAL
             } else {
-                WRITE_PAUSE
+                MIN_WRITE_INTERVAL
             };
-            if let Ok(Some(done)) = timeout(pause, woken).await {
-                self.take(done);
-                while let Ok(done) = self.results.try_recv() {
-                    self.take(done);
+            if let Ok(Some(completion)) = timeout(pause, woken).await {
+                self.apply(completion);
+                while let Ok(completion) = self.completions.try_recv() {
+                    self.apply(completion);
                 }
             }
         }
     }
 
-    /// Gateways tell a new holder of their demand as soon as they know it. Before most
-    /// of them have, it is not known which models are in demand.
-    async fn hear_demand(&self) {
+    /// Waits until most gateways have sent their demand. Each gateway sends it as soon as it knows
+    /// the new holder, and the models in demand are not known earlier.
+    async fn await_demand(&self) {
         let shared = &self.shared;
         let began = Instant::now();
-        while began.elapsed() < LONGEST_HEARING {
+        while began.elapsed() < MAX_DEMAND_WAIT {
             let heard = shared.demand_rows.heard(shared.now()).len();
-            if heard as f64 >= shared.known_gateways() as f64 * HEARD_PART {
+            if heard as f64 >= shared.known_gateways() as f64 * REPORTING_GATEWAY_FRACTION {
                 return;
             }
-            // The time is the bound: news only shorten the wait.
-            let _ = timeout(HEARING_PAUSE, shared.demand_rows.news.notified()).await;
+            // The loop has a time limit; a notification only shortens the wait.
+            let _ = timeout(DEMAND_CHECK_INTERVAL, shared.demand_rows.updated.notified()).await;
         }
     }
 
-    /// Rows of a table as they stand, however long it takes.
+    /// Reads the rows of a table, and retries until the table responds.
     async fn read_rows(&self, table: &str) -> Vec<TableRow> {
         loop {
             match self.shared.table().read(table).await {
@@ -166,13 +172,14 @@
         }
     }
 
-    /// Reads the rows of former holders.
-    async fn inherit(&mut self) {
+    /// Reads the rows that previous holders wrote.
+    async fn restore(&mut self) {
         let tables = self.shared.platform.tables();
         let rows = self.read_rows(tables.loads).await;
-        let key = loads_key(&self.shared);
+        let key = store_records_key(&self.shared);
         let row = rows.iter().find(|row| row.key == key);
-        // Ages are those of the last renewal: loads count for longer, never shorter.
+        // The ages in the row are those at the last renewal of the lease, so loads may be counted
+        // for too long and never for too short a time.
         let records = row.and_then(|row| serde_json::from_str::<StoreRecords>(&row.value).ok());
         self.planner = Planner::new(
             self.shared.now(),
@@ -198,171 +205,182 @@
         self.planner.set_limits(&self.shared.engine_limits());
     }
 
-    fn take(&mut self, done: Done) {
+    fn apply(&mut self, completion: Completion) {
         let now = self.shared.now();
-        match done {
-            Done::Asked(asked) => self.take_answer(now, asked),
-            Done::Written(rows) => {
-                self.is_writing = false;
-                rows.into_iter().for_each(|row| self.written(now, row));
+        match completion {
+            Completion::EngineResponded(response) => self.apply_response(now, response),
+            Completion::RowsWritten(rows) => {
+                self.is_write_in_progress = false;
+                rows.into_iter()
+                    .for_each(|row| self.apply_row_write(now, row));
                 self.write_queued();
             }
         }
     }
 
-    /// An answer counts for the life that was asked: the next one has begun anew.
-    fn take_answer(&mut self, now: Timestamp, asked: Asked) {
-        let id = &asked.engine;
-        if !self.planner.plans_for(id, asked.born) {
+    /// Applies a response to the incarnation that sent it. A new incarnation starts with an empty
+    /// state, to which the response does not apply.
+    fn apply_response(&mut self, now: Timestamp, response: EngineResponse) {
+        let id = &response.engine;
+        if !self.planner.plans_for(id, response.born) {
             return;
         }
-        match asked.answer {
-            Answer::Reported(report) => self.planner.reported(now, id, report),
-            Answer::Ordered(order, result) => self.planner.ordered(now, id, &order, result),
+        match response.content {
+            ResponseContent::Reported(report) => self.planner.reported(now, id, report),
+            ResponseContent::Ordered(order, result) => {
+                self.planner.ordered(now, id, &order, result)
+            }
         }
     }
 
-    /// What waited for a row begins once the row stands, and only then.
-    fn written(&mut self, now: Timestamp, written: WrittenRow) {
-        let WrittenRow { id, row, write } = written;
-        if matches!(write, RowWrite::NotTried) {
-            // A newer row may be waiting already.
+    /// Handles the result of a row write. The action that waited for the row starts only if the row
+    /// was written.
+    fn apply_row_write(&mut self, now: Timestamp, attempted: AttemptedRow) {
+        let AttemptedRow { id, row, result } = attempted;
+        if matches!(result, RowWriteResult::NotAttempted) {
+            // A newer row may already be queued.
             self.queued.entry(id).or_insert(row);
             return;
         }
-        let action = self.writing.remove(&id).flatten();
-        let stands = match write {
-            RowWrite::Committed(version) => {
+        let action = self.waiting_actions.remove(&id).flatten();
+        let is_written = match result {
+            RowWriteResult::Committed(version) => {
                 self.published.insert(id.clone(), (row, version));
                 true
             }
-            RowWrite::Refused(version) => {
+            RowWriteResult::Conflict(version) => {
                 let other = PlacedRow::default();
                 self.published.insert(id.clone(), (other, version));
                 false
             }
-            RowWrite::Unknown | RowWrite::NotTried => false,
+            RowWriteResult::Unknown | RowWriteResult::NotAttempted => false,
         };
         let Some(action) = action else {
             return;
         };
-        let fence = self.keeper.lock().fence(now);
-        let Some(fence) = fence.filter(|_| stands) else {
-            self.planner.abandoned(now, &id);
+        let fence = self.lease.lock().fence(now);
+        let Some(fence) = fence.filter(|_| is_written) else {
+            self.planner.cancel_action(now, &id);
             return;
         };
-        // The row that was written may be older than the plan that wants the action.
+        // The row that was written may be older than the plan that contains the action.
         self.publish(now, fence);
-        self.begin_when_told(action, fence);
+        self.start_after_row(action, fence);
     }
 
-    /// Begins an action, once a row that is being written for its engine stands.
-    fn begin_when_told(&mut self, action: Action, fence: u64) {
-        match self.writing.get_mut(&action.engine) {
+    /// Starts an action, after the write of a row for its engine if there is one.
+    fn start_after_row(&mut self, action: Action, fence: u64) {
+        match self.waiting_actions.get_mut(&action.engine) {
             Some(next) => *next = Some(action),
-            None => self.begin(action, fence),
+            None => self.start(action, fence),
         }
     }
 
-    fn turn(&mut self) {
+    fn run_iteration(&mut self) {
         let now = self.shared.now();
-        let Some(fence) = self.keeper.lock().fence(now) else {
+        let Some(fence) = self.lease.lock().fence(now) else {
             return;
         };
         let Some(configuration) = self.shared.configuration() else {
             return;
         };
         self.observe();
-        let rows = self.shared.demand_rows.fresh(now);
+        let rows = self.shared.demand_rows.recent_rows(now);
         let actions = self.planner.plan(now, &configuration, &rows);
-        self.log_unmet(now);
+        self.log_deferred(now);
         let records = self.planner.store_records(now);
         self.shared.set_store_records(records);
         self.publish(now, fence);
         for action in actions {
-            self.begin_when_told(action, fence);
+            self.start_after_row(action, fence);
         }
     }
 
-    /// A line when a model cannot be loaded, and now and then while it lasts.
-    fn log_unmet(&mut self, now: Timestamp) {
-        let wishes = self.planner.unmet_wishes();
-        self.unmet
-            .retain(|model, _| wishes.iter().any(|wish| wish.model == *model));
-        for wish in wishes {
-            let told = self.unmet.get(&wish.model);
-            if told.is_some_and(|at| now.since(*at) < UNMET_PAUSE) {
+    /// Logs each deferred load when it is first deferred and at intervals while it remains
+    /// deferred.
+    fn log_deferred(&mut self, now: Timestamp) {
+        let deferred = self.planner.unmet_wishes();
+        self.deferred_logged_at
+            .retain(|model, _| deferred.iter().any(|load| load.model == *model));
+        for load in deferred {
+            let logged_at = self.deferred_logged_at.get(&load.model);
+            if logged_at.is_some_and(|at| now.since(*at) < DEFERRED_LOG_INTERVAL_MS) {
                 continue;
             }
-            self.unmet.insert(wish.model.clone(), now);
+            self.deferred_logged_at.insert(load.model.clone(), now);
             let fields = format_args!(
                 "model={} worth={:.2} obstacle=\"{:?}\"",
-                wish.model, wish.worth, wish.obstacle
+                load.model, load.value, load.obstacle
             );
             lines::write(Rank::Decision, "load_put_off", fields);
         }
     }
 
-    /// Queues rows that changed, unless one on the same engine is being written.
+    /// Queues the rows that changed, unless a row of the same engine is being written.
     fn publish(&mut self, now: Timestamp, fence: u64) {
         for (id, row) in self.planner.rows(now, fence) {
             let known = self.published.get(&id);
-            let is_known = known.is_some_and(|(published, _)| says_the_same(published, &row));
-            let is_under_way = self.writing.contains_key(&id) && !self.queued.contains_key(&id);
-            if is_known || is_under_way {
+            let is_known = known.is_some_and(|(published, _)| is_equivalent(published, &row));
+            let is_being_written =
+                self.waiting_actions.contains_key(&id) && !self.queued.contains_key(&id);
+            if is_known || is_being_written {
                 continue;
             }
-            self.writing.entry(id.clone()).or_insert(None);
+            self.waiting_actions.entry(id.clone()).or_insert(None);
             self.queued.insert(id, row);
         }
         self.write_queued();
     }
 
-    /// Begins to write what waits, unless a write is under way.
+    /// Starts to write the queued rows, unless a write is in progress or the last one started too
+    /// recently.
     fn write_queued(&mut self) {
-        let is_early = self.written_at.is_some_and(|at| at.elapsed() < WRITE_PAUSE);
-        if self.is_writing || is_early || self.queued.is_empty() {
+        let is_early = self
+            .last_write_at
+            .is_some_and(|at| at.elapsed() < MIN_WRITE_INTERVAL);
+        if self.is_write_in_progress || is_early || self.queued.is_empty() {
             return;
         }
-        self.written_at = Some(Instant::now());
+        self.last_write_at = Some(Instant::now());
         let mut rows = Vec::new();
-        while rows.len() < MOST_ROWS
+        while rows.len() < MAX_ROWS_PER_TRANSACTION
             && let Some((id, row)) = self.queued.pop_first()
         {
             let version = self.published.get(&id).map_or(0, |(_, version)| *version);
             rows.push(RowToWrite { id, row, version });
         }
-        self.is_writing = true;
-        let (shared, done) = (self.shared.clone(), self.done.clone());
+        self.is_write_in_progress = true;
+        let (shared, completion_sender) = (self.shared.clone(), self.completion_sender.clone());
         tokio::spawn(async move {
             let written = placed_rows::write(&shared, rows).await;
-            // The receiver is gone when the lease was lost; the next holder reads the rows.
-            let _ = done.send(Done::Written(written));
+            // The receiver is dropped when the lease is lost; the next holder reads the rows.
+            let _ = completion_sender.send(Completion::RowsWritten(written));
         });
     }
 
-    fn begin(&mut self, action: Action, fence: u64) {
+    fn start(&mut self, action: Action, fence: u64) {
         let engine = action.engine.clone();
         let find = |directory: &Directory| directory.back_end(&engine);
         let back_end = self.shared.directory(find);
-        // What was sized for one life is not sent to the next one.
-        let is_meant = |back_end: &Arc<BackEnd>| {
+        // An order that was computed for one incarnation is not sent to another one.
+        let is_intended = |back_end: &Arc<BackEnd>| {
             let life = Incarnation::new(back_end.born);
             life.may_be(action.born) || action.kind == ActionKind::Report
         };
-        let Some(back_end) = back_end.filter(is_meant) else {
-            self.planner.abandoned(self.shared.now(), &action.engine);
+        let Some(back_end) = back_end.filter(is_intended) else {
+            self.planner
+                .cancel_action(self.shared.now(), &action.engine);
             return;
         };
-        let done = self.done.clone();
+        let completion_sender = self.completion_sender.clone();
         let shared = self.shared.clone();
-        let keeper = self.keeper.clone();
+        let lease = self.lease.clone();
         tokio::spawn(async move {
-            let answer = match &action.kind {
+            let content = match &action.kind {
                 ActionKind::Report => {
-                    let report = orders::ask(&shared, &back_end).await;
+                    let report = orders::poll_engine(&shared, &back_end).await;
                     log_report(&action, report.as_ref());
-                    Answer::Reported(report)
+                    ResponseContent::Reported(report)
                 }
                 ActionKind::Order { order, sequence } => {
                     let fenced = FencedOrder {
@@ -372,24 +390,24 @@
                         holder: &shared.settings.node,
                         fence,
                     };
-                    let valid = || keeper.lock().fence(shared.now()) == Some(fence);
-                    let result = orders::order(&shared, &back_end, &fenced, valid).await;
+                    let valid = || lease.lock().fence(shared.now()) == Some(fence);
+                    let result = orders::send_order(&shared, &back_end, &fenced, valid).await;
                     log_order(&shared, &action, order, *sequence, fence, result);
-                    Answer::Ordered(order.clone(), result)
+                    ResponseContent::Ordered(order.clone(), result)
                 }
             };
-            // The receiver is gone when the lease was lost.
-            let _ = done.send(Done::Asked(Asked {
+            // The receiver is dropped when the lease is lost.
+            let _ = completion_sender.send(Completion::EngineResponded(EngineResponse {
                 engine: action.engine,
                 born: action.born,
-                answer,
+                content,
             }));
         });
     }
 }
 
-/// The time until a load is done changes all the time; the load itself counts.
-fn says_the_same(published: &PlacedRow, row: &PlacedRow) -> bool {
+/// Whether two rows are equal apart from the remaining time of a load, which changes all the time.
+fn is_equivalent(published: &PlacedRow, row: &PlacedRow) -> bool {
     let model = |row: &PlacedRow| row.loading.as_ref().map(|load| load.model.clone());
     published.born == row.born
         && published.holdings == row.holdings
