--- a/crates/fleet/src/placement/engine/mod.rs
+++ b/crates/fleet/src/placement/engine/mod.rs
@@ -47,11 +47,15 @@
 /// published, in milliseconds.
 const ROW_LIFETIME_MS: u64 = 5_000;
 
+/// The state that an engine reported, advanced by the orders that it has acknowledged since.
 #[derive(Debug)]
 struct ConfirmedState {
     holdings: Holdings,
+    /// Adapters that are being loaded, by model.
     pending: BTreeSet<(ModelId, AdapterId)>,
+    /// Whether an order is in progress.
     busy: bool,
+    /// Number of orders that the engine has accepted.
     sequence: u64,
 }
 
@@ -184,8 +188,8 @@
 
     /// The model that the engine was ordered to load, until the engine reports that it holds the
     /// model.
-    pub fn loading(&self) -> Option<&ModelId> {
-        let goal = self.goal.as_ref().filter(|goal| goal.loading)?;
+    pub fn model_being_loaded(&self) -> Option<&ModelId> {
+        let goal = self.goal.as_ref().filter(|goal| goal.is_load_ordered)?;
         (!self.observed.draining).then_some(&goal.model)
     }
 
@@ -250,7 +254,7 @@
     /// already ordered here.
     pub fn drop_late_goal(&mut self, now: Timestamp, model: &ModelId) {
         let is_superseded =
-            |goal: &Goal| goal.model == *model && !goal.loading && goal.is_late(now);
+            |goal: &Goal| goal.model == *model && !goal.is_load_ordered && goal.is_late(now);
         if !self.is_action_in_flight && self.goal.as_ref().is_some_and(is_superseded) {
             self.changed_at = Some(now);
             self.goal = None;
@@ -297,7 +301,7 @@
             set_at: now,
             ready_at: now + expected.as_millis() as u64,
             victims,
-            loading: false,
+            is_load_ordered: false,
         });
     }
 
@@ -360,7 +364,7 @@
 
     /// Whether the engine is to load a model from the weight store once it has enough free memory.
     pub fn will_load_from_store(&self) -> bool {
-        let goal = self.goal.as_ref().filter(|goal| !goal.loading);
+        let goal = self.goal.as_ref().filter(|goal| !goal.is_load_ordered);
         goal.is_some_and(|goal| !self.has_local_copy(&goal.model))
     }
 
--- a/crates/fleet/src/placement/engine/next.rs
+++ b/crates/fleet/src/placement/engine/next.rs
@@ -104,7 +104,7 @@
             let expected = self.load_time(&model, wanted);
             let goal = self.goal.as_mut()?;
             goal.ready_at = now + expected.as_millis() as u64;
-            goal.loading = true;
+            goal.is_load_ordered = true;
             return Some((OrderKind::LoadModel(model), "demand"));
         }
         let held = self.holdings();
--- a/crates/fleet/src/placement/goal.rs
+++ b/crates/fleet/src/placement/goal.rs
@@ -22,14 +22,14 @@
     /// Models that may be unloaded for the goal, the least valuable first.
     pub victims: Vec<ModelId>,
     /// Whether the load of the model was ordered.
-    pub loading: bool,
+    pub is_load_ordered: bool,
 }
 
 impl Goal {
     /// Whether the goal is not expected to be reached soon: either the memory for the model is not
     /// freed, since an unload waits for running requests, or the load does not end.
     pub fn is_late(&self, now: Timestamp) -> bool {
-        if self.loading {
+        if self.is_load_ordered {
             return now.since(self.ready_at) > MAX_LOAD_DELAY_MS;
         }
         now.since(self.set_at) > MAX_UNLOAD_WAIT_MS
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -188,7 +188,7 @@
             return;
         };
         if let Some(store) = self.stores.get_mut(engine.service()) {
-            if let Some(model) = engine.loading() {
+            if let Some(model) = engine.model_being_loaded() {
                 store.record_exit(now, model);
             }
             store.record_restart(now, &report.id);
@@ -207,7 +207,7 @@
     /// request, since the load may be the cause.
     fn record_missing_engines(&mut self, now: Timestamp, is_missing: impl Fn(&BackEndId) -> bool) {
         for (id, engine) in self.engines.iter().filter(|(id, _)| is_missing(id)) {
-            let Some(model) = engine.loading() else {
+            let Some(model) = engine.model_being_loaded() else {
                 continue;
             };
             if let Some(store) = self.stores.get_mut(engine.service()) {
@@ -314,13 +314,13 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        let told = report.as_ref().and_then(|report| report.born);
-        let report = match engine.match_incarnation(now, told) {
+        let start_time = report.as_ref().and_then(|report| report.born);
+        let report = match engine.match_incarnation(now, start_time) {
             Heard::Same => report,
             // The response came over a connection to a process that has exited.
             Heard::Outdated => None,
             Heard::Other => {
-                let observed = engine.restarted_as(told);
+                let observed = engine.restarted_as(start_time);
                 self.begin_incarnation(now, observed);
                 report
             }
@@ -329,7 +329,7 @@
             return;
         };
         if let Some(store) = self.stores.get_mut(engine.service()) {
-            store.apply_report(now, id, engine.loading(), report.as_ref());
+            store.apply_report(now, id, engine.model_being_loaded(), report.as_ref());
         }
         engine.apply_report(now, report);
     }
--- a/crates/gateway/src/demand_rows.rs
+++ b/crates/gateway/src/demand_rows.rs
@@ -35,21 +35,27 @@
     /// The demand rows that were received recently.
     pub fn recent_rows(&self, now: Timestamp) -> Vec<DemandRow> {
         let rows = self.rows.lock();
-        let recent = rows.values().filter(|(_, heard)| is_recent(now, *heard));
+        let recent = rows
+            .values()
+            .filter(|(_, received_at)| is_recent(now, *received_at));
         recent.map(|(row, _)| row.clone()).collect()
     }
 
     /// The gateways that sent their demand recently.
     pub fn heard(&self, now: Timestamp) -> Vec<NodeId> {
         let rows = self.rows.lock();
-        let recent = rows.iter().filter(|(_, (_, heard))| is_recent(now, *heard));
+        let recent = rows
+            .iter()
+            .filter(|(_, (_, received_at))| is_recent(now, *received_at));
         recent.map(|(name, _)| name.clone()).collect()
     }
 
     /// The recent prefill speed samples of all gateways, merged by service.
     pub fn merged_reading(&self, now: Timestamp) -> BTreeMap<ServiceId, ReadingRow> {
         let rows = self.rows.lock();
-        let recent = rows.values().filter(|(_, heard)| is_recent(now, *heard));
+        let recent = rows
+            .values()
+            .filter(|(_, received_at)| is_recent(now, *received_at));
         let mut samples: BTreeMap<&ServiceId, Vec<&ReadingSample>> = BTreeMap::new();
         for (service, sample) in recent.flat_map(|(row, _)| &row.reading) {
             samples.entry(service).or_default().push(sample);
@@ -73,6 +79,6 @@
     }
 }
 
-fn is_recent(now: Timestamp, heard: Timestamp) -> bool {
-    now.since(heard) < DEMAND_LIFETIME_MS
+fn is_recent(now: Timestamp, received_at: Timestamp) -> bool {
+    now.since(received_at) < DEMAND_LIFETIME_MS
 }
--- a/crates/gateway/src/demand_teller.rs
+++ b/crates/gateway/src/demand_teller.rs
@@ -28,8 +28,8 @@
 /// Interval after which unchanged demand is sent again, so that the holder knows that the gateway
 /// is running.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(6);
-/// Number of gateways above which each sends non-urgent demand less often, so that the message rate
-/// at the holder is limited.
+/// Number of gateways above which each sends non-urgent demand less often. At one message per second
+/// from each, this is also the rate of such messages that the holder processes.
 const FULL_RATE_GATEWAYS: usize = 250;
 /// Maximum time for the response of the holder.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -54,15 +54,15 @@
 
 struct DemandSender {
     shared: Arc<Shared>,
-    /// The address of the holder that received the last message, the message, and the time at which
-    /// it was sent.
+    /// The address of the holder that received the last message, the message, and the time of its
+    /// delivery; `None` if the last message was not delivered.
     last_sent: Option<(SocketAddr, DemandRow, Instant)>,
     /// Whether the last message was not delivered.
     is_undelivered: bool,
 }
 
 impl DemandSender {
-    /// Waits until demand should be sent. Returns whether that is urgent.
+    /// Waits until demand should be checked. Returns whether it must be sent even if unchanged.
     async fn wait(&self) -> bool {
         if self.is_undelivered {
             return true;
--- a/crates/gateway/src/holder.rs
+++ b/crates/gateway/src/holder.rs
@@ -44,16 +44,16 @@
 pub async fn run(shared: Arc<Shared>) {
     let lease = shared.settings.bounds.lease.mul_f64(LEASE_FRACTION);
     let mut candidate = LeaseCandidate {
-        seat: LeaseSeat::new(&shared, LEASE_NAME, lease),
+        session: LeaseSeat::new(&shared, LEASE_NAME, lease),
         lease,
         take_delay: MAX_TAKE_DELAY.mul_f64(rand::random()),
         shared,
     };
     let mut tasks: Option<HolderTasks> = None;
     loop {
-        let was_holder = candidate.seat.is_held();
-        candidate.step().await;
-        let is_holder = candidate.seat.is_held();
+        let was_holder = candidate.session.is_held();
+        candidate.run_iteration().await;
+        let is_holder = candidate.session.is_held();
         candidate.shared.set_placing(is_holder);
         if is_holder && !was_holder {
             candidate.record_lease_change("taken");
@@ -72,18 +72,18 @@
 /// The part of this process in taking and renewing the lease.
 struct LeaseCandidate {
     shared: Arc<Shared>,
-    seat: LeaseSeat,
+    session: LeaseSeat,
     lease: Duration,
     /// The random delay of this process, up to [`MAX_TAKE_DELAY`].
     take_delay: Duration,
 }
 
 impl LeaseCandidate {
-    async fn step(&mut self) {
+    async fn run_iteration(&mut self) {
         let offer = self.offer();
         let shared = self.shared.clone();
         let additional_put = move || store_records_row(&shared);
-        if let Stepped::Idle(pause) = self.seat.step(offer, additional_put).await {
+        if let Stepped::Idle(pause) = self.session.step(offer, additional_put).await {
             sleep(pause.min(MAX_CHECK_INTERVAL)).await;
         }
     }
@@ -96,7 +96,7 @@
             return Offer::Never;
         }
         let own = f64::from(shared.settings.millicores);
-        if let Some(held_ms) = self.seat.keeper.lock().held_for(shared.now()) {
+        if let Some(held_ms) = self.session.keeper.lock().held_for(shared.now()) {
             let should_release = Duration::from_millis(held_ms) > MIN_HOLD_TIME
                 && (shared.lateness() > MAX_HOLDER_TIMER_LAG || self.has_stronger_machine(own));
             return if should_release {
@@ -138,7 +138,7 @@
 
     fn start_tasks(&self) -> HolderTasks {
         let shared = &self.shared;
-        let placement = Placement::new(shared.clone(), self.seat.keeper.clone());
+        let placement = Placement::new(shared.clone(), self.session.keeper.clone());
         [
             tokio::spawn(placement.run()),
             tokio::spawn(reading_rows::tell(shared.clone())),
@@ -152,7 +152,7 @@
         let shared = &self.shared;
         let changes = &shared.metrics.lease_changes;
         changes.with_label_values(&[kind]).inc();
-        let fence = self.seat.keeper.lock().fence(shared.now());
+        let fence = self.session.keeper.lock().fence(shared.now());
         let fields = format_args!(
             "change={kind} fence={} millicores={} late_ms={}",
             fence.unwrap_or(0),
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -153,8 +153,8 @@
         let shared = &self.shared;
         let began = Instant::now();
         while began.elapsed() < MAX_DEMAND_WAIT {
-            let heard = shared.demand_rows.heard(shared.now()).len();
-            if heard as f64 >= shared.known_gateways() as f64 * REPORTING_GATEWAY_FRACTION {
+            let reporting = shared.demand_rows.heard(shared.now()).len();
+            if reporting as f64 >= shared.known_gateways() as f64 * REPORTING_GATEWAY_FRACTION {
                 return;
             }
             // The loop has a time limit; a notification only shortens the wait.
