--- a/crates/fleet/src/placement/goals.rs
+++ b/crates/fleet/src/placement/goals.rs
@@ -24,7 +24,8 @@
 const WAITING_REQUEST_VALUE: f64 = 0.3;
 /// Value that one running request adds to a loaded model, in requests per second.
 const RUNNING_REQUEST_VALUE: f64 = 0.6;
-/// Minimum ratio between the value of a load and the value of the models that are evicted for it.
+/// Minimum ratio between the value of a load and its cost, most of which is the value of the
+/// evicted models.
 const MIN_VALUE_RATIO: f64 = 1.3;
 /// Fraction of the slots of a model's engines above which the running requests of the model call
 /// for another replica.
@@ -121,10 +122,11 @@
     EndsEngines,
     /// No engine is free to accept an order.
     NoFreeEngine,
-    /// Engines with a local copy are occupied, and will still have the model loaded sooner than a
-    /// load from the weight store would.
+    /// Engines with a local copy are occupied, but will complete the load sooner than a load from
+    /// the weight store would.
     CopyOccupied,
-    /// The value of the models to be evicted is too high.
+    /// The cost of the load on the best engine is too high. `loss` is that cost, in requests per
+    /// second.
     TooDear { loss: f64 },
 }
 
@@ -472,8 +474,8 @@
     engines.iter().filter(expects).count()
 }
 
-/// Models that an engine would have to evict, with their value in requests per second and the delay
-/// until the new model is loaded.
+/// Models that an engine would have to evict for a load, with the cost of the load in requests per
+/// second and the delay until the load is complete.
 struct EvictionPlan {
     loss: f64,
     delay: Duration,
@@ -481,7 +483,8 @@
 }
 
 impl EvictionPlan {
-    /// Value of the evicted models plus the value that the candidate loses until it is loaded here.
+    /// Cost of the load on this engine plus the value that the candidate loses until the load is
+    /// complete.
     fn cost(&self, candidate: &LoadCandidate) -> f64 {
         self.loss + candidate.value * self.delay.as_secs_f64() / VALUE_HORIZON.as_secs_f64()
     }
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -102,7 +102,8 @@
     stores: BTreeMap<ServiceId, WeightStore>,
     rate_limit: LoadBound,
     previous_records: StoreRecords,
-    restored_loads: Vec<BackEndId>,
+    /// Engines for which the row of a previous holder names a load.
+    engines_with_restored_loads: Vec<BackEndId>,
     started_at: Timestamp,
     deferred: Vec<DeferredLoad>,
     /// Loads during which engines disappeared from discovery.
@@ -119,8 +120,8 @@
 }
 
 impl Planner {
-    /// Creates the planner of a holder that starts at `now`. `previous_records` contains the weight store
-    /// records of previous holders.
+    /// Creates the planner of a holder that starts at `now`. `previous_records` contains the weight
+    /// store records of previous holders.
     pub fn new(now: Timestamp, rate_limit: LoadBound, previous_records: StoreRecords) -> Self {
         Planner {
             rate_limit,
@@ -241,7 +242,7 @@
     /// Restores the row of a previous holder. The engine is polled before any order is sent to it.
     pub fn inherit(&mut self, id: &BackEndId, row: &PlacedRow) {
         if row.loading.is_some() {
-            self.restored_loads.push(id.clone());
+            self.engines_with_restored_loads.push(id.clone());
         }
         if let Some(engine) = self.engines.get_mut(id) {
             engine.restore(self.started_at, row);
@@ -288,7 +289,7 @@
                     store.record_restart(self.started_at, &load.engine);
                 }
             }
-            for engine in &self.restored_loads {
+            for engine in &self.engines_with_restored_loads {
                 store.restore(self.started_at, engine);
             }
             store
--- a/crates/fleet/src/placement/weight_store.rs
+++ b/crates/fleet/src/placement/weight_store.rs
@@ -98,8 +98,8 @@
         self.rate_limiter.is_open(now, engine, sequence)
     }
 
-    /// Records a load that is about to be ordered. `uncontended_duration` is the duration of the load without
-    /// other loads.
+    /// Records a load that is about to be ordered. `uncontended_duration` is the duration of the
+    /// load without other loads.
     pub fn record_order(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/src/demand_rows.rs
+++ b/crates/gateway/src/demand_rows.rs
@@ -27,7 +27,7 @@
 #[derive(Default)]
 pub struct DemandRows {
     rows: Mutex<HashMap<NodeId, (DemandRow, Timestamp)>>,
-    /// Notifies when a gateway sent its demand.
+    /// Notified when a gateway has sent its demand.
     pub updated: Notify,
 }
 
--- a/crates/gateway/src/demand_teller.rs
+++ b/crates/gateway/src/demand_teller.rs
@@ -28,8 +28,8 @@
 /// Interval after which unchanged demand is sent again, so that the holder knows that the gateway
 /// is running.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(6);
-/// Number of gateways above which each sends non-urgent demand less often. At one message per second
-/// from each, this is also the rate of such messages that the holder processes.
+/// Number of gateways above which each sends non-urgent demand less often. At one message per
+/// second from each, this is also the rate of such messages that the holder processes.
 const FULL_RATE_GATEWAYS: usize = 250;
 /// Maximum time for the response of the holder.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/placed_rows.rs
+++ b/crates/gateway/src/placed_rows.rs
@@ -1,8 +1,9 @@
 //! Writes the placement holder's rows on engines, several in one transaction.
 //!
 //! The input is rows, each with the version that its key must have before the write. The output is
-//! the result for each row. The table executes the writes of one partition one after the other. When
-//! each row had its own write, a write waited in that queue for longer than its response timeout.
+//! the result for each row. The table executes the writes of one partition one after the other.
+//! When each row had its own write, a write waited in that queue for longer than its response
+//! timeout.
 
 use std::time::Duration;
 
