--- a/crates/gateway/src/admission/refusal.rs
+++ b/crates/gateway/src/admission/refusal.rs
@@ -1,6 +1,7 @@
-//! Refusals of requests that no back end can take in time, and lines on what they wait for.
+//! Refuses requests that no back end can take in time, and logs what requests wait for.
 //!
-//! In: what is missing. Out: a failure that says when to come back, with one line.
+//! The input is what is missing. The output is a failure that tells the caller when to retry, and
+//! one log line.
 
 use std::time::Duration;
 
@@ -11,29 +12,30 @@
 use crate::lines::{self, Rank};
 use crate::request::Call;
 
-/// Least pause that a refused caller is asked for.
-const LEAST_PAUSE: Duration = Duration::from_millis(250);
-/// A caller that waits for a load is asked to come back this much after it.
-const LOAD_SLACK: Duration = Duration::from_millis(600);
+/// Minimum `Retry-After` of a refusal.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(250);
+/// Margin between the expected end of a load and the `Retry-After` of a request that needs it.
+const LOAD_RETRY_MARGIN: Duration = Duration::from_millis(600);
 
-/// Nothing can take the request in time: its caller is told when something is expected to.
+/// Refuses a request that nothing can serve in time; `Retry-After` is when that is expected to
+/// change.
 pub(super) fn refuse(call: &Call, missing: &Missing) -> Failure {
-    let (reason, pause) = match missing {
-        Missing::BackEnd => ("no_back_end", LEAST_PAUSE),
-        Missing::Room(wait) => ("back_end_limit", LEAST_PAUSE.max(*wait)),
-        Missing::Pause(left) => ("back_end_pause", LEAST_PAUSE.max(*left)),
-        Missing::Adapter => ("no_adapter", LEAST_PAUSE),
-        Missing::Model(load) => ("no_model", load.time + LOAD_SLACK),
+    let (reason, retry_after) = match missing {
+        Missing::BackEnd => ("no_back_end", MIN_RETRY_AFTER),
+        Missing::Capacity(wait) => ("back_end_limit", MIN_RETRY_AFTER.max(*wait)),
+        Missing::Pause(left) => ("back_end_pause", MIN_RETRY_AFTER.max(*left)),
+        Missing::Adapter => ("no_adapter", MIN_RETRY_AFTER),
+        Missing::Model(load) => ("no_model", load.time_left + LOAD_RETRY_MARGIN),
     };
-    log_refusal(call, missing, reason, pause);
-    call.refuse(reason, pause)
+    log_refusal(call, missing, reason, retry_after);
+    call.refuse(reason, retry_after)
 }
 
-/// Nobody can serve it: its caller is told at once, and for how long that is certain.
+/// Refuses a quarantined request at once; `Retry-After` is the remaining quarantine.
 pub(super) fn refuse_quarantined(call: &Call, left: Duration) -> Failure {
     let fields = format_args!(
         "request={} reason=quarantined fingerprint={} waited_ms={} retry_after_ms={}",
-        call.ticket.id,
+        call.metadata.id,
         call.fingerprint,
         call.age().as_millis(),
         left.as_millis(),
@@ -42,52 +44,52 @@
     call.refuse("quarantined", left)
 }
 
-/// A line on a request that begins to wait.
+/// Logs that a request starts to wait.
 pub(super) fn log_wait(call: &Call, missing: &Missing, until: Instant) {
-    let load = load_fields(missing);
-    let what = match missing {
+    let wait_fields = wait_fields(missing);
+    let missing_name = match missing {
         Missing::Model(_) => "model",
         Missing::Adapter => "adapter",
         Missing::BackEnd => "back_end",
-        Missing::Room(_) => "room",
+        Missing::Capacity(_) => "room",
         Missing::Pause(_) => "pause",
     };
     let fields = format_args!(
-        "request={} missing={what} {load} longest_ms={} objective_ms={} returning={} configuration={}",
-        call.ticket.id,
+        "request={} missing={missing_name} {wait_fields} longest_ms={} objective_ms={} returning={} configuration={}",
+        call.metadata.id,
         until.saturating_duration_since(Instant::now()).as_millis(),
         call.route.objective.as_millis(),
-        call.returning,
+        call.is_returning,
         call.configuration.version,
     );
     lines::write(Rank::Decision, "waiting", fields);
 }
 
-/// For lines: when a load is expected to end, whether it is ordered, and the nearest copy.
-fn load_fields(missing: &Missing) -> String {
+/// Log fields: when the load is expected to end, whether it is ordered, and the nearest copy.
+fn wait_fields(missing: &Missing) -> String {
     match missing {
         Missing::Model(load) => format!(
             "expected_ms={} load_ordered={} nearest_copy={:?}",
-            load.time.as_millis(),
-            load.ordered,
+            load.time_left.as_millis(),
+            load.is_ordered,
             load.copy
         ),
-        Missing::Room(wait) | Missing::Pause(wait) => {
+        Missing::Capacity(wait) | Missing::Pause(wait) => {
             format!("expected_ms={} load_ordered=false", wait.as_millis())
         }
         Missing::Adapter | Missing::BackEnd => "expected_ms=0 load_ordered=false".to_owned(),
     }
 }
 
-fn log_refusal(call: &Call, missing: &Missing, reason: &str, pause: Duration) {
-    let load = load_fields(missing);
+fn log_refusal(call: &Call, missing: &Missing, reason: &str, retry_after: Duration) {
+    let wait_fields = wait_fields(missing);
     let fields = format_args!(
-        "request={} reason={reason} {load} waited_ms={} objective_ms={} returning={} retry_after_ms={} configuration={}",
-        call.ticket.id,
+        "request={} reason={reason} {wait_fields} waited_ms={} objective_ms={} returning={} retry_after_ms={} configuration={}",
+        call.metadata.id,
         call.age().as_millis(),
         call.route.objective.as_millis(),
-        call.returning,
-        pause.as_millis(),
+        call.is_returning,
+        retry_after.as_millis(),
         call.configuration.version,
     );
     lines::write(Rank::Decision, "refused", fields);
--- a/crates/gateway/src/admission/waits.rs
+++ b/crates/gateway/src/admission/waits.rs
@@ -1,7 +1,8 @@
-//! How long a request may wait for what is missing.
+//! Computes how long a request may wait for what is missing.
 //!
-//! In: what is missing, and when it is expected; the request's objective, its deadline and its
-//! caller's patience. Out: until when a wait is worth it, if it is at all.
+//! The inputs are what is missing and when it is expected, and the request's objective, its
+//! deadline and the timeout that its caller probably applies. The output is the time until which a
+//! wait is worthwhile, if it is at all.
 
 use std::time::Duration;
 
@@ -11,128 +12,132 @@
 use crate::request::Call;
 
 /// Time from the end of a load until the first event.
-const FIRST_EVENT: Duration = Duration::from_millis(300);
-/// Part of the objective within which a served request is in time.
-const IN_TIME_PART: f64 = 0.95;
-/// Part of the objective that an answer takes at most where objectives are short.
-const ANSWER_PART: f64 = 0.33;
-/// Part of the objective within which a refusal costs the caller little.
-const EARLY_PART: f64 = 0.22;
-/// Part of the objective that a wait for an adapter may take.
-const ADAPTER_WAIT_PART: f64 = 0.9;
-/// Callers give a silent answer up after the longest of this time ...
-const LEAST_CALLER_PATIENCE: Duration = Duration::from_secs(2);
-/// ... so many objectives ...
-const PATIENCE_OBJECTIVES: u32 = 4;
-/// ... and so many pause objectives.
-const PATIENCE_PAUSES: u32 = 8;
-/// Part of a caller's patience that is used.
-const PATIENCE_PART: f64 = 0.85;
-/// Part of the time that a request has for which it waits, late already, for a
-/// load that nobody has ordered: callers may still be served elsewhere then.
-const UNORDERED_PART: f64 = 0.45;
+const FIRST_EVENT_DELAY: Duration = Duration::from_millis(300);
+/// Fraction of the objective within which a request counts as served in time.
+const IN_TIME_FRACTION: f64 = 0.95;
+/// Maximum fraction of the objective that a response takes, for short objectives.
+const RESPONSE_FRACTION: f64 = 0.33;
+/// Fraction of the objective within which a refusal costs the caller little.
+const EARLY_REFUSAL_FRACTION: f64 = 0.22;
+/// Fraction of the objective that a wait for an adapter may take.
+const ADAPTER_WAIT_FRACTION: f64 = 0.9;
+/// Minimum time without a response after which callers give up. Callers apply the longest of this
+/// time, `CALLER_TIMEOUT_OBJECTIVES` objectives and `CALLER_TIMEOUT_GAPS` gap objectives.
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
+/// Number of objectives without a response after which callers give up.
+const CALLER_TIMEOUT_OBJECTIVES: u32 = 4;
+/// Number of gap objectives without a response after which callers give up.
+const CALLER_TIMEOUT_GAPS: u32 = 8;
+/// Fraction of the caller's timeout that a request may wait.
+const CALLER_TIMEOUT_FRACTION: f64 = 0.85;
+/// Fraction of the request's time limit that a late request waits for a load that nobody has
+/// ordered. After that, another gateway may still have time to serve the caller.
+const UNORDERED_LOAD_FRACTION: f64 = 0.45;
 
-/// What is missing for sending a request.
+/// What is missing to send a request.
 pub(super) enum Missing {
-    /// Any back end of the service that can take it.
+    /// No back end of the service can take the request.
     BackEnd,
-    /// Room at the back ends that could: all of them state limits. There may be some after
-    /// this time.
-    Room(Duration),
-    /// A back end that takes requests: all that could take this one want none for this time.
+    /// All back ends that could take the request have rate limits and no capacity. Some may have
+    /// capacity after this time.
+    Capacity(Duration),
+    /// All back ends that could take the request have requested a pause, which ends after this
+    /// time.
     Pause(Duration),
-    /// The adapter, where the model is loaded.
+    /// The adapter is missing on the back ends that have loaded the model.
     Adapter,
-    /// The model; a load is expected to end in this time.
+    /// The model is not loaded; a load is expected to end at the given time.
     Model(ExpectedLoad),
 }
 
 /// When a load is expected to end.
 #[derive(Clone, Copy)]
 pub(super) struct ExpectedLoad {
-    /// Time until then.
-    pub time: Duration,
-    /// Whether it was ordered.
-    pub ordered: bool,
-    /// Where its weights come from.
+    /// Time until the load ends.
+    pub time_left: Duration,
+    /// Whether the load has been ordered.
+    pub is_ordered: bool,
+    /// The copy that the weights are loaded from.
     pub copy: CopyTier,
 }
 
-/// Until when a wait for what is missing is worth it; none if it is not.
-pub(super) fn worth_waiting(call: &Call, missing: &Missing) -> Option<Instant> {
+/// Until when it is worthwhile to wait for what is missing; none if it is not.
+pub(super) fn wait_deadline(call: &Call, missing: &Missing) -> Option<Instant> {
     let now = Instant::now();
     let objective = call.route.objective;
-    let give_up = time_to_give_up(call);
+    let give_up = give_up_time(call);
     let until = match missing {
-        Missing::Room(wait) | Missing::Pause(wait) if *wait > longest_wait_for_room(call) => {
+        Missing::Capacity(wait) | Missing::Pause(wait) if *wait > max_capacity_wait(call) => {
             return None;
         }
-        Missing::Room(wait) | Missing::Pause(wait) => now + *wait,
-        _ if call.returning && !matches!(missing, Missing::Model(_)) => give_up,
-        Missing::BackEnd => call.arrived() + objective.mul_f64(EARLY_PART),
-        Missing::Adapter => call.arrived() + objective.mul_f64(ADAPTER_WAIT_PART),
-        Missing::Model(load) => wait_for_load(call, now, *load, give_up)?,
+        Missing::Capacity(wait) | Missing::Pause(wait) => now + *wait,
+        _ if call.is_returning && !matches!(missing, Missing::Model(_)) => give_up,
+        Missing::BackEnd => call.arrived() + objective.mul_f64(EARLY_REFUSAL_FRACTION),
+        Missing::Adapter => call.arrived() + objective.mul_f64(ADAPTER_WAIT_FRACTION),
+        Missing::Model(load) => load_wait_deadline(call, now, *load, give_up)?,
     };
-    let until = match call.time_to_begin() {
+    let until = match call.time_left_to_send() {
         Some(left) => until.min(now + left),
         None => until,
     };
     (now < until).then_some(until)
 }
 
-/// When the caller, or this gateway, gives the request up.
-fn time_to_give_up(call: &Call) -> Instant {
-    let give_up = call.arrived() + caller_patience(call).mul_f64(PATIENCE_PART);
+/// When the caller or this gateway gives the request up.
+fn give_up_time(call: &Call) -> Instant {
+    let give_up = call.arrived() + caller_timeout(call).mul_f64(CALLER_TIMEOUT_FRACTION);
     give_up.min(call.deadline())
 }
 
-/// How long a request may wait for room at a back end, or for the end of a pause: as long as its
-/// answer comes in time, or, once a refusal would gain nothing, at all.
-pub(super) fn longest_wait_for_room(call: &Call) -> Duration {
+/// How long a request may wait for capacity at a back end, or for the end of a requested pause: as
+/// long as its response comes in time, or, once an early refusal has no benefit, until the request
+/// is given up.
+pub(super) fn max_capacity_wait(call: &Call) -> Duration {
     let now = Instant::now();
     let objective = call.route.objective;
-    let answer_time = FIRST_EVENT.min(objective.mul_f64(ANSWER_PART));
-    let early = call.arrived() + objective.mul_f64(EARLY_PART);
-    let until = if now <= early && !call.returning {
-        call.arrived() + objective.mul_f64(IN_TIME_PART)
+    let response_time = FIRST_EVENT_DELAY.min(objective.mul_f64(RESPONSE_FRACTION));
+    let early_refusal_end = call.arrived() + objective.mul_f64(EARLY_REFUSAL_FRACTION);
+    let until = if now <= early_refusal_end && !call.is_returning {
+        call.arrived() + objective.mul_f64(IN_TIME_FRACTION)
     } else {
-        time_to_give_up(call)
+        give_up_time(call)
     };
-    let wait = until.saturating_duration_since(now + answer_time);
-    call.time_to_begin().map_or(wait, |left| wait.min(left))
+    let wait = until.saturating_duration_since(now + response_time);
+    call.time_left_to_send().map_or(wait, |left| wait.min(left))
 }
 
-/// A load that ends in time is waited for. One that is not yet ordered gets a
-/// moment; and once a refusal would gain nothing, a late answer is better.
-fn wait_for_load(
+/// Until when to wait for a load. A load that ends in time is waited for. A load that is not
+/// ordered yet gets a short time to be ordered. Once an early refusal has no benefit, a late
+/// response is better than none.
+fn load_wait_deadline(
     call: &Call,
     now: Instant,
     load: ExpectedLoad,
     give_up: Instant,
 ) -> Option<Instant> {
     let objective = call.route.objective;
-    let ready = now + load.time + FIRST_EVENT;
-    let in_time = call.arrived() + objective.mul_f64(IN_TIME_PART);
-    if ready <= in_time {
-        return Some(in_time);
+    let first_event = now + load.time_left + FIRST_EVENT_DELAY;
+    let in_time_limit = call.arrived() + objective.mul_f64(IN_TIME_FRACTION);
+    if first_event <= in_time_limit {
+        return Some(in_time_limit);
     }
-    let early = call.arrived() + objective.mul_f64(EARLY_PART);
-    if !load.ordered && now < early && load.time < objective {
-        return Some(early);
+    let early_refusal_end = call.arrived() + objective.mul_f64(EARLY_REFUSAL_FRACTION);
+    if !load.is_ordered && now < early_refusal_end && load.time_left < objective {
+        return Some(early_refusal_end);
     }
-    let refusal_gains = now <= early && !call.returning;
-    let until = if load.ordered {
+    let is_refusal_useful = now <= early_refusal_end && !call.is_returning;
+    let until = if load.is_ordered {
         give_up
     } else {
-        give_up.min(call.arrived() + call.held().mul_f64(UNORDERED_PART))
+        give_up.min(call.arrived() + call.time_limit().mul_f64(UNORDERED_LOAD_FRACTION))
     };
-    (!refusal_gains && ready <= give_up).then_some(until)
+    (!is_refusal_useful && first_event <= give_up).then_some(until)
 }
 
 /// How long the caller waits for the first event.
-fn caller_patience(call: &Call) -> Duration {
-    let pauses = call.route.pause_objective.unwrap_or_default() * PATIENCE_PAUSES;
-    LEAST_CALLER_PATIENCE
-        .max(call.route.objective * PATIENCE_OBJECTIVES)
-        .max(pauses)
+fn caller_timeout(call: &Call) -> Duration {
+    let gap_timeout = call.route.pause_objective.unwrap_or_default() * CALLER_TIMEOUT_GAPS;
+    MIN_CALLER_TIMEOUT
+        .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
+        .max(gap_timeout)
 }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,8 +1,8 @@
-//! Sends a request once, and says truthfully what came of it.
+//! Sends a request to one back end once, and reports whether it may have run.
 //!
-//! Only three things show that a back end did not run a request: nothing was
-//! written, the back end says so, or another incarnation answered. Everything
-//! else, silence included, may have run.
+//! Only three observations show that a back end did not run a request: nothing was written, the
+//! back end says so, or another incarnation responded. After anything else, including silence, the
+//! request may have run.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, timeout_at};
 
 use crate::attempts::{Attempts, CONNECTION_LOST, PAUSED};
-use crate::back_end::{BackEnd, Connection, InFlight, Reading};
+use crate::back_end::{BackEnd, Connection, InFlight, PendingPrefill};
 use crate::directory::Directory;
 use crate::lines::{self, Rank};
 use crate::lost_connection;
@@ -26,79 +26,79 @@
 use crate::request::Call;
 use crate::shared::Shared;
 
-/// Kept connections that are tried before a new one is made.
-const KEPT_TRIES: usize = 3;
-/// Names how long a back end keeps an idle connection.
+/// How many idle connections of the pool are tried before a new one is opened.
+const MAX_IDLE_TRIES: usize = 3;
+/// Header that states how long a back end keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// An answer whose body has not been read yet.
+/// A back end's response whose body has not been read yet.
 #[derive(Debug)]
-pub struct Answer {
-    /// Its head.
+pub struct BackEndResponse {
+    /// The response head.
     pub head: Parts,
-    /// Its body.
+    /// The unread body.
     pub body: Incoming,
-    /// What the head says.
+    /// What the gateway's own headers in the response say.
     pub marks: AnswerMarks,
-    /// Who answers.
+    /// The back end that responded.
     pub back_end: Arc<BackEnd>,
     connection: Connection,
     in_flight: InFlight,
-    reading: Option<Reading>,
+    prefill: Option<PendingPrefill>,
     sent: Instant,
 }
 
-/// What came of an attempt.
+/// The result of an attempt.
 #[derive(Debug)]
-pub enum AttemptEnd {
-    /// A head arrived that belongs to the request.
-    Answered(Box<Answer>),
-    /// Nothing was sent.
+pub enum AttemptResult {
+    /// A response head arrived that belongs to the request.
+    Responded(Box<BackEndResponse>),
+    /// Nothing was sent, for the given reason.
     NotSent(&'static str),
-    /// It may have run.
+    /// The request may have run; the reason says why there is no usable response.
     MayHaveRun(&'static str),
 }
 
-/// Sends `call` to `back_end`. When no head has come after `patience`, it is
-/// given up if another back end can take over.
+/// Sends `call` to `back_end`. If no response head has arrived after `head_timeout`, the attempt is
+/// abandoned, provided that another back end can take over.
 pub async fn send(
     call: &Call,
     back_end: &Arc<BackEnd>,
     last_event: Option<&str>,
-    patience: Duration,
+    head_timeout: Duration,
     attempts: &mut Attempts,
-) -> AttemptEnd {
-    let work = Work {
+) -> AttemptResult {
+    let load = AttemptLoad {
         in_flight: back_end.begin(),
-        reading: back_end.begin_reading(call.shared.now(), &call.ticket),
+        prefill: back_end.begin_prefill(call.shared.now(), &call.metadata),
     };
     let sent = Instant::now();
-    let mut sending = Sending {
+    let mut attempt = ActiveAttempt {
         call,
         back_end,
         last_event,
-        patience,
+        head_timeout,
         attempts,
     };
-    let end = sending.send(work).await;
-    let result = match &end {
-        AttemptEnd::Answered(answer) => {
+    let result = attempt.send(load).await;
+    let result_label = match &result {
+        AttemptResult::Responded(response) => {
             call.shared.metrics.answered(sent.elapsed());
-            answer.head.status.as_str().to_owned()
+            response.head.status.as_str().to_owned()
         }
-        AttemptEnd::NotSent(reason) | AttemptEnd::MayHaveRun(reason) => (*reason).to_owned(),
+        AttemptResult::NotSent(reason) | AttemptResult::MayHaveRun(reason) => (*reason).to_owned(),
     };
     call.shared
         .metrics
         .attempts
-        .with_label_values(&[&result])
+        .with_label_values(&[&result_label])
         .inc();
-    if !matches!(&end, AttemptEnd::Answered(answer) if answer.head.status.is_success()) {
-        let exposed = matches!(end, AttemptEnd::MayHaveRun(_));
+    if !matches!(&result, AttemptResult::Responded(response) if response.head.status.is_success()) {
+        let may_have_run = matches!(result, AttemptResult::MayHaveRun(_));
         let fields = format_args!(
-            "request={} back_end={} result={result} may_have_run={exposed} attempt={} took_ms={} \
+            "request={} back_end={} result={result_label} may_have_run={may_have_run} attempt={} took_ms={} \
              row_version={} row_age_ms={}",
-            call.ticket.id,
+            call.metadata.id,
             back_end.id,
             call.attempts.load(Ordering::Relaxed),
             sent.elapsed().as_millis(),
@@ -107,112 +107,113 @@
         );
         lines::write(Rank::Decision, "attempt", fields);
     }
-    end
+    result
 }
 
-/// What a back end has to do for an attempt.
-struct Work {
+/// Counts one attempt in the load of its back end until dropped.
+struct AttemptLoad {
     in_flight: InFlight,
-    reading: Reading,
+    prefill: PendingPrefill,
 }
 
-/// One attempt under way.
-struct Sending<'a> {
+/// One attempt in progress.
+struct ActiveAttempt<'a> {
     call: &'a Call,
     back_end: &'a Arc<BackEnd>,
     last_event: Option<&'a str>,
-    patience: Duration,
+    head_timeout: Duration,
     attempts: &'a mut Attempts,
 }
 
-impl Sending<'_> {
-    async fn send(&mut self, work: Work) -> AttemptEnd {
+impl ActiveAttempt<'_> {
+    async fn send(&mut self, load: AttemptLoad) -> AttemptResult {
         let suspended = self.call.shared.clock.suspended();
-        for _ in 0..KEPT_TRIES {
+        for _ in 0..MAX_IDLE_TRIES {
             let Some(connection) = self.back_end.kept_connection(suspended) else {
                 break;
             };
             match self.exchange(connection, true).await {
-                Exchange::Unsent => {}
-                end => return self.conclude(end, work).await,
+                ExchangeResult::Unsent => {}
+                result => return self.conclude(result, load).await,
             }
         }
         let began = Instant::now();
         let connecting = timeout_at(self.call.deadline(), self.back_end.connect()).await;
         self.call.shared.metrics.connected(began.elapsed());
         let Ok(Ok(connection)) = connecting else {
-            self.note_unreachable();
-            return AttemptEnd::NotSent("not_connected");
+            self.record_unreachable();
+            return AttemptResult::NotSent("not_connected");
         };
-        let end = self.exchange(connection, false).await;
-        self.conclude(end, work).await
+        let result = self.exchange(connection, false).await;
+        self.conclude(result, load).await
     }
 
-    async fn conclude(&self, end: Exchange, work: Work) -> AttemptEnd {
-        match end {
-            Exchange::Unsent => {
-                self.note_unreachable();
-                AttemptEnd::NotSent("connection_closed")
+    async fn conclude(&self, result: ExchangeResult, load: AttemptLoad) -> AttemptResult {
+        match result {
+            ExchangeResult::Unsent => {
+                self.record_unreachable();
+                AttemptResult::NotSent("connection_closed")
             }
-            Exchange::Withheld(reason) => AttemptEnd::NotSent(reason),
-            Exchange::Failed(CONNECTION_LOST) => {
-                let reason = lost_connection::note(self.call, self.back_end).await;
-                failed(self.call, self.back_end, reason)
+            ExchangeResult::Withheld(reason) => AttemptResult::NotSent(reason),
+            ExchangeResult::Failed(CONNECTION_LOST) => {
+                let reason = lost_connection::check_back_end(self.call, self.back_end).await;
+                record_failure(self.call, self.back_end, reason)
             }
-            Exchange::Failed(reason) => failed(self.call, self.back_end, reason),
-            Exchange::Head(head) => accept(self.call, self.back_end, *head, work),
+            ExchangeResult::Failed(reason) => record_failure(self.call, self.back_end, reason),
+            ExchangeResult::Head(head) => accept(self.call, self.back_end, *head, load),
         }
     }
 
-    fn note_unreachable(&self) {
+    fn record_unreachable(&self) {
         let now = self.call.shared.now();
         self.back_end.note(|health| health.unreachable(now));
     }
 
-    async fn exchange(&mut self, mut connection: Connection, is_kept: bool) -> Exchange {
-        // Meanwhile it may have become known that back ends end under the request.
-        if self.call.quarantined_for().is_some() {
-            return Exchange::Withheld("quarantined");
+    async fn exchange(&mut self, mut connection: Connection, is_pooled: bool) -> ExchangeResult {
+        // The request may have been quarantined since the back end was chosen.
+        if self.call.quarantine_left().is_some() {
+            return ExchangeResult::Withheld("quarantined");
         }
-        // A back end may have asked for a pause, or begun to leave, while a connection was made.
+        // The back end may have requested a pause, or started to drain, while a connection was
+        // opened.
         let now = self.call.shared.now();
         if self.call.shared.pause_left(now, self.back_end).is_some() {
-            return Exchange::Withheld(PAUSED);
+            return ExchangeResult::Withheld(PAUSED);
         }
         let id = &self.back_end.id;
-        let active = |directory: &Directory| directory.is_active(id);
-        if !self.call.shared.directory(active) {
-            return Exchange::Unsent;
+        let is_active = |directory: &Directory| directory.is_active(id);
+        if !self.call.shared.directory(is_active) {
+            return ExchangeResult::Unsent;
         }
-        let request = request(self.call, self.back_end, self.last_event);
+        let request = build_request(self.call, self.back_end, self.last_event);
         let sent = Instant::now();
-        let mut awaited = AwaitedHead {
+        let mut silence_guard = SilenceGuard {
             back_end: self.back_end,
             sent,
-            patience: self.patience,
-            may_be_silent: is_kept,
+            head_timeout: self.head_timeout,
+            may_be_silent: is_pooled,
         };
-        self.call.begin_doubt();
-        let mut response = pin!(connection.http.sender.try_send_request(request));
-        let mut until = self.call.deadline().min(sent + self.patience);
-        let answered = loop {
-            match timeout_at(until, response.as_mut()).await {
-                Ok(answered) => break answered,
+        self.call.mark_in_doubt();
+        let mut sending = pin!(connection.http.sender.try_send_request(request));
+        let mut until = self.call.deadline().min(sent + self.head_timeout);
+        let result = loop {
+            match timeout_at(until, sending.as_mut()).await {
+                Ok(result) => break result,
                 Err(_) if Instant::now() >= self.call.deadline() => {
-                    return Exchange::Failed("no_head");
+                    return ExchangeResult::Failed("no_head");
                 }
-                Err(_) if self.attempts.may_move_on(self.call) => {
-                    return Exchange::Failed("no_head");
+                Err(_) if self.attempts.reserve_failover(self.call) => {
+                    return ExchangeResult::Failed("no_head");
                 }
-                Err(_) => until = self.call.deadline().min(until + self.patience),
+                Err(_) => until = self.call.deadline().min(until + self.head_timeout),
             }
         };
-        awaited.may_be_silent = false;
-        match answered {
-            // Whether it ran is what the head says.
+        silence_guard.may_be_silent = false;
+        match result {
+            // The response head tells whether the request ran.
             Ok(response) => {
                 let (parts, body) = response.into_parts();
-                Exchange::Head(Box::new(Head {
+                ExchangeResult::Head(Box::new(ResponseHead {
                     parts,
                     body,
                     connection,
@@ -221,59 +222,66 @@
             }
             Err(mut error) => match error.take_message() {
                 Some(_) => {
-                    self.call.end_doubt();
-                    Exchange::Unsent
+                    self.call.clear_in_doubt();
+                    ExchangeResult::Unsent
                 }
-                None => Exchange::Failed(CONNECTION_LOST),
+                None => ExchangeResult::Failed(CONNECTION_LOST),
             },
         }
     }
 }
 
-/// A head that a kept connection may never bring: connections can go silent without a
-/// reset, and then all that are open do. Whoever waited in vain, also until its caller's
-/// deadline, spares the next request the same wait.
-struct AwaitedHead<'a> {
+/// Closes the idle connections of a back end when a wait on one of them was in vain.
+///
+/// Connections can go silent without a reset, and then all open connections to the back end do so
+/// together. The guard is dropped when the wait for a response head ends. If no head arrived within
+/// the timeout, even if the wait ended at the caller's deadline, the next request must not wait on
+/// such a connection too.
+struct SilenceGuard<'a> {
     back_end: &'a BackEnd,
     sent: Instant,
-    patience: Duration,
+    head_timeout: Duration,
     may_be_silent: bool,
 }
 
-impl Drop for AwaitedHead<'_> {
+impl Drop for SilenceGuard<'_> {
     fn drop(&mut self) {
-        if self.may_be_silent && self.sent.elapsed() >= self.patience {
+        if self.may_be_silent && self.sent.elapsed() >= self.head_timeout {
             self.back_end.drop_unproved(self.sent);
         }
     }
 }
 
-fn failed(call: &Call, back_end: &BackEnd, reason: &'static str) -> AttemptEnd {
-    call.expose();
-    call.end_doubt();
+fn record_failure(call: &Call, back_end: &BackEnd, reason: &'static str) -> AttemptResult {
+    call.mark_may_have_run();
+    call.clear_in_doubt();
     back_end.note(|health| health.unreachable(call.shared.now()));
-    AttemptEnd::MayHaveRun(reason)
+    AttemptResult::MayHaveRun(reason)
 }
 
-struct Head {
+struct ResponseHead {
     parts: Parts,
     body: Incoming,
     connection: Connection,
     sent: Instant,
 }
 
-enum Exchange {
-    /// Nothing was written, for no fault of the back end.
+enum ExchangeResult {
+    /// Nothing was written, although the back end did not fail.
     Withheld(&'static str),
     /// The connection was closed before anything was written.
     Unsent,
-    /// Something was written, and no head came.
+    /// Part of the request was written, and no response head arrived.
     Failed(&'static str),
-    /// A head came.
-    Head(Box<Head>),
+    /// A response head arrived.
+    Head(Box<ResponseHead>),
 }
 
-fn request(call: &Call, back_end: &BackEnd, last_event: Option<&str>) -> Request<Full<Bytes>> {
+fn build_request(
+    call: &Call,
+    back_end: &BackEnd,
+    last_event: Option<&str>,
+) -> Request<Full<Bytes>> {
     let mut request = Request::new(Full::new(call.body.clone()));
     *request.method_mut() = call.head.method.clone();
     *request.uri_mut() = call.head.uri.clone();
@@ -291,79 +299,84 @@
     request
 }
 
-/// Checks that the answer is to this very request.
-fn accept(call: &Call, back_end: &Arc<BackEnd>, head: Head, work: Work) -> AttemptEnd {
+/// Checks that the response belongs to this request.
+fn accept(
+    call: &Call,
+    back_end: &Arc<BackEnd>,
+    head: ResponseHead,
+    load: AttemptLoad,
+) -> AttemptResult {
     let platform = &call.shared.platform;
     let marks = platform.answer_marks(head.parts.status, &head.parts.headers);
-    let belongs = marks.request_id.as_deref() == Some(call.ticket.id.as_str());
-    if !belongs && !call.ticket.id.is_empty() {
-        return failed(call, back_end, "foreign_answer");
+    let belongs = marks.request_id.as_deref() == Some(call.metadata.id.as_str());
+    if !belongs && !call.metadata.id.is_empty() {
+        return record_failure(call, back_end, "foreign_answer");
     }
-    // Whoever is misdirected was answered by another back end.
+    // A misdirected request was answered by a back end other than the intended one.
     if head.parts.status != StatusCode::MISDIRECTED_REQUEST {
         call.shared.note_answer(back_end, head.sent, &marks);
     }
     if !marks.not_run {
-        call.expose();
+        call.mark_may_have_run();
     }
-    call.end_doubt();
-    AttemptEnd::Answered(Box::new(Answer {
+    call.clear_in_doubt();
+    AttemptResult::Responded(Box::new(BackEndResponse {
         head: head.parts,
         body: head.body,
         marks,
         back_end: back_end.clone(),
         connection: head.connection,
-        in_flight: work.in_flight,
-        reading: Some(work.reading),
+        in_flight: load.in_flight,
+        prefill: Some(load.prefill),
         sent: head.sent,
     }))
 }
 
-impl Answer {
-    /// Whether the back end failed the request itself.
+impl BackEndResponse {
+    /// Whether the response reports a failure of the back end.
     pub fn is_failure(&self) -> bool {
         self.head.status.is_server_error()
     }
 
-    /// Whether the status promises that the request did not run, without the
-    /// back end having said so.
-    pub fn promises_falsely(&self) -> bool {
-        let promise = matches!(
+    /// Whether the status implies that the request did not run, although the back end did not state
+    /// this in its headers.
+    pub fn has_unconfirmed_not_run_status(&self) -> bool {
+        let implies_not_run = matches!(
             self.head.status,
             StatusCode::SERVICE_UNAVAILABLE
                 | StatusCode::TOO_MANY_REQUESTS
                 | StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
         );
-        promise && !self.marks.not_run
+        implies_not_run && !self.marks.not_run
     }
 
-    /// Reads the body whole and keeps the connection. None if it broke off.
-    pub async fn read_whole(&mut self, until: Instant) -> Option<Bytes> {
+    /// Reads the complete body. None if the body was cut off or took too long.
+    pub async fn read_body(&mut self, until: Instant) -> Option<Bytes> {
         let body = timeout_at(until, (&mut self.body).collect()).await;
-        body.ok()?.ok().map(|whole| whole.to_bytes())
+        body.ok()?.ok().map(|collected| collected.to_bytes())
     }
 
-    /// The body was read to its end: the connection may serve again.
-    pub fn keep_connection(self, shared: &Shared) {
-        let rest = stated_rest(&self.head.headers);
-        let most = shared.idle_connections(&self.back_end.service);
-        self.back_end.keep(self.connection, rest, most);
+    /// Returns the connection to the pool after the body was read completely.
+    pub fn return_connection(self, shared: &Shared) {
+        let keep_alive = stated_rest(&self.head.headers);
+        let max_idle = shared.idle_connections(&self.back_end.service);
+        self.back_end.keep(self.connection, keep_alive, max_idle);
         drop(self.in_flight);
     }
 
-    /// The first event came: the prompt was read.
-    pub fn note_read(&mut self) {
-        drop(self.reading.take());
+    /// Records the end of the prefill, which the first event shows.
+    pub fn record_prefill_end(&mut self) {
+        drop(self.prefill.take());
     }
 
-    /// Time from the send until now.
+    /// Time since the request was sent.
     pub fn age(&self) -> Duration {
         self.sent.elapsed()
     }
 }
 
-/// How long the back end keeps an idle connection, if it says so.
+/// How long the back end keeps an idle connection open, if its response states this.
 pub fn stated_rest(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -1,8 +1,8 @@
-//! The attempts of one request: how many more there may be.
+//! Decides whether a request may be sent again after a failed attempt.
 //!
-//! A request that may have run is sent again only if its route allows it and
-//! the shared budget has a retry left. A back end that is merely silent is left
-//! only for another one that could take over: silence alone ends no answer.
+//! A request that may have run is sent again only if its route allows repetition and the shared
+//! retry budget has a retry left. A back end that is merely silent is abandoned only if another one
+//! could take over, because silence alone does not prove a failure.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -15,120 +15,122 @@
 use crate::lines::{self, Rank};
 use crate::request::Call;
 
-/// Sends of one request at most, those that did not run included.
+/// Maximum number of sends of one request, including those that did not run.
 const MAX_SENDS: u32 = 4;
-/// The connection to a back end broke.
+/// Reason: the connection to a back end was lost.
 pub const CONNECTION_LOST: &str = "connection_lost";
-/// It broke, and nobody listens at the back end's address any more.
+/// Reason: the connection was lost, and the back end's address refuses connections since.
 pub const BACK_END_ENDED: &str = "back_end_ended";
-/// Nothing was sent, since the back end had asked for a pause meanwhile.
+/// Reason: nothing was sent, because the back end had requested a pause in the meantime.
 pub const PAUSED: &str = "paused";
-/// Pause that a caller is asked for when back ends turn requests away.
-const BUSY_PAUSE: Duration = Duration::from_millis(200);
+/// Minimum `Retry-After` when back ends reject requests.
+const MIN_REJECTION_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// What to do after an attempt.
-pub enum Next {
-    /// Send it to another back end.
-    Again,
-    /// It is over.
-    Over(Failure),
+pub enum NextStep {
+    /// Send the request to another back end.
+    Retry,
+    /// Stop and return this failure to the caller.
+    GiveUp(Failure),
 }
 
-/// Attempts of one request.
+/// State of the attempts of one request.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Back ends that it was sent to.
+    /// Back ends that the request was sent to and that are not tried again.
     pub tried: Vec<BackEndId>,
-    ran: u32,
+    executions: u32,
     sends: u32,
-    prepaid: bool,
+    has_reserved_retry: bool,
 }
 
 impl Attempts {
-    /// It is about to be sent to `back_end`.
-    pub fn begin(&mut self, call: &Call, back_end: &BackEndId) {
+    /// Records that the request is about to be sent to `back_end`.
+    pub fn record_send(&mut self, call: &Call, back_end: &BackEndId) {
         self.sends += 1;
         self.tried.push(back_end.clone());
         call.attempts.store(self.sends, Ordering::Relaxed);
     }
 
-    /// Nothing was sent: another attempt costs nothing of the budget.
-    pub fn not_sent(&mut self, call: &Call, reason: &'static str) -> Next {
+    /// Decides after an attempt that sent nothing. Another attempt does not use the retry budget.
+    pub fn after_not_sent(&mut self, call: &Call, reason: &'static str) -> NextStep {
         if reason == PAUSED {
             self.tried.pop();
         }
         if self.sends < MAX_SENDS {
-            return Next::Again;
+            return NextStep::Retry;
         }
-        Next::Over(call.refuse("not_connected", BUSY_PAUSE))
+        NextStep::GiveUp(call.refuse("not_connected", MIN_REJECTION_RETRY_AFTER))
     }
 
-    /// The back end says that it did not run, and may ask for a pause. After that it may be asked
-    /// again.
-    pub fn not_run(&mut self, call: &Call, pause: RequestedPause) -> Next {
+    /// Decides after a back end stated that it did not run the request. A back end that requested a
+    /// pause may be tried again afterwards.
+    pub fn after_not_run(&mut self, call: &Call, pause: RequestedPause) -> NextStep {
         if matches!(pause, RequestedPause::For(_)) {
             self.tried.pop();
         }
-        if let Some(refusal) = admission::refused_by_pauses(call, &self.tried) {
-            return Next::Over(refusal);
+        if let Some(refusal) = admission::refusal_by_pauses(call, &self.tried) {
+            return NextStep::GiveUp(refusal);
         }
-        if self.sends < MAX_SENDS && self.withdraw_retry(call) {
-            return Next::Again;
+        if self.sends < MAX_SENDS && self.take_retry_permit(call) {
+            return NextStep::Retry;
         }
-        let pause = admission::pause_of_all(call).unwrap_or_default();
-        Next::Over(call.refuse("turned_away", BUSY_PAUSE.max(pause)))
+        let pause = admission::shortest_requested_pause(call).unwrap_or_default();
+        NextStep::GiveUp(call.refuse("turned_away", MIN_REJECTION_RETRY_AFTER.max(pause)))
     }
 
-    /// It may have run, and no answer can be passed on.
-    pub fn may_have_run(&mut self, call: &Call, reason: &'static str) -> Next {
+    /// Decides after an attempt that may have run without a usable response.
+    pub fn after_may_have_run(&mut self, call: &Call, reason: &'static str) -> NextStep {
         if reason == CONNECTION_LOST {
-            // The back end may be well; it comes last for a while by its health.
+            // The back end may be healthy; its recorded failure ranks it last for a while.
             self.tried.pop();
         }
-        if self.failed(call) {
-            return Next::Again;
+        if self.take_retry_after_failure(call) {
+            return NextStep::Retry;
         }
-        Next::Over(Failure::Unknown { reason })
+        NextStep::GiveUp(Failure::OutcomeUnknown { reason })
     }
 
-    /// A back end has, or may have, run it in vain. Out: whether another may run it.
-    pub fn failed(&mut self, call: &Call) -> bool {
-        self.ran += 1;
-        std::mem::take(&mut self.prepaid) || self.takes_another(call)
+    /// Decides after an execution that failed, or may have failed. Returns whether another back end
+    /// may run the request.
+    pub fn take_retry_after_failure(&mut self, call: &Call) -> bool {
+        self.executions += 1;
+        std::mem::take(&mut self.has_reserved_retry) || self.take_retry_if_allowed(call)
     }
 
-    /// The back end is silent. Out: whether to give it up for another one, for
-    /// which a retry is then taken out of the budget.
-    pub fn may_move_on(&mut self, call: &Call) -> bool {
-        self.ran += 1;
-        let moves = admission::has_alternative(call, &self.tried) && self.takes_another(call);
-        self.ran -= 1;
-        self.prepaid = moves;
-        moves
+    /// Decides whether to abandon a silent back end for another one. If so, a retry permit is taken
+    /// out of the budget at once and used by the next attempt.
+    pub fn reserve_failover(&mut self, call: &Call) -> bool {
+        self.executions += 1;
+        let is_reserved =
+            admission::has_alternative(call, &self.tried) && self.take_retry_if_allowed(call);
+        self.executions -= 1;
+        self.has_reserved_retry = is_reserved;
+        is_reserved
     }
 
-    fn takes_another(&self, call: &Call) -> bool {
-        let allowed = call.quarantined_for().is_none()
+    fn take_retry_if_allowed(&self, call: &Call) -> bool {
+        let is_allowed = call.quarantine_left().is_none()
             && call.route.kind.may_repeat()
-            && self.ran < call.route.max_attempts
+            && self.executions < call.route.max_attempts
             && self.sends < MAX_SENDS;
-        allowed && self.withdraw_retry(call)
+        is_allowed && self.take_retry_permit(call)
     }
 
-    /// Takes a retry out of the budget, with a line on it.
-    fn withdraw_retry(&self, call: &Call) -> bool {
-        let grant = call.shared.withdraw_retry(&call.service);
+    /// Takes a retry permit out of the budget and logs the result.
+    fn take_retry_permit(&self, call: &Call) -> bool {
+        let permit = call.shared.withdraw_retry(&call.service);
         let fields = format_args!(
             "request={} service={} granted={} budget_left={:.1} gateways={} sends={} ran={}",
-            call.ticket.id,
+            call.metadata.id,
             call.service,
-            grant.granted,
-            grant.left,
-            grant.gateways,
+            permit.granted,
+            permit.left,
+            permit.gateways,
             self.sends,
-            self.ran,
+            self.executions,
         );
         lines::write(Rank::Decision, "retry", fields);
-        grant.granted
+        permit.granted
     }
 }
--- a/crates/gateway/src/back_end.rs
+++ b/crates/gateway/src/back_end.rs
@@ -1,8 +1,8 @@
-//! One life of a back end as this gateway uses it: connections, requests in flight, health.
+//! One incarnation of a back end as this gateway uses it: connections, requests in flight, health.
 //!
-//! A connection carries one request at a time and returns to the pool only
-//! after a whole answer that matched its request. Whatever is in doubt is
-//! closed, which also cancels the request at the back end.
+//! A connection carries one request at a time. It returns to the pool only after a complete
+//! response that matched its request. In any other case it is closed, which also cancels the
+//! request at the back end.
 
 use std::collections::{HashMap, VecDeque};
 use std::io::ErrorKind;
@@ -25,88 +25,89 @@
 use crate::http_connection::HttpConnection;
 use crate::ports::Ticket;
 
-/// Longest time to establish a connection.
+/// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// A connection without a stated rest is kept idle for so long.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
-/// A connection is used only within this part of the rest that the back end states.
-const REST_PART: f64 = 0.85;
-/// An end is believed for so long, in milliseconds: more than twice the time in which a row
-/// goes. A back end that turns connections away since it is overloaded looks the same.
-const END_LIFETIME: u64 = 10_000;
-/// Lost connections of a back end that are remembered at most: it has fewer slots.
-const MOST_LOST: usize = 256;
-/// The row of a back end goes within this time after its process ended, in milliseconds:
-/// three heartbeats of 1.2 s as users set them, and the way of the news.
-const LOST_SPAN: u64 = 6_000;
-/// What a back end said it does not hold is not asked there for so long, in milliseconds.
-const ABSENCE_LIFETIME: u64 = 1_500;
+/// How long an idle connection is kept if the back end states no keep-alive timeout.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Fraction of the stated keep-alive timeout during which an idle connection is used.
+const KEEP_ALIVE_FRACTION: f64 = 0.85;
+/// How long an observed exit is assumed to hold, in milliseconds: more than twice the time after
+/// which a row is removed. The limit is needed because a back end that refuses connections under
+/// overload looks the same.
+const EXIT_LIFETIME_MS: u64 = 10_000;
+/// Maximum number of remembered lost connections of a back end, which has fewer slots.
+const MAX_LOST: usize = 256;
+/// Maximum time from the end of a back end's process to the removal of its row, in milliseconds:
+/// three heartbeats of 1.2 s, as users set them, and the delivery of the update.
+const LOST_WINDOW_MS: u64 = 6_000;
+/// How long a back end is not asked for a model or adapter that it said is absent, in milliseconds.
+const ABSENCE_LIFETIME_MS: u64 = 1_500;
 
 /// A back end.
 #[derive(Debug)]
 pub struct BackEnd {
-    /// What it said of itself when it was first seen.
+    /// The identity that the back end reported when it was first seen.
     pub id: BackEndId,
-    /// When it started, if it says so.
+    /// When the back end started, if it reports this.
     pub born: Option<Born>,
-    /// Its name as gateways tell it each other with what they have running there: counts of a
-    /// life that is over are gone within a second, so all lives share it.
+    /// Hash of the name, under which gateways exchange how many requests run there. All
+    /// incarnations share it, because counts of a previous incarnation are gone within a second.
     pub hash: BackEndHash,
-    /// This life of it as gateways tell it each other when it ends.
+    /// Hash of this incarnation, under which gateways exchange that it has ended.
     pub life_hash: quarantine::BackEndHash,
-    /// Requests that it runs at once.
+    /// Number of requests that the back end runs concurrently.
     pub slots: u32,
-    /// Its service.
+    /// The service that the back end belongs to.
     pub service: ServiceId,
-    /// Where it listens.
+    /// The address that the back end listens on.
     pub address: SocketAddr,
-    /// Whether it is in this gateway's zone.
+    /// Whether the back end is in this gateway's zone.
     pub same_zone: bool,
     in_flight: AtomicU32,
-    gone: AtomicBool,
+    is_retired: AtomicBool,
     idle: Mutex<Vec<Connection>>,
     health: Mutex<Health>,
     absent: Mutex<HashMap<(ModelId, Option<AdapterId>), Timestamp>>,
-    kept_parts: Mutex<KeptParts>,
-    unread_tokens: AtomicU32,
-    row: Mutex<SeenRow>,
-    look: tokio::sync::Mutex<Option<Look>>,
-    /// Until when it is cold, as its newest row said.
+    cached_prefixes: Mutex<KeptParts>,
+    pending_prefill_tokens: AtomicU32,
+    latest_row: Mutex<SeenRow>,
+    exit_check: tokio::sync::Mutex<Option<ExitCheck>>,
+    /// Until when the back end is warming up, according to its latest row.
     cold_until: Mutex<Timestamp>,
-    /// When its process was seen to have ended.
-    ended: Mutex<Option<Timestamp>>,
-    /// Requests whose connection was lost while it seemed to live, and when.
-    lost: Mutex<VecDeque<(Fingerprint, Timestamp)>>,
-    /// How long the machine had been suspended when a connection was last taken, in
+    /// When the process was observed to have ended.
+    ended_at: Mutex<Option<Timestamp>>,
+    /// Requests whose connection was lost while the back end seemed alive, and when.
+    lost_requests: Mutex<VecDeque<(Fingerprint, Timestamp)>>,
+    /// For how long the machine had been suspended in total when a connection was last taken, in
     /// milliseconds.
-    suspended: AtomicU64,
+    suspended_ms: AtomicU64,
 }
 
-/// A look that found the back end's process still there.
+/// The latest check whether the back end's process still listens.
 #[derive(Clone, Copy, Debug)]
-struct Look {
-    began: Instant,
+struct ExitCheck {
+    started: Instant,
 }
 
-/// The newest row of a back end, as this gateway has seen it.
+/// The latest row of a back end, as seen by this gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SeenRow {
-    /// The table's version that wrote it.
+    /// The version of the table at which the row was written.
     pub version: u64,
-    /// When it was seen.
+    /// When this gateway saw the row.
     pub seen: Timestamp,
 }
 
 /// An open connection to a back end. Dropping it closes it at once.
 #[derive(Debug)]
 pub struct Connection {
-    /// The connection itself.
+    /// The HTTP connection.
     pub http: HttpConnection,
-    used: Instant,
-    rest: Duration,
+    last_used: Instant,
+    keep_alive: Duration,
 }
 
-/// A request that counts as in flight until this is dropped.
+/// Counts a request as in flight until dropped.
 #[derive(Debug)]
 pub struct InFlight(Arc<BackEnd>);
 
@@ -116,22 +117,22 @@
     }
 }
 
-/// A prompt that counts as unread until this is dropped.
+/// Counts a prompt as not yet prefilled until dropped.
 #[derive(Debug)]
-pub struct Reading {
+pub struct PendingPrefill {
     back_end: Arc<BackEnd>,
     tokens: u32,
 }
 
-impl Drop for Reading {
+impl Drop for PendingPrefill {
     fn drop(&mut self) {
-        let unread = &self.back_end.unread_tokens;
+        let unread = &self.back_end.pending_prefill_tokens;
         unread.fetch_sub(self.tokens, Ordering::Relaxed);
     }
 }
 
 impl BackEnd {
-    /// A back end that discovery has just shown.
+    /// Creates a back end that discovery has just reported.
     pub fn new(report: &BackEndReport, same_zone: bool) -> Self {
         BackEnd {
             id: report.id.clone(),
@@ -143,37 +144,37 @@
             address: report.address,
             same_zone,
             in_flight: AtomicU32::new(0),
-            gone: AtomicBool::new(false),
+            is_retired: AtomicBool::new(false),
             idle: Mutex::new(Vec::new()),
             health: Mutex::new(Health::default()),
             absent: Mutex::new(HashMap::new()),
-            kept_parts: Mutex::default(),
-            unread_tokens: AtomicU32::new(0),
-            row: Mutex::default(),
-            look: tokio::sync::Mutex::default(),
+            cached_prefixes: Mutex::default(),
+            pending_prefill_tokens: AtomicU32::new(0),
+            latest_row: Mutex::default(),
+            exit_check: tokio::sync::Mutex::default(),
             cold_until: Mutex::new(Timestamp(0)),
-            ended: Mutex::default(),
-            lost: Mutex::default(),
-            suspended: AtomicU64::new(0),
+            ended_at: Mutex::default(),
+            lost_requests: Mutex::default(),
+            suspended_ms: AtomicU64::new(0),
         }
     }
 
-    /// The newest row on it.
+    /// The latest row of the back end.
     pub fn row(&self) -> SeenRow {
-        *self.row.lock()
+        *self.latest_row.lock()
     }
 
-    /// A newer row on it was seen.
+    /// Records a newer row of the back end.
     pub fn note_row(&self, row: SeenRow) {
-        *self.row.lock() = row;
+        *self.latest_row.lock() = row;
     }
 
-    /// It is cold until this time.
+    /// Records until when the back end is warming up.
     pub fn note_cold(&self, until: Timestamp) {
         *self.cold_until.lock() = until;
     }
 
-    /// Whether it is cold: it bears little until it has been running for a while.
+    /// Whether the back end is warming up, so that its capacity is low.
     pub fn is_cold(&self, now: Timestamp) -> bool {
         now < *self.cold_until.lock()
     }
@@ -184,112 +185,115 @@
         InFlight(self.clone())
     }
 
-    /// Requests of this gateway in flight.
+    /// Number of requests of this gateway in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Its answers of late.
+    /// Health, computed from recent responses.
     pub fn health(&self) -> Health {
         *self.health.lock()
     }
 
-    /// Notes an answer.
-    pub fn note(&self, note: impl FnOnce(&mut Health)) {
-        note(&mut self.health.lock());
+    /// Updates the health, for instance with the result of an attempt.
+    pub fn note(&self, update: impl FnOnce(&mut Health)) {
+        update(&mut self.health.lock());
     }
 
-    /// It left: idle connections are closed, those in use end with their request.
+    /// Retires a removed back end: idle connections are closed, the others after their request.
     pub fn retire(&self) {
-        self.gone.store(true, Ordering::Relaxed);
+        self.is_retired.store(true, Ordering::Relaxed);
         self.idle.lock().clear();
     }
 
-    /// It said that it does not hold this.
+    /// Records that the back end reported this model or adapter as absent.
     pub fn note_absent(&self, now: Timestamp, model: &ModelId, adapter: Option<&AdapterId>) {
         let key = (model.clone(), adapter.cloned());
         self.absent.lock().insert(key, now);
     }
 
-    /// Whether it said so of late.
+    /// Whether the back end recently reported this model or adapter as absent.
     pub fn is_absent(&self, now: Timestamp, model: &ModelId, adapter: Option<&AdapterId>) -> bool {
         let mut absent = self.absent.lock();
         if absent.is_empty() {
             return false;
         }
-        absent.retain(|_, noted| now.since(*noted) < ABSENCE_LIFETIME);
+        absent.retain(|_, noted| now.since(*noted) < ABSENCE_LIFETIME_MS);
         absent.contains_key(&(model.clone(), adapter.cloned()))
     }
 
-    /// Tokens of the request's prompt that it has to read anew.
-    pub fn fresh_tokens(&self, ticket: &Ticket) -> u32 {
-        let Some(model) = &ticket.model else {
+    /// Number of prompt tokens that the back end does not have cached and has to prefill.
+    pub fn uncached_tokens(&self, metadata: &Ticket) -> u32 {
+        let Some(model) = &metadata.model else {
             return 0;
         };
-        let kept = self.kept_parts.lock();
-        kept.fresh_tokens(model, ticket.adapter.as_ref(), &ticket.prompt)
+        let prefixes = self.cached_prefixes.lock();
+        prefixes.fresh_tokens(model, metadata.adapter.as_ref(), &metadata.prompt)
     }
 
-    /// It is being sent the request: what it has to read.
-    pub fn begin_reading(self: &Arc<Self>, now: Timestamp, ticket: &Ticket) -> Reading {
-        let tokens = self.fresh_tokens(ticket);
-        if let Some(model) = &ticket.model {
-            let mut kept = self.kept_parts.lock();
-            kept.note(now, model, ticket.adapter.as_ref(), &ticket.prompt);
+    /// Counts the prompt of a request that is being sent as prefill work, and its prefixes as
+    /// cached.
+    pub fn begin_prefill(self: &Arc<Self>, now: Timestamp, metadata: &Ticket) -> PendingPrefill {
+        let tokens = self.uncached_tokens(metadata);
+        if let Some(model) = &metadata.model {
+            let mut prefixes = self.cached_prefixes.lock();
+            prefixes.note(now, model, metadata.adapter.as_ref(), &metadata.prompt);
         }
-        self.unread_tokens.fetch_add(tokens, Ordering::Relaxed);
-        Reading {
+        self.pending_prefill_tokens
+            .fetch_add(tokens, Ordering::Relaxed);
+        PendingPrefill {
             back_end: self.clone(),
             tokens,
         }
     }
 
-    /// Tokens of this gateway's requests that it has not read yet.
-    pub fn unread_tokens(&self) -> u32 {
-        self.unread_tokens.load(Ordering::Relaxed)
+    /// Number of tokens of this gateway's requests that are not prefilled yet.
+    pub fn pending_prefill_tokens(&self) -> u32 {
+        self.pending_prefill_tokens.load(Ordering::Relaxed)
     }
 
-    /// A kept connection that is ready, if there is one. `suspended` is how long the machine
-    /// has been, in all: connections from before may have been given up at the other end.
+    /// Takes a ready connection from the pool, if there is one. `suspended` is the total time for
+    /// which the machine has been suspended: the back end may have closed connections that are
+    /// older than a suspension.
     pub fn kept_connection(&self, suspended: Duration) -> Option<Connection> {
         let mut idle = self.idle.lock();
-        let known = self
-            .suspended
+        let last_known_ms = self
+            .suspended_ms
             .swap(suspended.as_millis() as u64, Ordering::Relaxed);
-        if suspended >= Duration::from_millis(known) + LEAST_SUSPENSION {
+        if suspended >= Duration::from_millis(last_known_ms) + LEAST_SUSPENSION {
             idle.clear();
         }
-        idle.retain(Connection::is_usable);
+        idle.retain(Connection::is_reusable);
         let index = idle
             .iter()
             .rposition(|connection| connection.http.sender.is_ready())?;
         Some(idle.remove(index))
     }
 
-    /// A kept connection was silent from `since` on: those that brought no answer after
-    /// that may be, too, and are closed.
+    /// Closes idle connections that brought no response after `since`, when another idle connection
+    /// went silent: they may be silent too.
     pub fn drop_unproved(&self, since: Instant) {
         self.idle
             .lock()
-            .retain(|connection| connection.used > since);
+            .retain(|connection| connection.last_used > since);
     }
 
-    /// Whether a kept connection is at hand.
-    pub fn has_connection(&self) -> bool {
+    /// Whether the pool has a usable connection.
+    pub fn has_idle_connection(&self) -> bool {
         let idle = self.idle.lock();
-        idle.iter().any(Connection::is_usable)
+        idle.iter().any(Connection::is_reusable)
     }
 
-    /// Whether its process has ended: a connection was lost at `lost`, and nobody listens at
-    /// its address any more. Connections that the network resets, and a back end that is
-    /// merely silent, are no end. One look serves all who lost a connection at that time.
-    pub async fn look_for_end(&self, now: Timestamp, lost: Instant) -> bool {
-        let mut last = self.look.lock().await;
-        if self.has_ended(now) || last.is_some_and(|look| look.began >= lost) {
+    /// Checks whether the process has ended: a connection was lost at `lost`, and the address
+    /// refuses connections since. A connection that the network resets, or a merely silent
+    /// back end, does not count as an end. One check serves all requests that lost a connection before it.
+    pub async fn check_for_end(&self, now: Timestamp, lost: Instant) -> bool {
+        let mut last = self.exit_check.lock().await;
+        if self.has_ended(now) || last.is_some_and(|check| check.started >= lost) {
             return self.has_ended(now);
         }
-        *last = Some(Look {
-            began: Instant::now(),
+        *last = Some(ExitCheck {
+            started: Instant::now(),
         });
         if self.refuses_connections().await {
             self.note_ended(now);
@@ -297,33 +301,35 @@
         self.has_ended(now)
     }
 
-    /// Whether its process was seen to have ended, so that its row is about to go. A row that
-    /// stands for longer shows that the back end lives after all.
+    /// Whether the process was observed to have ended, so that its row will be removed soon. A row
+    /// that remains for longer shows that the back end is alive after all.
     pub fn has_ended(&self, now: Timestamp) -> bool {
-        let ended = *self.ended.lock();
-        ended.is_some_and(|at| now.since(at) < END_LIFETIME)
+        let ended_at = *self.ended_at.lock();
+        ended_at.is_some_and(|at| now.since(at) < EXIT_LIFETIME_MS)
     }
 
-    /// Its process has ended, as this gateway or another one saw.
+    /// Records that the process has ended, as observed by this gateway or another one.
     pub fn note_ended(&self, now: Timestamp) {
-        *self.ended.lock() = Some(now);
+        *self.ended_at.lock() = Some(now);
     }
 
-    /// A request's connection was lost, and somebody listens at its address all the same: it
-    /// lives, or something that stands before it does.
-    pub fn note_lost(&self, now: Timestamp, request: Fingerprint) {
-        let mut lost = self.lost.lock();
-        if lost.len() >= MOST_LOST {
+    /// Records a request whose connection was lost while the address still accepts connections: the
+    /// back end is alive, or a proxy in front of it is.
+    pub fn record_lost(&self, now: Timestamp, request: Fingerprint) {
+        let mut lost = self.lost_requests.lock();
+        if lost.len() >= MAX_LOST {
             lost.pop_front();
         }
         lost.push_back((request, now));
     }
 
-    /// Its row is gone, and it never said that it leaves: requests whose connection was lost
-    /// not long before were there when its process ended.
+    /// Requests whose connection was lost shortly before the row was removed. If the back end did
+    /// not drain, they were running when its process ended.
     pub fn lost_before(&self, now: Timestamp) -> Vec<Fingerprint> {
-        let lost = self.lost.lock();
-        let recent = lost.iter().filter(|(_, at)| now.since(*at) < LOST_SPAN);
+        let lost = self.lost_requests.lock();
+        let recent = lost
+            .iter()
+            .filter(|(_, at)| now.since(*at) < LOST_WINDOW_MS);
         recent.map(|(request, _)| *request).collect()
     }
 
@@ -338,34 +344,36 @@
         )
     }
 
-    /// A new connection.
+    /// Opens a new connection.
     pub async fn connect(&self) -> std::io::Result<Connection> {
         let http = HttpConnection::open(self.address, CONNECT_TIMEOUT).await?;
         Ok(Connection {
             http,
-            used: Instant::now(),
-            rest: DEFAULT_REST,
+            last_used: Instant::now(),
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
-    /// Keeps a connection after a whole answer, if there are fewer than `most`
-    /// idle ones. `rest` is what the answer says.
-    pub fn keep(&self, mut connection: Connection, rest: Option<Duration>, most: usize) {
-        if self.gone.load(Ordering::Relaxed) {
+    /// Returns a connection to the pool after a complete response, if fewer than `max_idle` are
+    /// idle. `keep_alive` is the timeout that the response states.
+    pub fn keep(&self, mut connection: Connection, keep_alive: Option<Duration>, max_idle: usize) {
+        if self.is_retired.load(Ordering::Relaxed) {
             return;
         }
-        connection.used = Instant::now();
-        connection.rest = rest.map_or(DEFAULT_REST, |rest| rest.mul_f64(REST_PART));
+        connection.last_used = Instant::now();
+        connection.keep_alive = keep_alive.map_or(DEFAULT_KEEP_ALIVE, |stated| {
+            stated.mul_f64(KEEP_ALIVE_FRACTION)
+        });
         let mut idle = self.idle.lock();
-        idle.retain(Connection::is_usable);
-        if idle.len() < most {
+        idle.retain(Connection::is_reusable);
+        if idle.len() < max_idle {
             idle.push(connection);
         }
     }
 }
 
 impl Connection {
-    fn is_usable(&self) -> bool {
-        !self.http.sender.is_closed() && self.used.elapsed() < self.rest
+    fn is_reusable(&self) -> bool {
+        !self.http.sender.is_closed() && self.last_used.elapsed() < self.keep_alive
     }
 }
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,10 +1,10 @@
-//! Pauses between tries that fail: each twice as long as the one before, up to a bound.
+//! Exponential backoff between failed attempts, with jitter and an upper bound.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 
-/// Pauses of one task.
+/// The backoff of one task.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     first: Duration,
@@ -13,7 +13,7 @@
 }
 
 impl Backoff {
-    /// Begins with a pause of `first`; none is longer than `longest`.
+    /// Starts with a pause of `first`; no pause is longer than `longest` before jitter.
     pub fn new(first: Duration, longest: Duration) -> Self {
         Backoff {
             first,
@@ -22,20 +22,20 @@
         }
     }
 
-    /// Waits for the next pause.
+    /// Sleeps for the next pause.
     pub async fn wait(&mut self) {
         sleep(self.next_pause()).await;
     }
 
-    /// Half of the next pause to one and a half of it, so that tasks which failed together
-    /// do not try again together.
+    /// Between half and one and a half times the next pause, at random, so that tasks that failed
+    /// together do not retry together.
     pub fn next_pause(&mut self) -> Duration {
         let pause = self.next;
         self.next = (pause * 2).min(self.longest);
         pause.mul_f64(0.5 + rand::random::<f64>())
     }
 
-    /// A try succeeded: the next pause is the first one again.
+    /// Returns to the first pause after a success.
     pub fn reset(&mut self) {
         self.next = self.first;
     }
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -1,4 +1,4 @@
-//! Why a request gets no answer of a back end, and what the caller is told.
+//! Reasons why a request gets no response from a back end, and the responses to its caller.
 
 use std::time::Duration;
 
@@ -7,54 +7,54 @@
 use http_body_util::{BodyExt, Full};
 
 use crate::ports::Platform;
-use crate::request::AnswerBody;
+use crate::request::ResponseBody;
 use crate::tenancy::{BEYOND_LIMIT, SentAway};
 
-/// How callers state their keys.
-const KEY_SCHEME: &str = "Bearer";
+/// Authentication scheme that callers must use for their keys.
+const AUTHENTICATION_SCHEME: &str = "Bearer";
 
 /// Why a request failed at the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No configuration is known yet.
+    /// The gateway has no configuration yet.
     NoConfiguration,
-    /// No route fits.
+    /// No route matches the request.
     NoRoute,
-    /// The caller may not use the route, by its key.
+    /// The caller's key does not permit the use of the route.
     Unauthorized {
-        /// Why.
+        /// Why the key was rejected.
         reason: &'static str,
     },
     /// The body is larger than allowed.
     BodyTooLarge,
     /// The body could not be read.
     BadBody,
-    /// It was not run and never will be.
+    /// The request was not run and will not be.
     Refused {
-        /// Why.
+        /// Why the request was refused.
         reason: &'static str,
-        /// When it makes sense to come back.
+        /// When a retry makes sense.
         retry_after: Duration,
     },
-    /// It is beyond its tenant's limit: it was not run and never will be.
-    BeyondLimit {
-        /// When there is room for it.
+    /// The request exceeds its tenant's quota; it was not run and will not be.
+    QuotaExceeded {
+        /// When the quota allows the request.
         retry_after: Duration,
     },
-    /// It may have run, and there is no answer.
-    Unknown {
-        /// Why.
+    /// The request may have run, and there is no response.
+    OutcomeUnknown {
+        /// Why there is no response.
         reason: &'static str,
     },
-    /// It may have run, and time is up.
+    /// The request may have run, and the deadline has passed.
     TimedOut,
 }
 
 impl From<SentAway> for Failure {
-    fn from(sent_away: SentAway) -> Self {
-        match sent_away {
+    fn from(rejection: SentAway) -> Self {
+        match rejection {
             SentAway::Unauthorized { reason } => Failure::Unauthorized { reason },
-            SentAway::BeyondLimit { retry_after } => Failure::BeyondLimit { retry_after },
+            SentAway::BeyondLimit { retry_after } => Failure::QuotaExceeded { retry_after },
             SentAway::Unknown {
                 reason,
                 retry_after,
@@ -67,21 +67,21 @@
 }
 
 impl Failure {
-    /// The status that says no more than is true.
+    /// The response status, which claims no more than is known.
     pub fn status(&self) -> StatusCode {
         match self {
             Failure::NoConfiguration | Failure::Refused { .. } => StatusCode::SERVICE_UNAVAILABLE,
             Failure::NoRoute => StatusCode::NOT_FOUND,
-            Failure::BeyondLimit { .. } => StatusCode::TOO_MANY_REQUESTS,
+            Failure::QuotaExceeded { .. } => StatusCode::TOO_MANY_REQUESTS,
             Failure::Unauthorized { .. } => StatusCode::UNAUTHORIZED,
             Failure::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
             Failure::BadBody => StatusCode::BAD_REQUEST,
-            Failure::Unknown { .. } => StatusCode::BAD_GATEWAY,
+            Failure::OutcomeUnknown { .. } => StatusCode::BAD_GATEWAY,
             Failure::TimedOut => StatusCode::GATEWAY_TIMEOUT,
         }
     }
 
-    /// A word for logs and counters.
+    /// Outcome for log lines and metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             Failure::NoConfiguration => "no_configuration",
@@ -89,15 +89,15 @@
             Failure::BodyTooLarge => "body_too_large",
             Failure::BadBody => "bad_body",
             Failure::Refused { reason, .. }
-            | Failure::Unknown { reason }
+            | Failure::OutcomeUnknown { reason }
             | Failure::Unauthorized { reason } => reason,
-            Failure::BeyondLimit { .. } => BEYOND_LIMIT,
+            Failure::QuotaExceeded { .. } => BEYOND_LIMIT,
             Failure::TimedOut => "timed_out",
         }
     }
 
-    /// The answer to the caller.
-    pub fn answer(&self, platform: &dyn Platform) -> Response<AnswerBody> {
+    /// Builds the response to the caller.
+    pub fn to_response(&self, platform: &dyn Platform) -> Response<ResponseBody> {
         let text = Bytes::from(format!("{}\n", self.reason()));
         let body = Full::new(text)
             .map_err(|never| match never {})
@@ -109,7 +109,7 @@
             .headers_mut()
             .insert(header::CONTENT_TYPE, content_type);
         if matches!(self, Failure::Unauthorized { .. }) {
-            let scheme = HeaderValue::from_static(KEY_SCHEME);
+            let scheme = HeaderValue::from_static(AUTHENTICATION_SCHEME);
             response
                 .headers_mut()
                 .insert(header::WWW_AUTHENTICATE, scheme);
@@ -120,10 +120,10 @@
         response
     }
 
-    /// When it makes sense to come back; none if nobody can say.
+    /// When a retry makes sense; none if this is unknown.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
-            Failure::Refused { retry_after, .. } | Failure::BeyondLimit { retry_after } => {
+            Failure::Refused { retry_after, .. } | Failure::QuotaExceeded { retry_after } => {
                 Some(*retry_after)
             }
             Failure::NoConfiguration => Some(Duration::from_millis(500)),
--- a/crates/gateway/src/http_connection.rs
+++ b/crates/gateway/src/http_connection.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 connections to one address: opened, kept, closed with their value.
+//! HTTP/1.1 client connections to one address, and a pool of them.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,23 +13,23 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// A connection; it is closed when this is dropped.
+/// A connection that is closed when dropped.
 #[derive(Debug)]
 pub struct HttpConnection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
 }
 
 impl HttpConnection {
-    /// Connects within a time.
-    pub async fn open(address: SocketAddr, limit: Duration) -> std::io::Result<Self> {
-        let stream = timeout(limit, TcpStream::connect(address)).await??;
+    /// Connects within `connect_timeout`.
+    pub async fn open(address: SocketAddr, connect_timeout: Duration) -> std::io::Result<Self> {
+        let stream = timeout(connect_timeout, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        let opened = handshake(TokioIo::new(stream)).await;
-        let (sender, connection) = opened.map_err(std::io::Error::other)?;
+        let result = handshake(TokioIo::new(stream)).await;
+        let (sender, connection) = result.map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
-            // The request on it learns of any error from its own side.
+            // A request on the connection receives the error through its own future.
             let _ = connection.await;
         });
         Ok(HttpConnection {
@@ -45,56 +45,56 @@
     }
 }
 
-/// Connections to one address. One on which an answer was lost is not used again.
+/// A pool of connections to one address. A connection that lost a response is not reused.
 #[derive(Debug)]
 pub struct KeptConnections {
     address: SocketAddr,
-    /// Longest time to connect.
-    connect_limit: Duration,
-    /// Connections kept without use at most.
-    most: usize,
+    /// Maximum time to connect.
+    connect_timeout: Duration,
+    /// Maximum number of idle connections.
+    max_idle: usize,
     idle: Mutex<Vec<HttpConnection>>,
 }
 
 impl KeptConnections {
-    /// None yet.
-    pub fn new(address: SocketAddr, connect_limit: Duration, most: usize) -> Self {
+    /// Creates an empty pool.
+    pub fn new(address: SocketAddr, connect_timeout: Duration, max_idle: usize) -> Self {
         KeptConnections {
             address,
-            connect_limit,
-            most,
+            connect_timeout,
+            max_idle,
             idle: Mutex::default(),
         }
     }
 
-    /// Where they go.
+    /// The address that the connections lead to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Sends a request on a kept connection, or on a new one, and reads the whole answer.
+    /// Sends a request on an idle or a new connection, and reads the complete response.
     ///
     /// # Errors
     ///
-    /// If there is no connection, or if it was lost before the end of the answer.
+    /// Fails if no connection could be opened, or if it was lost before the end of the response.
     pub async fn exchange(&self, request: Request<Bytes>) -> std::io::Result<(StatusCode, Bytes)> {
-        let lost = std::io::Error::other::<hyper::Error>;
-        let mut connection = match self.kept() {
+        let lost_error = std::io::Error::other::<hyper::Error>;
+        let mut connection = match self.take_idle() {
             Some(connection) => connection,
-            None => HttpConnection::open(self.address, self.connect_limit).await?,
+            None => HttpConnection::open(self.address, self.connect_timeout).await?,
         };
-        let sent = connection.sender.send_request(request.map(Full::new));
-        let response = sent.await.map_err(lost)?;
+        let sending = connection.sender.send_request(request.map(Full::new));
+        let response = sending.await.map_err(lost_error)?;
         let status = response.status();
-        let body = response.into_body().collect().await.map_err(lost)?;
+        let body = response.into_body().collect().await.map_err(lost_error)?;
         let mut idle = self.idle.lock();
-        if idle.len() < self.most {
+        if idle.len() < self.max_idle {
             idle.push(connection);
         }
         Ok((status, body.to_bytes()))
     }
 
-    fn kept(&self) -> Option<HttpConnection> {
+    fn take_idle(&self) -> Option<HttpConnection> {
         let mut idle = self.idle.lock();
         idle.retain(|connection| !connection.sender.is_closed());
         let index = idle
@@ -103,7 +103,7 @@
         Some(idle.remove(index))
     }
 
-    /// Closes those that are kept.
+    /// Closes the idle connections.
     pub fn clear(&self) {
         self.idle.lock().clear();
     }
--- a/crates/gateway/src/lost_connection.rs
+++ b/crates/gateway/src/lost_connection.rs
@@ -1,9 +1,9 @@
-//! What is learned when the connection to a back end is lost under a request.
+//! Determines whether a back end crashed when a connection to it is lost during a request.
 //!
-//! In: the request, and the back end that it was sent to. Out: whether that back end's
-//! process has ended, with a line. Where something before a back end takes connections for
-//! it, an end is known only when its row goes. A request is not held up by it for longer than a look
-//! takes; one whose caller leaves meanwhile is noted all the same.
+//! The inputs are the request and its back end. The output is whether the back end's process has
+//! ended, also written to the log. If a proxy accepts connections in front of a back end, an end is
+//! known only once the back end's row is removed. The request waits no longer than `CHECK_TIMEOUT`
+//! for the result. The check is completed even if the caller disconnects meanwhile.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,36 +16,36 @@
 use crate::lines::{self, Rank};
 use crate::request::Call;
 
-/// A request waits so long at most for the look at its back end: a refused connection is
-/// known within a round trip, and one that is dropped shows nothing.
-const LOOK_WAIT: Duration = Duration::from_millis(100);
+/// Maximum time for which a request waits for the check of its back end. A refused connection is
+/// known within a round trip, and a connection attempt without a reply shows nothing.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Notes that the connection to `back_end` was lost while `call` was there. Out: whether the
-/// back end has ended, as a reason for lines, as far as it is known in time.
-pub async fn note(call: &Call, back_end: &Arc<BackEnd>) -> &'static str {
-    let lost = Instant::now();
+/// Records that the connection to `back_end` was lost while it handled `call`. Returns a reason for
+/// log lines, which says whether the process is known in time to have ended.
+pub async fn check_back_end(call: &Call, back_end: &Arc<BackEnd>) -> &'static str {
+    let lost_at = Instant::now();
     let (shared, back_end) = (call.shared.clone(), back_end.clone());
-    let (request, fingerprint) = (call.ticket.id.clone(), call.fingerprint);
-    let noting = tokio::spawn(async move {
+    let (request, fingerprint) = (call.metadata.id.clone(), call.fingerprint);
+    let check = tokio::spawn(async move {
         let id = &back_end.id;
-        // One that said that it leaves, or whose row is gone, ends as planned.
+        // A back end that is draining, or whose row is removed, exits as planned.
         let was_active = shared.directory(|directory: &Directory| directory.is_active(id));
-        let ended = back_end.look_for_end(shared.now(), lost).await;
+        let has_ended = back_end.check_for_end(shared.now(), lost_at).await;
         let fields = format_args!(
-            "request={request} fingerprint={fingerprint} back_end={id} ended={ended} \
+            "request={request} fingerprint={fingerprint} back_end={id} ended={has_ended} \
              planned={}",
             !was_active
         );
         lines::write(Rank::Decision, "connection_lost", fields);
-        if ended && was_active {
+        if has_ended && was_active {
             shared.note_end_under(fingerprint, back_end.life_hash);
         } else if was_active {
-            back_end.note_lost(shared.now(), fingerprint);
+            back_end.record_lost(shared.now(), fingerprint);
         }
-        ended
+        has_ended
     });
-    // What is not known in time is noted later, and counts from then on.
-    match timeout(LOOK_WAIT, noting).await {
+    // A result that comes later is still recorded, and applies from then on.
+    match timeout(CHECK_TIMEOUT, check).await {
         Ok(Ok(true)) => BACK_END_ENDED,
         _ => CONNECTION_LOST,
     }
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/patience.rs
@@ -1,74 +1,77 @@
-//! How long a call of a service waits for its answer.
+//! A timeout for calls of a service that adapts to recent response times.
 //!
-//! A lost answer should be noticed soon, and a slow one should still be taken.
-//! So the wait follows the time that answers took of late; it doubles when
-//! several calls in a row had none, up to a bound.
+//! A lost response should be noticed soon, and a slow one should still be accepted. The timeout is
+//! therefore a multiple of the moving average of response times. It doubles, up to a bound, when
+//! several calls in a row had no response.
 
 use std::time::Duration;
 
 use parking_lot::Mutex;
 
-/// A call waits for so many times the usual time of an answer.
-const USUAL_FACTOR: f64 = 6.0;
-/// Calls in a row without an answer after which the wait doubles: fewer may just
-/// have lost theirs.
-const EXPIRED_IN_A_ROW: u32 = 3;
-/// Weight of the newest answer in the usual time.
-const NEWEST_WEIGHT: f64 = 0.2;
+/// The timeout is this multiple of the average response time.
+const AVERAGE_FACTOR: f64 = 6.0;
+/// Number of consecutive calls without a response after which the timeout doubles. With fewer, the
+/// responses may just have been lost.
+const TIMEOUTS_BEFORE_DOUBLING: u32 = 3;
+/// Weight of the latest response in the moving average.
+const LATEST_WEIGHT: f64 = 0.2;
 
-/// Waits of the calls of one service.
+/// Timeout for the calls of one service.
 #[derive(Debug)]
 pub struct Patience {
-    least: Duration,
-    most: Duration,
+    min: Duration,
+    max: Duration,
     state: Mutex<State>,
 }
 
 #[derive(Debug)]
 struct State {
-    usual: Option<Duration>,
-    wait: Duration,
-    expired: u32,
+    average: Option<Duration>,
+    timeout: Duration,
+    consecutive_timeouts: u32,
 }
 
 impl Patience {
-    /// Waits between `least` and `most`; the first calls wait for `most`.
-    pub fn new(least: Duration, most: Duration) -> Self {
+    /// Creates a timeout between `min` and `max`; the first calls use `max`.
+    pub fn new(min: Duration, max: Duration) -> Self {
         let state = State {
-            usual: None,
-            wait: most,
-            expired: 0,
+            average: None,
+            timeout: max,
+            consecutive_timeouts: 0,
         };
         Patience {
-            least,
-            most,
+            min,
+            max,
             state: Mutex::new(state),
         }
     }
 
-    /// How long the next call waits.
+    /// The timeout of the next call.
     pub fn wait(&self) -> Duration {
-        self.state.lock().wait
+        self.state.lock().timeout
     }
 
-    /// A call was answered after this time.
+    /// Records a call whose response took `time`.
     pub fn answered(&self, time: Duration) {
         let mut state = self.state.lock();
-        let usual = match state.usual {
+        let average = match state.average {
             None => time,
-            Some(usual) => usual.mul_f64(1.0 - NEWEST_WEIGHT) + time.mul_f64(NEWEST_WEIGHT),
+            Some(average) => average.mul_f64(1.0 - LATEST_WEIGHT) + time.mul_f64(LATEST_WEIGHT),
         };
-        state.usual = Some(usual);
-        state.expired = 0;
-        state.wait = usual.mul_f64(USUAL_FACTOR).clamp(self.least, self.most);
+        state.average = Some(average);
+        state.consecutive_timeouts = 0;
+        state.timeout = average.mul_f64(AVERAGE_FACTOR).clamp(self.min, self.max);
     }
 
-    /// A call had no answer.
+    /// Records a call without a response.
     pub fn expired(&self) {
         let mut state = self.state.lock();
-        state.expired += 1;
-        if state.expired.is_multiple_of(EXPIRED_IN_A_ROW) {
-            state.wait = (state.wait * 2).min(self.most);
+        state.consecutive_timeouts += 1;
+        if state
+            .consecutive_timeouts
+            .is_multiple_of(TIMEOUTS_BEFORE_DOUBLING)
+        {
+            state.timeout = (state.timeout * 2).min(self.max);
         }
     }
 }
--- a/crates/gateway/src/patient_calls.rs
+++ b/crates/gateway/src/patient_calls.rs
@@ -1,7 +1,9 @@
-//! Calls of one service over kept connections, each waited for as long as answers take of late.
+//! HTTP client for one service over pooled connections, with a timeout that adapts to recent
+//! response times.
 //!
-//! In: requests. Out: status and body, or that the answer is lost. A connection on which an answer
-//! was lost says nothing any more, and neither may those that were open beside it.
+//! The input is a request. The output is status and body, or an error that says that the response
+//! was lost. After a lost response, its connection is silent, and other connections that were open
+//! at the time may be silent too.
 
 use std::time::Duration;
 
@@ -14,36 +16,36 @@
 use crate::patience::Patience;
 use crate::ports::TableError;
 
-/// Calls of one service.
+/// Client for one service.
 pub struct PatientCalls {
     connections: KeptConnections,
-    patience: Patience,
+    timeout: Patience,
 }
 
 impl PatientCalls {
-    /// Calls over these connections.
-    pub fn new(connections: KeptConnections, patience: Patience) -> Self {
+    /// Creates a client that uses these connections.
+    pub fn new(connections: KeptConnections, timeout: Patience) -> Self {
         PatientCalls {
             connections,
-            patience,
+            timeout,
         }
     }
 
-    /// A request with a JSON body.
+    /// Builds a request with a JSON body.
     ///
     /// # Errors
     ///
-    /// If the path cannot be asked for.
+    /// Fails if the path is not a valid request target.
     pub fn request(
         &self,
         method: Method,
         path: String,
         body: Bytes,
     ) -> Result<Request<Bytes>, TableError> {
-        let wrong = |error: &dyn std::fmt::Display| TableError::Content(error.to_string());
+        let content_error = |error: &dyn std::fmt::Display| TableError::Content(error.to_string());
         let host = HeaderValue::from_str(&self.connections.address().to_string())
-            .map_err(|error| wrong(&error))?;
-        let uri = path.parse().map_err(|error| wrong(&error))?;
+            .map_err(|error| content_error(&error))?;
+        let uri = path.parse().map_err(|error| content_error(&error))?;
         let mut request = Request::new(body);
         *request.method_mut() = method;
         *request.uri_mut() = uri;
@@ -53,41 +55,41 @@
         Ok(request)
     }
 
-    /// A call that is answered at once, or whose answer is lost. One that is turned away says
-    /// nothing of how long one takes that is carried out: writes of a crowded part of a table take
-    /// up to a second.
+    /// Makes a call that the service answers immediately. The duration of a rejected call is not
+    /// recorded, because it does not tell how long an executed call takes: writes to a contended
+    /// part of a table take up to a second.
     ///
     /// # Errors
     ///
-    /// If the answer is lost.
+    /// Fails if the response is lost.
     pub async fn quick(
         &self,
         request: Request<Bytes>,
-        is_turned_away: impl Fn(StatusCode) -> bool,
+        is_rejected: impl Fn(StatusCode) -> bool,
     ) -> Result<(StatusCode, Bytes), TableError> {
-        let began = Instant::now();
-        let result = self.call(request, self.patience.wait()).await;
+        let started = Instant::now();
+        let result = self.call(request, self.timeout.wait()).await;
         match &result {
-            Ok((status, _)) if is_turned_away(*status) => {}
-            Ok(_) => self.patience.answered(began.elapsed()),
-            Err(_) => self.patience.expired(),
+            Ok((status, _)) if is_rejected(*status) => {}
+            Ok(_) => self.timeout.answered(started.elapsed()),
+            Err(_) => self.timeout.expired(),
         }
         result
     }
 
-    /// A call whose answer may be held back for so long.
+    /// Makes a call whose response the service may hold back for the time `wait` (long polling).
     ///
     /// # Errors
     ///
-    /// If the answer is lost.
+    /// Fails if the response is lost.
     pub async fn waiting(
         &self,
         request: Request<Bytes>,
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), TableError> {
-        let result = self.call(request, wait + self.patience.wait()).await;
+        let result = self.call(request, wait + self.timeout.wait()).await;
         if result.is_err() {
-            self.patience.expired();
+            self.timeout.expired();
         }
         result
     }
@@ -95,15 +97,15 @@
     async fn call(
         &self,
         request: Request<Bytes>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<(StatusCode, Bytes), TableError> {
-        match timeout(limit, self.connections.exchange(request)).await {
+        match timeout(time_limit, self.connections.exchange(request)).await {
             Ok(result) => result.map_err(|error| TableError::Lost(error.to_string())),
             Err(_) => {
-                // Connections can go silent without a reset, and then all that are open
-                // do: the next call takes a new one.
+                // Connections can go silent without a reset, and then all open ones do so together.
+                // The next call must open a new connection.
                 self.connections.clear();
-                Err(TableError::Lost("time is up".to_owned()))
+                Err(TableError::Lost("timed out".to_owned()))
             }
         }
     }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -1,120 +1,125 @@
-//! Requests with one whole answer.
+//! Serves requests whose response is not a stream.
 //!
-//! The answer is read whole before its head is passed on, so that one that
-//! breaks off never looks complete, and a request that may run again can be
-//! sent again in its place.
+//! The response is read completely before its head is forwarded. A response that is cut off is
+//! therefore never forwarded as complete, and a request that may be repeated can be sent again
+//! instead.
 
 use std::time::Duration;
 
 use crate::admission::admit;
-use crate::attempt::{Answer, AttemptEnd, send};
-use crate::attempts::{Attempts, BACK_END_ENDED, Next};
+use crate::attempt::{AttemptResult, BackEndResponse, send};
+use crate::attempts::{Attempts, BACK_END_ENDED, NextStep};
 use crate::failure::Failure;
 use crate::lost_connection;
-use crate::request::{AnswerBody, Call, answer_head};
+use crate::request::{Call, ResponseBody, response_head};
 use bytes::Bytes;
 use http::Response;
 use http_body_util::{BodyExt, Full};
 use tokio::time::Instant;
 
-/// Least time that a back end is given before another is asked.
-const LEAST_HEAD_TIME: Duration = Duration::from_millis(100);
-/// A back end is given this many times its mean latency.
+/// Minimum time that a back end is given before another one is asked.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
+/// A back end is given this multiple of its mean latency.
 const LATENCY_FACTOR: f64 = 4.0;
 
-/// Serves a request with one whole answer.
-pub async fn serve(call: &Call) -> Result<Response<AnswerBody>, Failure> {
+/// Serves a request with a single response.
+pub async fn serve(call: &Call) -> Result<Response<ResponseBody>, Failure> {
     let mut attempts = Attempts::default();
     loop {
         let back_end = admit(call, &attempts.tried).await?;
-        attempts.begin(call, &back_end.id);
-        let patience = patience(call, back_end.health().latency(call.shared.now()));
-        let next = match send(call, &back_end, None, patience, &mut attempts).await {
-            AttemptEnd::NotSent(reason) => attempts.not_sent(call, reason),
-            AttemptEnd::MayHaveRun(reason) => attempts.may_have_run(call, reason),
-            AttemptEnd::Answered(answer) => match settle(call, &mut attempts, *answer).await {
-                Ok(response) => return Ok(response),
-                Err(next) => next,
-            },
+        attempts.record_send(call, &back_end.id);
+        let head_timeout = head_timeout(call, back_end.health().latency(call.shared.now()));
+        let next = match send(call, &back_end, None, head_timeout, &mut attempts).await {
+            AttemptResult::NotSent(reason) => attempts.after_not_sent(call, reason),
+            AttemptResult::MayHaveRun(reason) => attempts.after_may_have_run(call, reason),
+            AttemptResult::Responded(response) => {
+                match evaluate_response(call, &mut attempts, *response).await {
+                    Ok(response) => return Ok(response),
+                    Err(next) => next,
+                }
+            }
         };
-        if let Next::Over(failure) = next {
+        if let NextStep::GiveUp(failure) = next {
             return Err(failure);
         }
     }
 }
 
-/// How long one back end may take while another could be asked.
-fn patience(call: &Call, mean_latency: Option<f64>) -> Duration {
-    let usual = Duration::from_millis((mean_latency.unwrap_or(0.0) * LATENCY_FACTOR) as u64);
-    usual.max(call.route.objective).max(LEAST_HEAD_TIME)
+/// How long a back end may take while another one could be asked.
+fn head_timeout(call: &Call, mean_latency: Option<f64>) -> Duration {
+    let latency_limit =
+        Duration::from_millis((mean_latency.unwrap_or(0.0) * LATENCY_FACTOR) as u64);
+    latency_limit
+        .max(call.route.objective)
+        .max(MIN_RESPONSE_TIMEOUT)
 }
 
-/// Turns an answer into the caller's, or says what to do next.
-pub async fn settle(
+/// Turns a back end's response into the response to the caller, or returns what to do next.
+pub async fn evaluate_response(
     call: &Call,
     attempts: &mut Attempts,
-    mut answer: Answer,
-) -> Result<Response<AnswerBody>, Next> {
-    let back_end = answer.back_end.clone();
-    let Some(body) = answer.read_whole(call.deadline()).await else {
-        call.expose();
+    mut response: BackEndResponse,
+) -> Result<Response<ResponseBody>, NextStep> {
+    let back_end = response.back_end.clone();
+    let Some(body) = response.read_body(call.deadline()).await else {
+        call.mark_may_have_run();
         let mut reason = "answer_cut";
         if Instant::now() < call.deadline()
-            && lost_connection::note(call, &back_end).await == BACK_END_ENDED
+            && lost_connection::check_back_end(call, &back_end).await == BACK_END_ENDED
         {
             reason = BACK_END_ENDED;
         }
         back_end.note(|health| health.unreachable(call.shared.now()));
-        return Err(attempts.may_have_run(call, reason));
+        return Err(attempts.after_may_have_run(call, reason));
     };
-    let latency = answer.age().as_millis() as u64;
+    let latency = response.age().as_millis() as u64;
     let now = call.shared.now();
-    if answer.marks.not_run {
-        note_absence(call, &answer);
-        let pause = answer.marks.pause;
-        answer.keep_connection(&call.shared);
-        return Err(attempts.not_run(call, pause));
+    if response.marks.not_run {
+        record_absence(call, &response);
+        let pause = response.marks.pause;
+        response.return_connection(&call.shared);
+        return Err(attempts.after_not_run(call, pause));
     }
     call.shared.note_whole_answer(call.fingerprint);
-    if answer.promises_falsely() {
+    if response.has_unconfirmed_not_run_status() {
         back_end.note(|health| health.failed(now));
-        return Err(attempts.may_have_run(call, "untrue_promise"));
+        return Err(attempts.after_may_have_run(call, "untrue_promise"));
     }
-    if answer.is_failure() {
+    if response.is_failure() {
         back_end.note(|health| health.failed(now));
-        if attempts.failed(call) {
-            answer.keep_connection(&call.shared);
-            return Err(Next::Again);
+        if attempts.take_retry_after_failure(call) {
+            response.return_connection(&call.shared);
+            return Err(NextStep::Retry);
         }
     } else {
         back_end.note(|health| health.answered(now, latency));
     }
-    Ok(pass_on(call, answer, body))
+    Ok(forward_response(call, response, body))
 }
 
-fn note_absence(call: &Call, answer: &Answer) {
-    let misdirected = answer.head.status == http::StatusCode::MISDIRECTED_REQUEST;
-    let Some(model) = call.ticket.model.as_ref().filter(|_| misdirected) else {
+fn record_absence(call: &Call, response: &BackEndResponse) {
+    let is_misdirected = response.head.status == http::StatusCode::MISDIRECTED_REQUEST;
+    let Some(model) = call.metadata.model.as_ref().filter(|_| is_misdirected) else {
         return;
     };
-    let adapter = call.ticket.adapter.as_ref();
-    answer
+    let adapter = call.metadata.adapter.as_ref();
+    response
         .back_end
         .note_absent(call.shared.now(), model, adapter);
 }
 
-fn pass_on(call: &Call, answer: Answer, body: Bytes) -> Response<AnswerBody> {
-    let status = answer.head.status;
-    let response = answer_head(call, status, &answer.head.headers);
+fn forward_response(call: &Call, response: BackEndResponse, body: Bytes) -> Response<ResponseBody> {
+    let status = response.head.status;
+    let head = response_head(call, status, &response.head.headers);
     let outcome = if status.is_success() {
         "served"
     } else {
         "back_end_failed"
     };
-    call.log_end(outcome, status.as_u16(), answer.back_end.id.as_str());
-    answer.keep_connection(&call.shared);
+    call.log_end(outcome, status.as_u16(), response.back_end.id.as_str());
+    response.return_connection(&call.shared);
     let body = Full::new(body)
         .map_err(|never| match never {})
         .boxed_unsync();
-    response.map(|()| body)
+    head.map(|()| body)
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,8 +1,8 @@
-//! One request of a caller: its route, its body, its deadline, its end.
+//! Handles one request of a caller, from its head to the end of its response.
 //!
-//! In: a request as the connection gives it. Out: an answer, and one log line
-//! that says how it ended. When the caller leaves, the future is dropped and
-//! with it every attempt.
+//! The input is a request as read from the caller's connection. The output is a response, and one
+//! log line that states the outcome. When the caller disconnects, the future is dropped, which
+//! cancels every attempt.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
@@ -30,16 +30,16 @@
 use crate::unread_body::discard;
 use crate::{plain, stream};
 
-/// An answer broke off; the caller's connection is closed with it.
+/// The response body ended early. The gateway closes the caller's connection as well.
 #[derive(Clone, Copy, Debug, Error)]
-#[error("the answer broke off")]
-pub struct Broken;
+#[error("the response body ended early")]
+pub struct TruncatedBody;
 
-/// The body of an answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, Broken>;
+/// The body of a response to a caller.
+pub type ResponseBody = UnsyncBoxBody<Bytes, TruncatedBody>;
 
-/// Headers that concern one connection only.
-const CONNECTION_HEADERS: [HeaderName; 7] = [
+/// Hop-by-hop headers, which apply to one connection only and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 7] = [
     header::CONNECTION,
     header::TE,
     header::TRAILER,
@@ -48,154 +48,158 @@
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
 ];
-/// More of them, which the library has no names for.
-const MORE_CONNECTION_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
+/// Hop-by-hop headers for which the `http` crate has no constants.
+const OTHER_HOP_BY_HOP_HEADERS: [&str; 2] = ["keep-alive", "proxy-connection"];
 /// Refusal reason: the body was not fully received before the deadline.
 const BODY_LATE: &str = "body_late";
-/// Part of the grace of a planned stop after which no stream is begun.
-const LAST_STREAM: f64 = 0.35;
-/// However long the grace is, callers have gone elsewhere by then, and a stream
-/// may last longer than what is left.
-const LAST_STREAM_LIMIT: Duration = Duration::from_millis(2_800);
-/// Part of the grace of a planned stop after which no other request is begun.
-const LAST_REQUEST: f64 = 0.69;
-
-/// A request that was read whole, with what is needed to send it.
+/// Fraction of the grace period of a planned stop after which no stream is started.
+const STREAM_START_FRACTION: f64 = 0.35;
+/// Upper bound for the time after which a stopping process starts no stream, however long its grace
+/// period is. Callers use other gateways by then, and a stream may last longer than the rest of the
+/// grace period.
+const MAX_STREAM_START: Duration = Duration::from_millis(2_800);
+/// Fraction of the grace period of a planned stop after which no other request is started.
+const REQUEST_START_FRACTION: f64 = 0.69;
+
+/// A request that was read completely, with the state needed to forward it.
 pub struct Call {
-    /// State of the process.
+    /// Shared state of the process.
     pub shared: Arc<Shared>,
-    /// The configuration at its arrival.
+    /// The configuration that was current when the request arrived.
     pub configuration: Arc<Configuration>,
-    /// Its route.
+    /// The route that matched the request.
     pub route: Arc<Route>,
-    /// The service that it goes to.
+    /// The service that handles the request, chosen among the services of the route.
     pub service: ServiceId,
-    /// Whose request it is, where callers have keys.
+    /// The tenant that sent the request, if callers authenticate with keys.
     pub tenant: Option<Arc<Tenant>>,
-    /// What its head says.
-    pub ticket: Ticket,
-    /// Method, path and headers as they are sent on.
+    /// What the request's headers say.
+    pub metadata: Ticket,
+    /// Method, path and headers as they are forwarded.
     pub head: Parts,
-    /// Its body.
+    /// The complete request body.
     pub body: Bytes,
-    /// What it asks for: the same for each try of its caller.
+    /// Identifies the content of the request; equal for every retry by the caller.
     pub fingerprint: Fingerprint,
-    /// When its head was read.
+    /// When the request's head was read.
     arrived: Instant,
-    /// How long it may be held.
-    held: Duration,
-    /// For how long the machine had been suspended when it arrived.
-    suspended_before: Duration,
-    /// Whether the caller has less time than callers of this route have at
-    /// first: it has most likely been refused before.
-    pub returning: bool,
-    /// Sends so far.
+    /// The longest time for which the gateway may work on the request.
+    time_limit: Duration,
+    /// For how long the machine had been suspended in total when the request arrived.
+    suspended_at_arrival: Duration,
+    /// Whether the caller's deadline is shorter than the usual initial deadline on this route. Such
+    /// a request is most likely a retry after a refusal.
+    pub is_returning: bool,
+    /// How many times the request was sent to a back end so far.
     pub attempts: AtomicU32,
-    /// What it was counted for; none if its tenant has no limit.
-    grant: Option<Grant>,
-    exposed: AtomicBool,
+    /// The quota charge for the request; none if its tenant has no quota.
+    quota_charge: Option<Grant>,
+    may_have_run: AtomicBool,
     in_doubt: AtomicBool,
-    ended: AtomicBool,
+    is_end_logged: AtomicBool,
 }
 
 impl Drop for Call {
-    /// A call that ends without a line was dropped because its caller left. What has not run
-    /// does not count for its tenant.
+    /// Logs a call that was dropped before its end was logged, because its caller disconnected. A
+    /// request that did not run is not charged to its tenant.
     fn drop(&mut self) {
-        if !self.ended.load(Ordering::Relaxed) {
+        if !self.is_end_logged.load(Ordering::Relaxed) {
             self.log_end("caller_left", 0, "-");
         }
-        if !self.is_exposed()
-            && let Some(grant) = self.grant.take()
+        if !self.may_have_run()
+            && let Some(charge) = self.quota_charge.take()
         {
-            self.shared.allowance.give_back(grant);
+            self.shared.allowance.give_back(charge);
         }
     }
 }
 
 impl Call {
-    /// A back end may have run it.
-    pub fn expose(&self) {
-        self.exposed.store(true, Ordering::Relaxed);
+    /// Records that a back end may have run the request.
+    pub fn mark_may_have_run(&self) {
+        self.may_have_run.store(true, Ordering::Relaxed);
     }
 
-    /// How much longer it is kept away from back ends, since they end under it.
-    pub fn quarantined_for(&self) -> Option<Duration> {
+    /// How much longer the request is quarantined, because back ends crash while they run it.
+    pub fn quarantine_left(&self) -> Option<Duration> {
         let now = self.shared.now();
         self.shared.quarantine.verdict(now, self.fingerprint)
     }
 
-    /// It is being written to a back end, and nothing has come back: should it end now,
-    /// for whatever reason, nobody knows whether it ran.
-    pub fn begin_doubt(&self) {
+    /// Marks the request as in doubt: it is being written to a back end, and no response has
+    /// arrived. If the call ends in this state, it is unknown whether the request ran.
+    pub fn mark_in_doubt(&self) {
         self.in_doubt.store(true, Ordering::Relaxed);
     }
 
-    /// What came of the write is known.
-    pub fn end_doubt(&self) {
+    /// Clears the in-doubt mark once the outcome of the write is known.
+    pub fn clear_in_doubt(&self) {
         self.in_doubt.store(false, Ordering::Relaxed);
     }
 
-    /// Whether a back end may have run it.
-    pub fn is_exposed(&self) -> bool {
-        self.exposed.load(Ordering::Relaxed) || self.in_doubt.load(Ordering::Relaxed)
+    /// Whether a back end may have run the request.
+    pub fn may_have_run(&self) -> bool {
+        self.may_have_run.load(Ordering::Relaxed) || self.in_doubt.load(Ordering::Relaxed)
     }
 
-    /// In a stopping process: how much time is left to send it to a back end, so
-    /// that its answer can end before the process is killed.
-    pub fn time_to_begin(&self) -> Option<Duration> {
-        let since = self.shared.stopping_for()?;
+    /// How much time is left to send the request to a back end, so that its response ends before
+    /// the process is killed. None if the process is not stopping.
+    pub fn time_left_to_send(&self) -> Option<Duration> {
+        let stopping_for_ms = self.shared.stopping_for()?;
         let grace = self.shared.settings.bounds.grace;
-        let last = if self.route.kind.is_stream() {
-            grace.mul_f64(LAST_STREAM).min(LAST_STREAM_LIMIT)
+        let start_limit = if self.route.kind.is_stream() {
+            grace.mul_f64(STREAM_START_FRACTION).min(MAX_STREAM_START)
         } else {
-            grace.mul_f64(LAST_REQUEST)
+            grace.mul_f64(REQUEST_START_FRACTION)
         };
-        Some(last.saturating_sub(Duration::from_millis(since)))
+        Some(start_limit.saturating_sub(Duration::from_millis(stopping_for_ms)))
     }
 
-    /// Rank of its tenant, or else of its route; 0 is the most urgent.
+    /// Priority of the tenant, or else of the route; 0 is the most urgent.
     pub fn priority(&self) -> u8 {
-        let own = self.tenant.as_ref().and_then(|tenant| tenant.priority);
-        own.unwrap_or(self.route.priority)
+        let tenant_priority = self.tenant.as_ref().and_then(|tenant| tenant.priority);
+        tenant_priority.unwrap_or(self.route.priority)
     }
 
-    /// How long the request may be held.
-    pub fn held(&self) -> Duration {
-        self.held
+    /// The longest time for which the gateway may work on the request.
+    pub fn time_limit(&self) -> Duration {
+        self.time_limit
     }
 
-    /// When its head was read: so much earlier by the clock of `Instant` as the machine has
-    /// been suspended since.
+    /// When the request's head was read. `Instant` does not advance while the machine is suspended,
+    /// so time suspended since the arrival is subtracted.
     pub fn arrived(&self) -> Instant {
         let suspended = self.shared.clock.suspended();
-        let since = suspended.saturating_sub(self.suspended_before);
-        self.arrived.checked_sub(since).unwrap_or(self.arrived)
+        let suspended_since_arrival = suspended.saturating_sub(self.suspended_at_arrival);
+        self.arrived
+            .checked_sub(suspended_since_arrival)
+            .unwrap_or(self.arrived)
     }
 
-    /// When it must have its answer.
+    /// When the request must have its response.
     pub fn deadline(&self) -> Instant {
-        self.arrived() + self.held
+        self.arrived() + self.time_limit
     }
 
-    /// Time since its head was read.
+    /// Time since the request's head was read.
     pub fn age(&self) -> Duration {
         self.arrived().elapsed()
     }
 
-    /// Returns when its time is over, also when that was while the machine was suspended.
-    pub async fn until_over(&self) {
-        let mut woken = self.shared.awakenings();
+    /// Returns once the deadline has passed, including during a suspension of the machine.
+    pub async fn wait_for_deadline(&self) {
+        let mut resumes = self.shared.awakenings();
         while Instant::now() < self.deadline() {
-            // A ring is a reason to look at the time again, and so is its end.
-            let _ = timeout_at(self.deadline(), woken.changed()).await;
+            // Both a resume notification and a closed channel only cause the time to be checked
+            // again.
+            let _ = timeout_at(self.deadline(), resumes.changed()).await;
         }
     }
 
-    /// A refusal, or what is still true if it may have run.
+    /// A refusal, or an unknown outcome if the request may have run.
     pub fn refuse(&self, reason: &'static str, retry_after: Duration) -> Failure {
-        if self.is_exposed() {
-            return Failure::Unknown { reason };
+        if self.may_have_run() {
+            return Failure::OutcomeUnknown { reason };
         }
         Failure::Refused {
             reason,
@@ -203,9 +207,9 @@
         }
     }
 
-    /// Writes the line of the request's end and counts it.
+    /// Writes the log line on the end of the request and updates the metrics.
     pub fn log_end(&self, outcome: &str, status: u16, back_end: &str) {
-        self.ended.store(true, Ordering::Relaxed);
+        self.is_end_logged.store(true, Ordering::Relaxed);
         let rank = if outcome == "served" {
             Rank::Served
         } else {
@@ -218,11 +222,11 @@
             metrics.tenant_ended(tenant.id.as_str(), outcome);
         }
         let model = self
-            .ticket
+            .metadata
             .model
             .as_ref()
             .map_or("-", |model| model.as_str());
-        let adapter = self.ticket.adapter.as_ref();
+        let adapter = self.metadata.adapter.as_ref();
         lines::write(
             rank,
             "request_end",
@@ -230,7 +234,7 @@
                 "request={} outcome={outcome} status={status} route={} service={} back_end={back_end} \
                  model={model} adapter={} tenant={} attempts={} exposed={} total_ms={} left_ms={} objective_ms={} returning={} configuration={} \
                  fingerprint={}",
-                self.ticket.id,
+                self.metadata.id,
                 self.route.name,
                 self.service,
                 adapter.map_or("-", |adapter| adapter.as_str()),
@@ -238,13 +242,13 @@
                     .as_ref()
                     .map_or("-", |tenant| tenant.id.as_str()),
                 self.attempts.load(Ordering::Relaxed),
-                self.is_exposed(),
+                self.may_have_run(),
                 total.as_millis(),
                 self.deadline()
                     .saturating_duration_since(Instant::now())
                     .as_millis(),
                 self.route.objective.as_millis(),
-                self.returning,
+                self.is_returning,
                 self.configuration.version,
                 self.fingerprint,
             ),
@@ -252,18 +256,19 @@
     }
 }
 
-/// Serves one request.
-pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Handles one request of a caller and returns its response.
+pub async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Response<ResponseBody> {
     let arrived = Instant::now();
     shared.metrics.open_requests.inc();
-    let open = OpenRequest(shared.clone());
+    let open_request = OpenRequest(shared.clone());
     let (head, mut body) = request.into_parts();
     let expects_continue = head.headers.contains_key(header::EXPECT);
-    let (mut response, body_consumed) = match read(&shared, head, &mut body, arrived).await {
+    let (mut response, body_consumed) = match read_request(&shared, head, &mut body, arrived).await
+    {
         Ok(call) => (serve(call).await, true),
         Err(failure) => {
             shared.metrics.ended(failure.reason(), arrived.elapsed());
-            let response = failure.answer(shared.platform.as_ref());
+            let response = failure.to_response(shared.platform.as_ref());
             // Reading the body makes hyper send 100 Continue, which asks the caller to send it.
             // This has already happened when the body is found to be too large.
             let may_discard = !expects_continue || failure == Failure::BodyTooLarge;
@@ -276,7 +281,7 @@
         let close = HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
     }
-    drop(open);
+    drop(open_request);
     response
 }
 
@@ -288,7 +293,7 @@
     }
 }
 
-async fn serve(call: Call) -> Response<AnswerBody> {
+async fn serve(call: Call) -> Response<ResponseBody> {
     let call = Arc::new(call);
     let serving = async {
         if call.route.kind.is_stream() {
@@ -297,26 +302,26 @@
             plain::serve(&call).await
         }
     };
-    let served = tokio::select! {
+    let result = tokio::select! {
         biased;
         served = serving => Some(served),
-        () = call.until_over() => None,
+        () = call.wait_for_deadline() => None,
     };
-    let failure = match served {
+    let failure = match result {
         Some(Ok(response)) => return response,
         Some(Err(failure)) => failure,
-        None if call.is_exposed() => Failure::TimedOut,
+        None if call.may_have_run() => Failure::TimedOut,
         None => call.refuse("deadline", Duration::from_millis(500)),
     };
     call.log_end(failure.reason(), failure.status().as_u16(), "-");
-    failure.answer(call.shared.platform.as_ref())
+    failure.to_response(call.shared.platform.as_ref())
 }
 
-/// A line on a request that could not be taken in.
-fn log_unread(ticket: &Ticket, route: &str, failure: Failure) -> Failure {
+/// Logs the end of a request that failed before it was read completely.
+fn log_rejected(metadata: &Ticket, route: &str, failure: Failure) -> Failure {
     let fields = format_args!(
         "request={} outcome={} status={} route={route} attempts=0 exposed=false",
-        ticket.id,
+        metadata.id,
         failure.reason(),
         failure.status().as_u16(),
     );
@@ -324,77 +329,78 @@
     failure
 }
 
-async fn read(
+async fn read_request(
     shared: &Arc<Shared>,
     mut head: Parts,
     body: &mut Incoming,
     arrived: Instant,
 ) -> Result<Call, Failure> {
-    let ticket = shared.platform.ticket(&head.headers);
+    let metadata = shared.platform.ticket(&head.headers);
     let Some((configuration, age)) = shared.configuration_for_caller() else {
-        return Err(log_unread(&ticket, "-", Failure::NoConfiguration));
+        return Err(log_rejected(&metadata, "-", Failure::NoConfiguration));
     };
     let Some(route) = find_route(&configuration, &head) else {
-        log_unrouted(&ticket, &head, configuration.version);
+        log_unrouted(&metadata, &head, configuration.version);
         return Err(Failure::NoRoute);
     };
     let caller = Caller {
-        ticket: &ticket,
+        ticket: &metadata,
         route: &route,
         arrived,
     };
     let tenant = tenancy::tenant_of(shared, &caller, &configuration, age, &mut head.headers)
-        .map_err(|sent_away| log_unread(&ticket, &route.name, sent_away.into()))?;
-    let held = ticket
+        .map_err(|rejection| log_rejected(&metadata, &route.name, rejection.into()))?;
+    let time_limit = metadata
         .deadline
-        .map_or(route.timeout, |own| own.min(route.timeout));
-    let deadline = arrived + held;
-    let suspended_before = shared.clock.suspended();
-    let returning = shared.is_returning(&route.name, ticket.deadline);
+        .map_or(route.timeout, |deadline| deadline.min(route.timeout));
+    let deadline = arrived + time_limit;
+    let suspended_at_arrival = shared.clock.suspended();
+    let is_returning = shared.is_returning(&route.name, metadata.deadline);
     let limit = configuration.limits.max_body_bytes;
     let body = read_body(body, limit, deadline)
         .await
-        .map_err(|failure| log_unread(&ticket, &route.name, failure))?;
-    let grant = tenancy::count(shared, &caller, tenant.as_deref())
+        .map_err(|failure| log_rejected(&metadata, &route.name, failure))?;
+    let quota_charge = tenancy::count(shared, &caller, tenant.as_deref())
         .await
-        .map_err(|sent_away| log_unread(&ticket, &route.name, sent_away.into()))?;
+        .map_err(|rejection| log_rejected(&metadata, &route.name, rejection.into()))?;
     let service = shared.split(&route.services).ok_or(Failure::NoRoute)?;
     shared.count_request(&service);
-    strip_connection_headers(&mut head.headers);
+    strip_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     head.version = Version::HTTP_11;
-    let fingerprint = fingerprint(&head, &ticket, &body);
+    let fingerprint = fingerprint(&head, &metadata, &body);
     let call = Call {
         shared: shared.clone(),
         configuration,
         route,
         service,
         tenant,
-        ticket,
+        metadata,
         head,
         body,
         fingerprint,
         arrived,
-        held,
-        suspended_before,
-        returning,
+        time_limit,
+        suspended_at_arrival,
+        is_returning,
         attempts: AtomicU32::new(0),
-        grant,
-        exposed: AtomicBool::new(false),
+        quota_charge,
+        may_have_run: AtomicBool::new(false),
         in_doubt: AtomicBool::new(false),
-        ended: AtomicBool::new(false),
+        is_end_logged: AtomicBool::new(false),
     };
     refuse_while_stopping(&call)?;
     Ok(call)
 }
 
-/// Method, host, target, model and body: all that a caller's next try has in common with
-/// this one. Headers are left out: deadline, id and last event differ from try to try.
-fn fingerprint(head: &Parts, ticket: &Ticket, body: &Bytes) -> Fingerprint {
+/// Fingerprint of method, host, target, model and body: everything that a retry by the caller has
+/// in common with this request. Headers are left out, because deadline, id and last event differ
+/// between retries.
+fn fingerprint(head: &Parts, metadata: &Ticket, body: &Bytes) -> Fingerprint {
     let host = head.headers.get(header::HOST);
     let target = head.uri.path_and_query();
-    let model = ticket.model.as_ref().map_or("", |model| model.as_str());
-    let adapter = ticket.adapter.as_ref();
+    let model = metadata.model.as_ref().map_or("", |model| model.as_str());
+    let adapter = metadata.adapter.as_ref();
     Fingerprint::of(&[
         head.method.as_str().as_bytes(),
         host.map_or(&[], |host| host.as_bytes()),
@@ -405,9 +411,9 @@
     ])
 }
 
-/// A request that a stopping process could not finish is better off elsewhere.
+/// Refuses a request that a stopping process could not finish; the caller can use another gateway.
 fn refuse_while_stopping(call: &Call) -> Result<(), Failure> {
-    if call.time_to_begin() != Some(Duration::ZERO) {
+    if call.time_left_to_send() != Some(Duration::ZERO) {
         return Ok(());
     }
     let failure = call.refuse("stopping", Duration::ZERO);
@@ -416,28 +422,28 @@
 }
 
 fn find_route(configuration: &Configuration, head: &Parts) -> Option<Arc<Route>> {
-    let named = head.headers.get(header::HOST);
-    let host = match named.and_then(|host| host.to_str().ok()) {
+    let host_header = head.headers.get(header::HOST);
+    let host = match host_header.and_then(|host| host.to_str().ok()) {
         Some(host) => host,
         None => head.uri.host()?,
     };
     configuration.route(host, head.uri.path()).cloned()
 }
 
-fn log_unrouted(ticket: &Ticket, head: &Parts, version: u64) {
+fn log_unrouted(metadata: &Ticket, head: &Parts, version: u64) {
     let host = head.headers.get(header::HOST);
     let fields = format_args!(
         "request={} outcome=no_route status=404 host={host:?} path={} configuration={version}",
-        ticket.id,
+        metadata.id,
         head.uri.path(),
     );
     lines::write(Rank::Decision, "request_end", fields);
 }
 
 async fn read_body(body: &mut Incoming, limit: usize, deadline: Instant) -> Result<Bytes, Failure> {
-    let reading = Limited::new(body, limit).collect();
-    match timeout_at(deadline, reading).await {
-        Ok(Ok(whole)) => Ok(whole.to_bytes()),
+    let collecting = Limited::new(body, limit).collect();
+    match timeout_at(deadline, collecting).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Failure::BodyTooLarge),
         Ok(Err(_)) => Err(Failure::BadBody),
         Err(_) => Err(Failure::Refused {
@@ -447,32 +453,32 @@
     }
 }
 
-/// Takes out headers that concern one connection only.
-pub fn strip_connection_headers(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
+/// Removes hop-by-hop headers, including those that the `Connection` header lists.
+pub fn strip_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in named {
+    for name in listed {
         headers.remove(name);
     }
-    for name in CONNECTION_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
-    for name in MORE_CONNECTION_HEADERS {
+    for name in OTHER_HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
 
-/// The head of an answer as the caller gets it.
-pub fn answer_head(call: &Call, status: StatusCode, headers: &HeaderMap) -> Response<()> {
+/// Builds the response head that the caller receives.
+pub fn response_head(call: &Call, status: StatusCode, headers: &HeaderMap) -> Response<()> {
     let mut response = Response::new(());
     *response.status_mut() = status;
     let mut headers = headers.clone();
-    strip_connection_headers(&mut headers);
+    strip_hop_by_hop_headers(&mut headers);
     if call.head.method != Method::HEAD {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,6 +1,7 @@
-//! Keeps callers' connections, and closes them on a planned stop in a way that
-//! cuts no request: answers say `Connection: close` from the stop on, and what
-//! still rests later is closed while idle.
+//! Serves callers' connections, and closes them on a planned stop without cutting off requests.
+//!
+//! Once the stop begins, responses carry `Connection: close`. Connections that are still open later
+//! are closed while they are idle.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,16 +22,16 @@
 use crate::request;
 use crate::shared::Shared;
 
-/// Time that idle connections are kept, over what the configuration says.
-const IDLE_SLACK: Duration = Duration::from_secs(2);
-/// Rest of a connection before a configuration is known.
-const DEFAULT_IDLE: Duration = Duration::from_secs(30);
-/// Largest head before a configuration is known, in bytes.
-const DEFAULT_HEADER_BYTES: usize = 16 * 1024;
-/// Pause after an accept failed, for instance for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Part of the grace of a planned stop after which idle connections are closed.
-const CLOSE_IDLE_PART: f64 = 0.37;
+/// How much longer idle connections are kept than the configuration says.
+const IDLE_MARGIN: Duration = Duration::from_secs(2);
+/// How long idle connections are kept before a configuration is known.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum size of a request head before a configuration is known, in bytes.
+const DEFAULT_MAX_HEADER_BYTES: usize = 16 * 1024;
+/// Pause after `accept` failed, for instance for lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Fraction of the grace period of a planned stop after which idle connections are closed.
+const CLOSE_IDLE_FRACTION: f64 = 0.37;
 
 /// Open connections of callers.
 #[derive(Clone)]
@@ -49,9 +50,10 @@
 }
 
 impl Connections {
-    /// Waits until callers have gone elsewhere, then until every request has ended.
+    /// Waits until callers use other gateways, closes idle connections, and waits until every
+    /// request has ended.
     pub async fn drain(&self, grace: Duration, poll: Duration) {
-        sleep(grace.mul_f64(CLOSE_IDLE_PART)).await;
+        sleep(grace.mul_f64(CLOSE_IDLE_FRACTION)).await;
         self.close_idle.send_replace(true);
         while self.open.load(Ordering::Relaxed) > 0 {
             sleep(poll).await;
@@ -59,7 +61,7 @@
     }
 }
 
-/// Serves callers until the process ends.
+/// Accepts and serves connections of callers until the process ends.
 pub async fn serve_callers(shared: Arc<Shared>, listener: TcpListener, connections: Connections) {
     loop {
         match listener.accept().await {
@@ -67,7 +69,7 @@
                 let serving = serve_connection(shared.clone(), stream, connections.clone());
                 tokio::spawn(serving);
             }
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -99,7 +101,7 @@
     let mut connection = std::pin::pin!(connection);
     let mut close_idle = connections.close_idle.subscribe();
     tokio::select! {
-        // What goes wrong on a connection is the caller's end of it.
+        // An error on a connection concerns only its caller.
         _ = connection.as_mut() => return,
         _ = close_idle.wait_for(|close| *close) => {}
     }
@@ -111,27 +113,27 @@
     match shared.configuration() {
         Some(configuration) => {
             let limits = &configuration.limits;
-            (limits.max_header_bytes, limits.idle_timeout + IDLE_SLACK)
+            (limits.max_header_bytes, limits.idle_timeout + IDLE_MARGIN)
         }
-        None => (DEFAULT_HEADER_BYTES, DEFAULT_IDLE),
+        None => (DEFAULT_MAX_HEADER_BYTES, DEFAULT_IDLE_TIMEOUT),
     }
 }
 
-/// Serves small pages, such as readiness or figures.
+/// Serves small pages, such as readiness or metrics.
 pub async fn serve_pages<F>(listener: TcpListener, page: F)
 where
     F: Fn(&str) -> (StatusCode, Vec<u8>) + Clone + Send + Sync + 'static,
 {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            sleep(ACCEPT_PAUSE).await;
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let page = page.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request: Request<Incoming>| {
                 let (status, text) = page(request.uri().path());
-                async move { Ok::<_, Infallible>(text_answer(status, text)) }
+                async move { Ok::<_, Infallible>(text_response(status, text)) }
             });
             let serving = http1::Builder::new()
                 .auto_date_header(false)
@@ -141,7 +143,7 @@
     }
 }
 
-fn text_answer(status: StatusCode, text: Vec<u8>) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: Vec<u8>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from(text)));
     *response.status_mut() = status;
     let content_type = header::HeaderValue::from_static("text/plain; charset=utf-8");
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,8 +1,8 @@
-//! Requests that are answered by events.
+//! Serves requests whose response is a stream of events.
 //!
-//! Whole events are passed on as they arrive. When a back end breaks off, a
-//! resumable stream goes on at another one after the last whole event, and only
-//! after the old connection was closed; any other stream breaks off visibly.
+//! Complete events are forwarded as they arrive. When a back end breaks off, a resumable stream
+//! continues at another back end after the last complete event, and only after the old connection
+//! was closed. Any other stream is cut off, so that the caller notices.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -22,50 +22,50 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use crate::admission::{self, admit};
-use crate::attempt::{Answer, AttemptEnd, send};
-use crate::attempts::{Attempts, CONNECTION_LOST, Next};
+use crate::attempt::{AttemptResult, BackEndResponse, send};
+use crate::attempts::{Attempts, CONNECTION_LOST, NextStep};
 use crate::back_end::BackEnd;
 use crate::failure::Failure;
 use crate::lines::{self, Rank};
 use crate::lost_connection;
-use crate::plain::settle;
-use crate::request::{AnswerBody, Broken, Call, answer_head};
+use crate::plain::evaluate_response;
+use crate::request::{Call, ResponseBody, TruncatedBody, response_head};
 
-/// Events that wait for a slow caller at most.
-const WAITING_EVENTS: usize = 16;
-/// A back end that says nothing for so many pause objectives is given up.
-const SILENT_PAUSES: u32 = 4;
-/// Least silence after which a back end is given up.
-const LEAST_SILENCE: Duration = Duration::from_millis(1_000);
-/// Silence after which one is given up where no pause objective is set.
+/// Maximum number of events buffered for a slow caller.
+const MAX_BUFFERED_EVENTS: usize = 16;
+/// A back end that is silent for this many gap objectives is abandoned.
+const SILENT_GAPS: u32 = 4;
+/// Minimum silence after which a back end is abandoned.
+const MIN_SILENCE: Duration = Duration::from_millis(1_000);
+/// Silence after which a back end is abandoned if the route has no gap objective.
 const DEFAULT_SILENCE: Duration = Duration::from_secs(3);
-/// A back end is given so many objectives to begin its answer.
+/// A back end must start its response within this multiple of the objective.
 const FIRST_EVENT_FACTOR: f64 = 1.6;
 
-/// A back end's part of a stream ended inside an event.
+/// Reason: the response of a back end ended inside an event.
 const PARTIAL_EVENT: &str = "partial_event";
 
-/// Counts as running on a model until it is dropped.
-struct Running {
+/// Counts the request as running on its model until dropped.
+struct RunningGuard {
     call: Arc<Call>,
     model: Option<ModelId>,
 }
 
-impl Running {
+impl RunningGuard {
     fn begin(call: &Arc<Call>) -> Self {
-        let model = call.ticket.model.clone();
+        let model = call.metadata.model.clone();
         if let Some(model) = &model {
             let mut demand = call.shared.demand.lock();
             demand.running(&call.service, model, 1);
         }
-        Running {
+        RunningGuard {
             call: call.clone(),
             model,
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningGuard {
     fn drop(&mut self) {
         if let Some(model) = &self.model {
             let mut demand = self.call.shared.demand.lock();
@@ -74,77 +74,82 @@
     }
 }
 
-/// Serves a stream: out comes its head; a task passes on the events.
-pub async fn serve(call: Arc<Call>) -> Result<Response<AnswerBody>, Failure> {
-    note_arrival(&call);
-    let running = Running::begin(&call);
+/// Serves a stream. Returns the response head and body; a spawned task forwards the events.
+pub async fn serve(call: Arc<Call>) -> Result<Response<ResponseBody>, Failure> {
+    record_arrival(&call);
+    let running = RunningGuard::begin(&call);
     let mut attempts = Attempts::default();
     loop {
         let back_end = admit(&call, &attempts.tried).await?;
-        attempts.begin(&call, &back_end.id);
-        let patience = head_patience(&call);
-        let last_event = call.ticket.last_event.as_deref();
-        let next = match send(&call, &back_end, last_event, patience, &mut attempts).await {
-            AttemptEnd::NotSent(reason) => attempts.not_sent(&call, reason),
-            AttemptEnd::MayHaveRun(reason) => attempts.may_have_run(&call, reason),
-            AttemptEnd::Answered(answer) if answer.head.status == StatusCode::OK => {
-                return Ok(relay(call, running, attempts, *answer));
+        attempts.record_send(&call, &back_end.id);
+        let head_timeout = head_timeout(&call);
+        let last_event = call.metadata.last_event.as_deref();
+        let next = match send(&call, &back_end, last_event, head_timeout, &mut attempts).await {
+            AttemptResult::NotSent(reason) => attempts.after_not_sent(&call, reason),
+            AttemptResult::MayHaveRun(reason) => attempts.after_may_have_run(&call, reason),
+            AttemptResult::Responded(response) if response.head.status == StatusCode::OK => {
+                return Ok(forward_stream(call, running, attempts, *response));
+            }
+            AttemptResult::Responded(response) => {
+                match evaluate_response(&call, &mut attempts, *response).await {
+                    Ok(response) => return Ok(response),
+                    Err(next) => next,
+                }
             }
-            AttemptEnd::Answered(answer) => match settle(&call, &mut attempts, *answer).await {
-                Ok(response) => return Ok(response),
-                Err(next) => next,
-            },
         };
-        if let Next::Over(failure) = next {
+        if let NextStep::GiveUp(failure) = next {
             return Err(failure);
         }
     }
 }
 
-fn note_arrival(call: &Call) {
-    let Some(model) = &call.ticket.model else {
+fn record_arrival(call: &Call) {
+    let Some(model) = &call.metadata.model else {
         return;
     };
     let now = call.shared.now();
-    let adapter = call.ticket.adapter.as_ref();
-    let urgent = admission::load_time(call, model, CopyTier::WeightStore) > call.route.objective;
+    let adapter = call.metadata.adapter.as_ref();
+    let is_urgent = admission::load_time(call, model, CopyTier::WeightStore) > call.route.objective;
     let mut demand = call.shared.demand.lock();
-    demand.arrived(now, &call.service, model, adapter, urgent);
+    demand.arrived(now, &call.service, model, adapter, is_urgent);
 }
 
-/// How long one back end may take to begin, while another could be asked.
-fn head_patience(call: &Call) -> Duration {
+/// How long a back end may take to start its response while another one could be asked.
+fn head_timeout(call: &Call) -> Duration {
     call.route.objective.mul_f64(FIRST_EVENT_FACTOR)
 }
 
-fn relay(
+fn forward_stream(
     call: Arc<Call>,
-    running: Running,
+    running: RunningGuard,
     attempts: Attempts,
-    answer: Answer,
-) -> Response<AnswerBody> {
-    let head = answer_head(&call, answer.head.status, &answer.head.headers);
-    let (sender, receiver) = mpsc::channel(WAITING_EVENTS);
-    let is_whole = Arc::new(AtomicBool::new(false));
-    let relay = Relay {
-        last_event: call.ticket.last_event.clone(),
+    response: BackEndResponse,
+) -> Response<ResponseBody> {
+    let head = response_head(&call, response.head.status, &response.head.headers);
+    let (sender, receiver) = mpsc::channel(MAX_BUFFERED_EVENTS);
+    let is_complete = Arc::new(AtomicBool::new(false));
+    let forwarder = StreamForwarder {
+        last_event: call.metadata.last_event.clone(),
         call,
         attempts,
         sender,
-        is_whole: is_whole.clone(),
+        is_complete: is_complete.clone(),
         first_event: None,
         events: 0,
-        last_passed: None,
-        longest_pause: Duration::ZERO,
-        longest_pause_end: Duration::ZERO,
-        part_event: None,
+        last_forwarded: None,
+        max_gap: Duration::ZERO,
+        max_gap_end: Duration::ZERO,
+        segment_last_event: None,
         _running: running,
     };
-    tokio::spawn(relay.run(answer));
+    tokio::spawn(forwarder.run(response));
     let events = ReceiverStream::new(receiver).map(|event| Ok(Frame::data(event)));
-    // Whatever ends the relay, a stream that is not whole breaks off visibly.
-    let end = stream::once(async move { (!is_whole.load(Ordering::Acquire)).then_some(Broken) });
-    let end = end.filter_map(async |broken| broken.map(Err));
+    // However the forwarding task ends, the body of an incomplete stream ends with an error.
+    let end =
+        stream::once(
+            async move { (!is_complete.load(Ordering::Acquire)).then_some(TruncatedBody) },
+        );
+    let end = end.filter_map(async |truncated| truncated.map(Err));
     head.map(|()| StreamBody::new(events.chain(end)).boxed_unsync())
 }
 
@@ -152,63 +157,67 @@
     time.as_secs_f64() * 1_000.0
 }
 
-/// Why a back end's part of a stream ended.
-enum PartEnd {
-    /// The stream is whole.
-    Whole,
-    /// The caller has left.
+/// Why the segment of a stream that comes from one back end ended.
+enum SegmentEnd {
+    /// The stream is complete.
+    Complete,
+    /// The caller has disconnected.
     CallerLeft,
-    /// Time is up.
+    /// The deadline has passed.
     TimedOut,
-    /// The back end broke off, or fell silent.
+    /// The back end broke off or went silent.
     Broken(&'static str),
 }
 
-/// Passes on one stream.
-struct Relay {
+/// Forwards one stream from back ends to the caller.
+struct StreamForwarder {
     call: Arc<Call>,
     attempts: Attempts,
     sender: mpsc::Sender<Bytes>,
-    /// The last event was passed on.
-    is_whole: Arc<AtomicBool>,
+    /// Whether the last event was forwarded.
+    is_complete: Arc<AtomicBool>,
     last_event: Option<String>,
     first_event: Option<Duration>,
     events: u64,
-    last_passed: Option<Instant>,
-    longest_pause: Duration,
-    /// When it ended, since the request arrived.
-    longest_pause_end: Duration,
-    /// When the present back end's last event came.
-    part_event: Option<Instant>,
-    _running: Running,
+    last_forwarded: Option<Instant>,
+    max_gap: Duration,
+    /// When the longest gap ended, measured from the request's arrival.
+    max_gap_end: Duration,
+    /// When the last event of the current segment arrived.
+    segment_last_event: Option<Instant>,
+    _running: RunningGuard,
 }
 
-impl Relay {
-    async fn run(mut self, answer: Answer) {
-        let mut answer = answer;
+impl StreamForwarder {
+    async fn run(mut self, response: BackEndResponse) {
+        let mut response = response;
         loop {
-            let back_end = answer.back_end.clone();
-            let end = self.pass_events(&mut answer).await;
+            let back_end = response.back_end.clone();
+            let end = self.forward_events(&mut response).await;
             let reason = match end {
-                PartEnd::Whole => {
+                SegmentEnd::Complete => {
                     let latency = self.first_event.unwrap_or_default().as_millis() as u64;
                     let now = self.call.shared.now();
                     back_end.note(|health| health.answered(now, latency));
                     let shared = &self.call.shared;
                     shared.note_whole_answer(self.call.fingerprint);
-                    answer.keep_connection(&self.call.shared);
-                    self.is_whole.store(true, Ordering::Release);
-                    return self.end("served", back_end.id.as_str());
+                    response.return_connection(&self.call.shared);
+                    self.is_complete.store(true, Ordering::Release);
+                    return self.log_stream_end("served", back_end.id.as_str());
+                }
+                SegmentEnd::CallerLeft => {
+                    return self.log_stream_end("caller_left", back_end.id.as_str());
+                }
+                SegmentEnd::TimedOut => {
+                    return self.log_stream_end("timed_out", back_end.id.as_str());
                 }
-                PartEnd::CallerLeft => return self.end("caller_left", back_end.id.as_str()),
-                PartEnd::TimedOut => return self.end("timed_out", back_end.id.as_str()),
-                PartEnd::Broken(reason) => reason,
+                SegmentEnd::Broken(reason) => reason,
             };
-            // Closing the connection cancels the request before it goes on elsewhere.
-            drop(answer);
+            // Closing the connection cancels the request before it continues at another back end.
+            drop(response);
             let reason = match reason {
                 CONNECTION_LOST | PARTIAL_EVENT => {
-                    lost_connection::note(&self.call, &back_end).await
+                    lost_connection::check_back_end(&self.call, &back_end).await
                 }
                 reason => reason,
             };
@@ -216,101 +225,102 @@
             let call = self.call.clone();
             let next = tokio::select! {
                 next = self.resume(reason) => next,
-                () = call.until_over() => None,
+                () = call.wait_for_deadline() => None,
             };
             match next {
-                Some(next) => answer = next,
-                None => return self.end(reason, back_end.id.as_str()),
+                Some(next) => response = next,
+                None => return self.log_stream_end(reason, back_end.id.as_str()),
             }
         }
     }
 
-    async fn pass_events(&mut self, answer: &mut Answer) -> PartEnd {
+    async fn forward_events(&mut self, response: &mut BackEndResponse) -> SegmentEnd {
         let mut splitter = EventSplitter::default();
-        self.part_event = None;
+        self.segment_last_event = None;
         let call = self.call.clone();
-        let mut over = pin!(call.until_over());
+        let mut deadline_passed = pin!(call.wait_for_deadline());
         loop {
-            let silent_at = Instant::now() + self.patience();
+            let silent_at = Instant::now() + self.silence_timeout();
             let until = silent_at.min(self.call.deadline());
             let frame = tokio::select! {
-                () = self.sender.closed() => return PartEnd::CallerLeft,
-                () = &mut over => return PartEnd::TimedOut,
-                frame = timeout_at(until, answer.body.frame()) => frame,
+                () = self.sender.closed() => return SegmentEnd::CallerLeft,
+                () = &mut deadline_passed => return SegmentEnd::TimedOut,
+                frame = timeout_at(until, response.body.frame()) => frame,
             };
             let data = match frame {
-                Err(_) if Instant::now() >= self.call.deadline() => return PartEnd::TimedOut,
-                Err(_) if self.attempts.may_move_on(&self.call) => {
-                    return PartEnd::Broken("silent");
+                Err(_) if Instant::now() >= self.call.deadline() => return SegmentEnd::TimedOut,
+                Err(_) if self.attempts.reserve_failover(&self.call) => {
+                    return SegmentEnd::Broken("silent");
                 }
                 Err(_) => continue,
-                Ok(None) if splitter.has_partial() => return PartEnd::Broken(PARTIAL_EVENT),
-                Ok(None) => return PartEnd::Whole,
-                Ok(Some(Err(_))) => return PartEnd::Broken(CONNECTION_LOST),
+                Ok(None) if splitter.has_partial() => return SegmentEnd::Broken(PARTIAL_EVENT),
+                Ok(None) => return SegmentEnd::Complete,
+                Ok(Some(Err(_))) => return SegmentEnd::Broken(CONNECTION_LOST),
                 Ok(Some(Ok(frame))) => frame.into_data().unwrap_or_default(),
             };
             if splitter.push(&data).is_err() {
-                return PartEnd::Broken("event_too_long");
+                return SegmentEnd::Broken("event_too_long");
             }
-            let former = self.events;
+            let events_before = self.events;
             while let Some(event) = splitter.next_event() {
                 if self.is_repeated(event.id.as_deref()) {
                     continue;
                 }
-                // A caller whose connection went silent takes nothing, and does not leave.
+                // A caller whose connection went silent accepts no data and does not disconnect
+                // either.
                 match timeout_at(self.call.deadline(), self.sender.send(event.bytes)).await {
-                    Ok(Ok(())) => self.note_event(event.id),
-                    Ok(Err(_)) => return PartEnd::CallerLeft,
-                    Err(_) => return PartEnd::TimedOut,
+                    Ok(Ok(())) => self.record_event(event.id),
+                    Ok(Err(_)) => return SegmentEnd::CallerLeft,
+                    Err(_) => return SegmentEnd::TimedOut,
                 }
             }
-            self.note_pace(answer, self.events - former);
+            self.record_speed(response, self.events - events_before);
         }
     }
 
-    /// Learns from `events` that have just been passed on how fast the engine is.
-    fn note_pace(&mut self, answer: &mut Answer, events: u64) {
-        let Some(model) = self.call.ticket.model.as_ref().filter(|_| events > 0) else {
+    /// Measures the engine's speed from the `events` that were just forwarded.
+    fn record_speed(&mut self, response: &mut BackEndResponse, events: u64) {
+        let Some(model) = self.call.metadata.model.as_ref().filter(|_| events > 0) else {
             return;
         };
         let shared = &self.call.shared;
         let service = &self.call.service;
         let now = Instant::now();
-        if let Some(before) = self.part_event.replace(now) {
+        if let Some(before) = self.segment_last_event.replace(now) {
             let gap = milliseconds(now - before) / events as f64;
-            let engine = &answer.back_end.id;
+            let engine = &response.back_end.id;
             shared.reading(service, |known| {
                 known.note_gap(shared.now(), engine, model, gap);
             });
             return;
         }
-        answer.note_read();
-        let engine = &answer.back_end.id;
-        let latency = milliseconds(answer.age());
-        // Shared parts may have been read for another gateway.
-        let tokens = self.call.ticket.prompt.own_tokens;
+        response.record_prefill_end();
+        let engine = &response.back_end.id;
+        let latency = milliseconds(response.age());
+        // The engine may have cached the shared prefixes for another gateway.
+        let tokens = self.call.metadata.prompt.own_tokens;
         shared.reading(service, |known| {
             known.note_reading(shared.now(), engine, model, latency, tokens);
         });
     }
 
-    fn note_event(&mut self, id: Option<String>) {
+    fn record_event(&mut self, id: Option<String>) {
         self.events += 1;
         let now = Instant::now();
         let since_arrival = now - self.call.arrived();
         self.first_event.get_or_insert(since_arrival);
-        if let Some(last) = self.last_passed.replace(now)
-            && now - last > self.longest_pause
+        if let Some(last) = self.last_forwarded.replace(now)
+            && now - last > self.max_gap
         {
-            self.longest_pause = now - last;
-            self.longest_pause_end = since_arrival;
+            self.max_gap = now - last;
+            self.max_gap_end = since_arrival;
         }
         if id.is_some() {
             self.last_event = id;
         }
     }
 
-    /// Whether the caller has an event with this number, or a higher one.
+    /// Whether the caller already has an event with this number or a higher one.
     fn is_repeated(&self, id: Option<&str>) -> bool {
         let number = id.and_then(|id| id.parse::<u64>().ok());
         let last = self
@@ -320,40 +330,45 @@
         matches!((number, last), (Some(number), Some(last)) if number <= last)
     }
 
-    /// How long a back end may say nothing.
-    fn patience(&self) -> Duration {
+    /// How long a back end may stay silent.
+    fn silence_timeout(&self) -> Duration {
         if !self.call.route.kind.may_repeat() {
             return self.call.route.timeout;
         }
-        let pause = self.call.route.pause_objective;
-        let silence = pause.map_or(DEFAULT_SILENCE, |pause| pause * SILENT_PAUSES);
-        let silence = silence.max(LEAST_SILENCE);
+        let gap_objective = self.call.route.pause_objective;
+        let silence = gap_objective.map_or(DEFAULT_SILENCE, |gap| gap * SILENT_GAPS);
+        let silence = silence.max(MIN_SILENCE);
         if self.events == 0 {
             return silence.max(self.call.route.objective.mul_f64(FIRST_EVENT_FACTOR));
         }
         silence
     }
 
-    /// An answer of another back end that goes on after the last event.
-    async fn resume(&mut self, reason: &'static str) -> Option<Answer> {
-        let mut next = self.attempts.may_have_run(&self.call, reason);
-        while let Next::Again = next {
+    /// Sends the request to another back end and returns its response, which continues after the
+    /// last event. None if the stream cannot be resumed.
+    async fn resume(&mut self, reason: &'static str) -> Option<BackEndResponse> {
+        let mut next = self.attempts.after_may_have_run(&self.call, reason);
+        while let NextStep::Retry = next {
             let back_end = admit(&self.call, &self.attempts.tried).await.ok()?;
-            self.attempts.begin(&self.call, &back_end.id);
+            self.attempts.record_send(&self.call, &back_end.id);
             self.log_resumed(reason, &back_end);
-            let patience = head_patience(&self.call);
+            let head_timeout = head_timeout(&self.call);
             let last_event = self.last_event.as_deref();
             let attempts = &mut self.attempts;
-            next = match send(&self.call, &back_end, last_event, patience, attempts).await {
-                AttemptEnd::NotSent(reason) => self.attempts.not_sent(&self.call, reason),
-                AttemptEnd::MayHaveRun(reason) => self.attempts.may_have_run(&self.call, reason),
-                AttemptEnd::Answered(answer) if answer.head.status == StatusCode::OK => {
-                    return Some(*answer);
+            next = match send(&self.call, &back_end, last_event, head_timeout, attempts).await {
+                AttemptResult::NotSent(reason) => self.attempts.after_not_sent(&self.call, reason),
+                AttemptResult::MayHaveRun(reason) => {
+                    self.attempts.after_may_have_run(&self.call, reason)
                 }
-                AttemptEnd::Answered(answer) if answer.marks.not_run => {
-                    self.attempts.not_run(&self.call, answer.marks.pause)
+                AttemptResult::Responded(response) if response.head.status == StatusCode::OK => {
+                    return Some(*response);
                 }
-                AttemptEnd::Answered(_) => self.attempts.may_have_run(&self.call, "resume_refused"),
+                AttemptResult::Responded(response) if response.marks.not_run => self
+                    .attempts
+                    .after_not_run(&self.call, response.marks.pause),
+                AttemptResult::Responded(_) => self
+                    .attempts
+                    .after_may_have_run(&self.call, "resume_refused"),
             };
         }
         None
@@ -362,32 +377,32 @@
     fn log_resumed(&self, reason: &str, back_end: &BackEnd) {
         let fields = format_args!(
             "request={} reason={reason} events={} back_end={} last_event={:?}",
-            self.call.ticket.id, self.events, back_end.id, self.last_event
+            self.call.metadata.id, self.events, back_end.id, self.last_event
         );
         lines::write(Rank::Decision, "stream_resumed", fields);
     }
 
-    fn end(&self, outcome: &str, back_end: &str) {
+    fn log_stream_end(&self, outcome: &str, back_end: &str) {
         let fields = format_args!(
             "request={} events={} first_event_ms={} longest_pause_ms={} longest_pause_end_ms={} \
              pause_objective_ms={}",
-            self.call.ticket.id,
+            self.call.metadata.id,
             self.events,
             self.first_event.unwrap_or_default().as_millis(),
-            self.longest_pause.as_millis(),
-            self.longest_pause_end.as_millis(),
+            self.max_gap.as_millis(),
+            self.max_gap_end.as_millis(),
             self.call
                 .route
                 .pause_objective
                 .unwrap_or_default()
                 .as_millis(),
         );
-        let rank = if outcome == "served" {
+        let priority = if outcome == "served" {
             Rank::Served
         } else {
             Rank::Decision
         };
-        lines::write(rank, "stream_end", fields);
+        lines::write(priority, "stream_end", fields);
         self.call
             .log_end(outcome, StatusCode::OK.as_u16(), back_end);
     }
