--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -69,7 +69,7 @@
     attempts: &mut Attempts,
 ) -> AttemptResult {
     let load = AttemptLoad {
-        in_flight: back_end.begin(),
+        in_flight: back_end.count_in_flight(),
         prefill: back_end.begin_prefill(call.shared.now(), &call.metadata),
     };
     let sent = Instant::now();
@@ -166,7 +166,8 @@
 
     fn record_unreachable(&self) {
         let now = self.call.shared.now();
-        self.back_end.note(|health| health.unreachable(now));
+        self.back_end
+            .update_health(|health| health.unreachable(now));
     }
 
     async fn exchange(&mut self, mut connection: Connection, is_pooled: bool) -> ExchangeResult {
@@ -255,7 +256,7 @@
 fn record_failure(call: &Call, back_end: &BackEnd, reason: &'static str) -> AttemptResult {
     call.mark_may_have_run();
     call.clear_in_doubt();
-    back_end.note(|health| health.unreachable(call.shared.now()));
+    back_end.update_health(|health| health.unreachable(call.shared.now()));
     AttemptResult::MayHaveRun(reason)
 }
 
--- a/crates/gateway/src/back_end.rs
+++ b/crates/gateway/src/back_end.rs
@@ -37,23 +37,23 @@
 const EXIT_LIFETIME_MS: u64 = 10_000;
 /// Maximum number of remembered lost connections of a back end, which has fewer slots.
 const MAX_LOST: usize = 256;
-/// Maximum time from the end of a back end's process to the removal of its row, in milliseconds:
+/// Maximum time from the exit of a back end's process to the removal of its row, in milliseconds:
 /// three heartbeats of 1.2 s, as users set them, and the delivery of the update.
 const LOST_WINDOW_MS: u64 = 6_000;
 /// How long a back end is not asked for a model or adapter that it said is absent, in milliseconds.
 const ABSENCE_LIFETIME_MS: u64 = 1_500;
 
-/// A back end.
+/// An incarnation of a back end, with what this gateway knows of it.
 #[derive(Debug)]
 pub struct BackEnd {
     /// The identity that the back end reported when it was first seen.
     pub id: BackEndId,
-    /// When the back end started, if it reports this.
+    /// When the process started, if the back end reports this.
     pub born: Option<Born>,
     /// Hash of the name, under which gateways exchange how many requests run there. All
     /// incarnations share it, because counts of a previous incarnation are gone within a second.
     pub hash: BackEndHash,
-    /// Hash of this incarnation, under which gateways exchange that it has ended.
+    /// Hash of this incarnation, which identifies it in messages between gateways.
     pub life_hash: quarantine::BackEndHash,
     /// Number of requests that the back end runs concurrently.
     pub slots: u32,
@@ -73,9 +73,9 @@
     latest_row: Mutex<SeenRow>,
     exit_check: tokio::sync::Mutex<Option<ExitCheck>>,
     /// Until when the back end is warming up, according to its latest row.
-    cold_until: Mutex<Timestamp>,
-    /// When the process was observed to have ended.
-    ended_at: Mutex<Option<Timestamp>>,
+    warm_up_until: Mutex<Timestamp>,
+    /// When the process was observed to have exited.
+    exited_at: Mutex<Option<Timestamp>>,
     /// Requests whose connection was lost while the back end seemed alive, and when.
     lost_requests: Mutex<VecDeque<(Fingerprint, Timestamp)>>,
     /// For how long the machine had been suspended in total when a connection was last taken, in
@@ -126,8 +126,8 @@
 
 impl Drop for PendingPrefill {
     fn drop(&mut self) {
-        let unread = &self.back_end.pending_prefill_tokens;
-        unread.fetch_sub(self.tokens, Ordering::Relaxed);
+        let tokens = &self.back_end.pending_prefill_tokens;
+        tokens.fetch_sub(self.tokens, Ordering::Relaxed);
     }
 }
 
@@ -152,8 +152,8 @@
             pending_prefill_tokens: AtomicU32::new(0),
             latest_row: Mutex::default(),
             exit_check: tokio::sync::Mutex::default(),
-            cold_until: Mutex::new(Timestamp(0)),
-            ended_at: Mutex::default(),
+            warm_up_until: Mutex::new(Timestamp(0)),
+            exited_at: Mutex::default(),
             lost_requests: Mutex::default(),
             suspended_ms: AtomicU64::new(0),
         }
@@ -171,16 +171,16 @@
 
     /// Records until when the back end is warming up.
     pub fn note_cold(&self, until: Timestamp) {
-        *self.cold_until.lock() = until;
+        *self.warm_up_until.lock() = until;
     }
 
     /// Whether the back end is warming up, so that its capacity is low.
     pub fn is_cold(&self, now: Timestamp) -> bool {
-        now < *self.cold_until.lock()
+        now < *self.warm_up_until.lock()
     }
 
     /// Counts a request as in flight.
-    pub fn begin(self: &Arc<Self>) -> InFlight {
+    pub fn count_in_flight(self: &Arc<Self>) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(self.clone())
     }
@@ -196,7 +196,7 @@
     }
 
     /// Updates the health, for instance with the result of an attempt.
-    pub fn note(&self, update: impl FnOnce(&mut Health)) {
+    pub fn update_health(&self, update: impl FnOnce(&mut Health)) {
         update(&mut self.health.lock());
     }
 
@@ -218,7 +218,7 @@
         if absent.is_empty() {
             return false;
         }
-        absent.retain(|_, noted| now.since(*noted) < ABSENCE_LIFETIME_MS);
+        absent.retain(|_, recorded_at| now.since(*recorded_at) < ABSENCE_LIFETIME_MS);
         absent.contains_key(&(model.clone(), adapter.cloned()))
     }
 
@@ -284,12 +284,12 @@
         idle.iter().any(Connection::is_reusable)
     }
 
-    /// Checks whether the process has ended: a connection was lost at `lost`, and the address
-    /// refuses connections since. A connection that the network resets, or a merely silent
-    /// back end, does not count as an end. One check serves all requests that lost a connection before it.
-    pub async fn check_for_end(&self, now: Timestamp, lost: Instant) -> bool {
+    /// Checks whether the process has exited: a connection was lost at `lost_at`, and the address
+    /// refuses connections since. A connection that the network resets, or a merely silent back end,
+    /// is no evidence of an exit. One check serves all requests that lost a connection before it.
+    pub async fn check_for_exit(&self, now: Timestamp, lost_at: Instant) -> bool {
         let mut last = self.exit_check.lock().await;
-        if self.has_ended(now) || last.is_some_and(|check| check.started >= lost) {
+        if self.has_ended(now) || last.is_some_and(|check| check.started >= lost_at) {
             return self.has_ended(now);
         }
         *last = Some(ExitCheck {
@@ -301,16 +301,16 @@
         self.has_ended(now)
     }
 
-    /// Whether the process was observed to have ended, so that its row will be removed soon. A row
+    /// Whether the process was observed to have exited, so that its row will be removed soon. A row
     /// that remains for longer shows that the back end is alive after all.
     pub fn has_ended(&self, now: Timestamp) -> bool {
-        let ended_at = *self.ended_at.lock();
-        ended_at.is_some_and(|at| now.since(at) < EXIT_LIFETIME_MS)
+        let exited_at = *self.exited_at.lock();
+        exited_at.is_some_and(|at| now.since(at) < EXIT_LIFETIME_MS)
     }
 
-    /// Records that the process has ended, as observed by this gateway or another one.
+    /// Records that the process has exited, as observed by this gateway or another one.
     pub fn note_ended(&self, now: Timestamp) {
-        *self.ended_at.lock() = Some(now);
+        *self.exited_at.lock() = Some(now);
     }
 
     /// Records a request whose connection was lost while the address still accepts connections: the
@@ -324,7 +324,7 @@
     }
 
     /// Requests whose connection was lost shortly before the row was removed. If the back end did
-    /// not drain, they were running when its process ended.
+    /// not drain, they were running when its process exited.
     pub fn lost_before(&self, now: Timestamp) -> Vec<Fingerprint> {
         let lost = self.lost_requests.lock();
         let recent = lost
--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -7,18 +7,18 @@
 /// The backoff of one task.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max_pause: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// Starts with a pause of `first`; no pause is longer than `longest` before jitter.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    /// Starts with a pause of `initial`; no pause is longer than `max_pause` before jitter.
+    pub fn new(initial: Duration, max_pause: Duration) -> Self {
         Backoff {
-            first,
-            longest,
-            next: first,
+            initial,
+            max_pause,
+            next: initial,
         }
     }
 
@@ -31,12 +31,12 @@
     /// together do not retry together.
     pub fn next_pause(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (pause * 2).min(self.longest);
+        self.next = (pause * 2).min(self.max_pause);
         pause.mul_f64(0.5 + rand::random::<f64>())
     }
 
     /// Returns to the first pause after a success.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.initial;
     }
 }
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -33,12 +33,12 @@
     Refused {
         /// Why the request was refused.
         reason: &'static str,
-        /// When a retry makes sense.
+        /// Time after which a retry makes sense.
         retry_after: Duration,
     },
     /// The request exceeds its tenant's quota; it was not run and will not be.
     QuotaExceeded {
-        /// When the quota allows the request.
+        /// Time after which the quota allows the request.
         retry_after: Duration,
     },
     /// The request may have run, and there is no response.
@@ -120,7 +120,7 @@
         response
     }
 
-    /// When a retry makes sense; none if this is unknown.
+    /// Time after which a retry makes sense; none if this is unknown.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Failure::Refused { retry_after, .. } | Failure::QuotaExceeded { retry_after } => {
--- a/crates/gateway/src/lost_connection.rs
+++ b/crates/gateway/src/lost_connection.rs
@@ -1,7 +1,7 @@
 //! Determines whether a back end crashed when a connection to it is lost during a request.
 //!
 //! The inputs are the request and its back end. The output is whether the back end's process has
-//! ended, also written to the log. If a proxy accepts connections in front of a back end, an end is
+//! exited; it is also logged. If a proxy accepts connections in front of a back end, an exit is
 //! known only once the back end's row is removed. The request waits no longer than `CHECK_TIMEOUT`
 //! for the result. The check is completed even if the caller disconnects meanwhile.
 
@@ -21,7 +21,7 @@
 const CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Records that the connection to `back_end` was lost while it handled `call`. Returns a reason for
-/// log lines, which says whether the process is known in time to have ended.
+/// log lines, which says whether the process is known in time to have exited.
 pub async fn check_back_end(call: &Call, back_end: &Arc<BackEnd>) -> &'static str {
     let lost_at = Instant::now();
     let (shared, back_end) = (call.shared.clone(), back_end.clone());
@@ -30,19 +30,19 @@
         let id = &back_end.id;
         // A back end that is draining, or whose row is removed, exits as planned.
         let was_active = shared.directory(|directory: &Directory| directory.is_active(id));
-        let has_ended = back_end.check_for_end(shared.now(), lost_at).await;
+        let has_exited = back_end.check_for_exit(shared.now(), lost_at).await;
         let fields = format_args!(
-            "request={request} fingerprint={fingerprint} back_end={id} ended={has_ended} \
+            "request={request} fingerprint={fingerprint} back_end={id} ended={has_exited} \
              planned={}",
             !was_active
         );
         lines::write(Rank::Decision, "connection_lost", fields);
-        if has_ended && was_active {
+        if has_exited && was_active {
             shared.note_end_under(fingerprint, back_end.life_hash);
         } else if was_active {
             back_end.record_lost(shared.now(), fingerprint);
         }
-        has_ended
+        has_exited
     });
     // A result that comes later is still recorded, and applies from then on.
     match timeout(CHECK_TIMEOUT, check).await {
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/plain.rs
@@ -69,7 +69,7 @@
         {
             reason = BACK_END_ENDED;
         }
-        back_end.note(|health| health.unreachable(call.shared.now()));
+        back_end.update_health(|health| health.unreachable(call.shared.now()));
         return Err(attempts.after_may_have_run(call, reason));
     };
     let latency = response.age().as_millis() as u64;
@@ -82,17 +82,17 @@
     }
     call.shared.note_whole_answer(call.fingerprint);
     if response.has_unconfirmed_not_run_status() {
-        back_end.note(|health| health.failed(now));
+        back_end.update_health(|health| health.failed(now));
         return Err(attempts.after_may_have_run(call, "untrue_promise"));
     }
     if response.is_failure() {
-        back_end.note(|health| health.failed(now));
+        back_end.update_health(|health| health.failed(now));
         if attempts.take_retry_after_failure(call) {
             response.return_connection(&call.shared);
             return Err(NextStep::Retry);
         }
     } else {
-        back_end.note(|health| health.answered(now, latency));
+        back_end.update_health(|health| health.answered(now, latency));
     }
     Ok(forward_response(call, response, body))
 }
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -317,7 +317,7 @@
     failure.to_response(call.shared.platform.as_ref())
 }
 
-/// Logs the end of a request that failed before it was read completely.
+/// Logs the end of a request that was rejected before any attempt.
 fn log_rejected(metadata: &Ticket, route: &str, failure: Failure) -> Failure {
     let fields = format_args!(
         "request={} outcome={} status={} route={route} attempts=0 exposed=false",
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -198,7 +198,7 @@
                 SegmentEnd::Complete => {
                     let latency = self.first_event.unwrap_or_default().as_millis() as u64;
                     let now = self.call.shared.now();
-                    back_end.note(|health| health.answered(now, latency));
+                    back_end.update_health(|health| health.answered(now, latency));
                     let shared = &self.call.shared;
                     shared.note_whole_answer(self.call.fingerprint);
                     response.return_connection(&self.call.shared);
@@ -221,7 +221,7 @@
                 }
                 reason => reason,
             };
-            back_end.note(|health| health.unreachable(self.call.shared.now()));
+            back_end.update_health(|health| health.unreachable(self.call.shared.now()));
             let call = self.call.clone();
             let next = tokio::select! {
                 next = self.resume(reason) => next,
