--- a/crates/gateway/src/backoff.rs
+++ b/crates/gateway/src/backoff.rs
@@ -1,42 +1,42 @@
-//! Pauses between tries that fail: each twice as long as the one before, up to a bound.
+//! Exponential backoff between failed attempts, with jitter and an upper bound.
 
 use std::time::Duration;
 
 use tokio::time::sleep;
 
-/// Pauses of one task.
+/// The backoff of one task.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max_pause: Duration,
     next: Duration,
 }
 
 impl Backoff {
-    /// Begins with a pause of `first`; none is longer than `longest`.
-    pub fn new(first: Duration, longest: Duration) -> Self {
+    /// Starts with a pause of `initial`; no pause is longer than `max_pause` before jitter.
+    pub fn new(initial: Duration, max_pause: Duration) -> Self {
         Backoff {
-            first,
-            longest,
-            next: first,
+            initial,
+            max_pause,
+            next: initial,
         }
     }
 
-    /// Waits for the next pause.
+    /// Sleeps for the next pause.
     pub async fn wait(&mut self) {
         sleep(self.next_pause()).await;
     }
 
-    /// Half of the next pause to one and a half of it, so that tasks which failed together
-    /// do not try again together.
+    /// Between half and one and a half times the next pause, at random, so that tasks that failed
+    /// together do not retry together.
     pub fn next_pause(&mut self) -> Duration {
         let pause = self.next;
-        self.next = (pause * 2).min(self.longest);
+        self.next = (pause * 2).min(self.max_pause);
         pause.mul_f64(0.5 + rand::random::<f64>())
     }
 
-    /// A try succeeded: the next pause is the first one again.
+    /// Returns to the first pause after a success.
     pub fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.initial;
     }
 }
