--- a/crates/gateway/src/allowance/denials.rs
+++ b/crates/gateway/src/allowance/denials.rs
@@ -1,5 +1,9 @@
-//! Tenants beyond their limits, as this gateway was told: it need not ask for what is surely
-//! refused. A tenant that sends many times what it may would be asked for each time.
+//! Cache of recent over-quota responses, per tenant.
+//!
+//! In: charges that were rejected as over quota, with the time after which there is capacity
+//! again. Out: whether a request is certain to be rejected, so that this gateway need not ask
+//! the shard holders. Without the cache, a tenant that sends many times its quota would cause
+//! a request to a shard holder for each of its own requests.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,42 +13,43 @@
 
 use super::Want;
 
-/// After this time whoever counts is asked again, whatever it said: requests that were counted
-/// may be given back.
-const LONGEST: Duration = Duration::from_millis(500);
+/// Maximum time for which a denial is used. After that the shard holders are asked again, since
+/// requests that were charged may have been refunded.
+const MAX_DENIAL_LIFETIME: Duration = Duration::from_millis(500);
 
 #[derive(Debug)]
-struct Denied {
+struct Denial {
     cost: f64,
-    /// When there is room, as whoever counts said.
-    room_at: Instant,
-    /// Until when that is believed.
-    believed_until: Instant,
+    /// When there is capacity for the cost, as stated by the shard holder.
+    capacity_at: Instant,
+    /// When this entry expires.
+    valid_until: Instant,
 }
 
 /// The last denial of each tenant.
 #[derive(Debug, Default)]
-pub(super) struct Denials {
-    last: HashMap<TenantId, Denied>,
+pub(super) struct DenialCache {
+    last: HashMap<TenantId, Denial>,
 }
 
-impl Denials {
-    /// There is no room for this for so long.
-    pub(super) fn note(&mut self, want: &Want, wait: Duration) {
+impl DenialCache {
+    /// Records that the quota has no capacity for this demand until `wait` has passed.
+    pub(super) fn record(&mut self, demand: &Want, wait: Duration) {
         let now = Instant::now();
-        let denied = Denied {
-            cost: want.cost,
-            room_at: now + wait,
-            believed_until: now + wait.min(LONGEST),
+        let denial = Denial {
+            cost: demand.cost,
+            capacity_at: now + wait,
+            valid_until: now + wait.min(MAX_DENIAL_LIFETIME),
         };
-        self.last.insert(want.tenant.clone(), denied);
+        self.last.insert(demand.tenant.clone(), denial);
     }
 
-    /// After which time there is room for this, as far as is known; none if there may be now.
-    pub(super) fn left(&self, want: &Want) -> Option<Duration> {
-        let denied = self.last.get(&want.tenant)?;
+    /// Time until there is capacity for this demand, if a valid denial covers it; none if the
+    /// demand may be granted now.
+    pub(super) fn remaining_wait(&self, demand: &Want) -> Option<Duration> {
+        let denial = self.last.get(&demand.tenant)?;
         let now = Instant::now();
-        let is_denied = now < denied.believed_until && want.cost >= denied.cost;
-        is_denied.then(|| denied.room_at - now)
+        let is_denied = now < denial.valid_until && demand.cost >= denial.cost;
+        is_denied.then(|| denial.capacity_at - now)
     }
 }
--- a/crates/gateway/src/allowance/message.rs
+++ b/crates/gateway/src/allowance/message.rs
@@ -1,61 +1,63 @@
-//! What gateways say to each other of limits.
+//! Messages between gateways about tenants' quotas and the rate limits that back ends state.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::quarantine::BackEndHash;
 use gorsebank_world::TenantId;
 use serde::{Deserialize, Serialize};
 
-/// A request that was counted and is known not to have run.
+/// The refund of a request that was charged and is known not to have run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Returned {
-    /// Whose it was.
+pub struct Refund {
+    /// The tenant that sent the request.
     #[serde(rename = "t")]
     pub tenant: TenantId,
-    /// What it counted for.
+    /// The cost that was charged.
     #[serde(rename = "c")]
     pub cost: f64,
-    /// The lease under which it was counted: another ledger does not know of it.
+    /// The fencing token of the lease under which the request was charged. Only the ledger
+    /// under that lease knows of the charge.
     #[serde(rename = "f")]
     pub fence: u64,
-    /// When that was, by the clock of whoever counted it.
+    /// When the request was charged, by the clock of the shard holder.
     #[serde(rename = "g")]
-    pub granted: Timestamp,
+    pub granted_at: Timestamp,
 }
 
-/// A question for one request.
+/// Asks a shard holder to charge one request to its tenant's quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
-    /// The seat.
+    /// The quota shard.
     #[serde(rename = "s")]
-    pub seat: usize,
-    /// Whose it is.
+    pub shard: usize,
+    /// The tenant that sent the request.
     #[serde(rename = "t")]
     pub tenant: TenantId,
-    /// What it counts for.
+    /// The cost to charge.
     #[serde(rename = "c")]
     pub cost: f64,
-    /// What is given back, of tenants of the same seat.
+    /// Refunds for tenants of the same shard.
     #[serde(rename = "r", default)]
-    pub returned: Vec<Returned>,
-    /// A time for a request to a back end is asked for, and nothing of a tenant.
+    pub refunds: Vec<Refund>,
+    /// If set, the message asks for a send time at a back end and charges no tenant.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
     pub send_time: Option<SendTimeAsk>,
 }
 
 impl Ask {
-    /// A question that counts nothing: whoever holds the seat of no tenant answers it, too.
+    /// A request that charges nothing. Every gateway answers it, whether or not it holds the
+    /// shard.
     pub fn nothing() -> Self {
         Ask {
-            seat: 0,
+            shard: 0,
             tenant: TenantId::from(""),
             cost: 0.0,
-            returned: Vec::new(),
+            refunds: Vec::new(),
             send_time: None,
         }
     }
 
-    /// A question for a time at a back end. A gateway of an earlier build takes it for one of a
-    /// tenant without a name, and answers that it does not count there.
+    /// A request for a send time at a back end. A gateway of an earlier build reads it as a
+    /// charge to a tenant with an empty name, and responds that it does not hold the shard.
     pub fn for_send_time(send_time: SendTimeAsk) -> Self {
         Ask {
             send_time: Some(send_time),
@@ -64,47 +66,54 @@
     }
 }
 
-/// A question for a time at which a request may be sent to a back end that states a limit.
+/// Asks for a time at which a request may be sent to a back end that states a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SendTimeAsk {
-    /// The back end, in its present life.
+    /// Identifies one incarnation of the back end.
     #[serde(rename = "h")]
     pub back_end: BackEndHash,
-    /// Requests a second that it takes, as the asker knows.
+    /// The back end's rate limit as the sender knows it, in requests per second.
     #[serde(rename = "r")]
     pub rate: f64,
-    /// How long the request can wait, in milliseconds.
+    /// Maximum time that the request can wait, in milliseconds.
     #[serde(rename = "w")]
     pub most_wait: u64,
 }
 
-/// The answer.
+/// The response to an [`Ask`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AskAnswer {
-    /// It is within the limit, and was counted.
+    /// The request is within the quota and was charged.
     Granted {
-        /// The lease under which it was counted.
+        /// The fencing token of the lease under which the request was charged.
         fence: u64,
-        /// When, by the clock of whoever counted it.
-        at: Timestamp,
+        /// When the request was charged, by the clock of the shard holder.
+        #[serde(rename = "at")]
+        granted_at: Timestamp,
     },
-    /// It is beyond the limit; there is room for it after so many milliseconds.
+    /// The request would exceed the quota or, for a send time, wait longer than it can.
+    #[serde(rename = "Beyond")]
     Beyond {
-        /// Milliseconds.
+        /// Time after which there is capacity for the request, in milliseconds.
+        #[serde(rename = "wait")]
         wait: u64,
     },
-    /// Who counts has just begun and does not know what was granted before; there is room
-    /// after so many milliseconds.
-    NotYet {
-        /// Milliseconds.
-        wait: u64,
+    /// The shard holder has just started, does not know the earlier grants, and cannot grant
+    /// the request yet.
+    #[serde(rename = "NotYet")]
+    NotReady {
+        /// Time after which a retry can succeed, in milliseconds.
+        #[serde(rename = "wait")]
+        wait_ms: u64,
     },
-    /// This gateway does not count for the tenant, or not for back ends.
+    /// This gateway does not hold the tenant's shard, or does not assign send times.
+    #[serde(rename = "NotHere")]
     NotHere,
-    /// The request may be sent to the back end after so many milliseconds. Only a question for
-    /// that is answered so.
+    /// A send time at the back end was reserved. Only the response to a request for a send
+    /// time has this value.
     Reserved {
-        /// Milliseconds.
+        /// Time after which the request may be sent, in milliseconds.
+        #[serde(rename = "wait")]
         wait: u64,
     },
 }
--- a/crates/gateway/src/allowance/mod.rs
+++ b/crates/gateway/src/allowance/mod.rs
@@ -1,19 +1,22 @@
-//! Limits of tenants over all gateways: each request is counted once, at the gateway that
-//! counts for its tenant, before anything else is done for it.
+//! Quotas of tenants across all gateways. Each request is charged to its tenant's quota once,
+//! before anything else is done for the request.
 //!
 //! ```text
-//! request --> gateway --ask--> gateway with the seat of its tenant: lease, ledger
-//!                     <-granted, beyond, not yet-
+//! request --> gateway --charge--> holder of one of the tenant's shards: lease, ledger
+//!                     <--granted, over quota, not ready--
 //! ```
 //!
-//! Tenants are counted by halves at a few seats ([`gorsebank_fleet::counting_seat`]); a gateway
-//! holds a seat by a lease of the table ([`seats`]) and counts while that is valid, so nobody
-//! counts beside it. Gateways begin with one half each, and ask the other one before they say
-//! no. Requests of one gateway alone say nothing of a limit: of 87 gateways each has
+//! Each tenant's quota is divided equally between two of a fixed number of quota shards
+//! ([`gorsebank_fleet::counting_seat`]). A gateway holds a shard by a lease in the table
+//! ([`seats`]) and charges requests to it only while the lease is valid, so no two gateways
+//! charge to the same shard at a time. A gateway first asks the holder of one of the two shards,
+//! chosen at random, and asks the other one before it rejects a request. The requests of a
+//! single gateway are too few to tell whether a quota is exceeded: with 87 gateways, each sees
 //! one request of a small tenant in half a minute.
 //!
-//! In: what a request counts for. Out: whether it is within its tenant's limit. This module
-//! knows no connections: whoever uses it hands it the way to another gateway.
+//! In: the tenant and cost of each request. Out: whether the request is within the tenant's
+//! quota. This module opens no connections: its caller supplies the function that sends a
+//! message to another gateway.
 
 mod denials;
 mod message;
@@ -33,233 +36,241 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-use denials::Denials;
-pub use message::{Ask, AskAnswer, Returned, SendTimeAsk};
+use denials::DenialCache;
+pub use message::{Ask, AskAnswer, Refund, SendTimeAsk};
 
-/// Pause before another try, while nobody counts for a tenant or nobody answers.
+/// Pause before a retry while no gateway holds a tenant's shard or no holder responds.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
-/// A gateway that did not answer is not asked again for so long: requests that come
-/// meanwhile do not wait for it one after the other.
-const REST: Duration = Duration::from_millis(600);
-/// Returns that wait for the next question to a seat at most.
-const MOST_RETURNS: usize = 64;
+/// A gateway that did not respond is not asked again for this time, so that the requests that
+/// arrive meanwhile do not each wait for its timeout.
+const PEER_COOLDOWN: Duration = Duration::from_millis(600);
+/// Maximum number of refunds that wait for the next request to a shard's holder.
+const MAX_PENDING_REFUNDS: usize = 64;
 
-/// A request that was counted.
+/// A request that was charged to its tenant's quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Grant {
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: TenantId,
-    /// What it counts for.
+    /// The cost that was charged.
     pub cost: f64,
-    /// The seat at which it was counted.
-    seat: usize,
-    /// The lease under which it was counted.
+    /// The shard to which the request was charged.
+    shard: usize,
+    /// The fencing token of the lease under which the request was charged.
     fence: u64,
-    /// When, by the clock of whoever counted it.
-    granted: Timestamp,
+    /// When the request was charged, by the clock of the shard holder.
+    granted_at: Timestamp,
 }
 
-/// What came of asking.
+/// The result of charging a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Obtained {
-    /// The request is within the limit.
+    /// The request is within the quota and was charged.
     Granted(Grant),
-    /// It is beyond the limit, for so long.
+    /// The request would exceed the quota; there is capacity for it after this time.
     Beyond(Duration),
-    /// Nobody could tell in time.
+    /// The shard holders gave no conclusive response before the deadline.
     Unknown,
 }
 
-/// What came of asking at all seats of a tenant once.
-enum Round {
-    /// One of them granted it.
+/// The result of asking the holders of all shards of a tenant once.
+enum RoundOutcome {
+    /// One of the holders granted the request.
     Granted(Grant),
-    /// All of them say that it is beyond the limit; there is room after this time.
-    Beyond(Duration),
-    /// Not all of them said anything; another try makes sense after this time.
+    /// All holders responded that the request exceeds the quota; one of them has capacity for
+    /// it after this time.
+    OverQuota(Duration),
+    /// At least one shard gave no conclusive response; a retry can succeed after this time.
     Unknown(Duration),
 }
 
-/// What a request counts for.
+/// What is to be charged for one request.
 #[derive(Clone, Debug)]
 pub struct Want {
-    /// Whose it is.
+    /// The tenant that sent the request.
     pub tenant: TenantId,
-    /// What it counts for.
+    /// The cost to charge.
     pub cost: f64,
 }
 
-/// The counting at this gateway, under one lease.
-struct Counting {
+/// The ledger of a shard that this gateway holds, under one lease.
+struct ActiveShard {
     keeper: Arc<Mutex<LeaseKeeper>>,
     fence: u64,
     ledger: Ledger,
 }
 
-impl Counting {
-    /// Whether nobody else can have begun to count.
+impl ActiveShard {
+    /// Whether the lease is still valid, so that no other gateway can have activated the shard.
     fn is_valid(&self, now: Timestamp) -> bool {
         self.keeper.lock().fence(now) == Some(self.fence)
     }
 }
 
-/// One seat, as this gateway knows it.
+/// One quota shard, as this gateway knows it.
 #[derive(Default)]
-struct Seat {
-    /// Who holds it, as the table says.
+struct Shard {
+    /// The lease holder, according to the table.
     holder: Option<NodeId>,
-    /// The ledger, while this gateway holds it.
-    counting: Option<Counting>,
-    /// What is to be given back with the next question.
-    returns: Vec<Returned>,
+    /// The ledger, while this gateway holds the shard.
+    active: Option<ActiveShard>,
+    /// Refunds to be sent with the next request to the holder.
+    refunds: Vec<Refund>,
 }
 
-/// Limits of tenants, as this gateway asks for them and counts.
+/// Quotas of tenants: charges requests at the shard holders, and keeps the ledgers of the shards
+/// that this gateway holds.
 #[derive(Default)]
 pub struct Allowance {
-    seats: [Mutex<Seat>; SEATS],
-    /// Rings when what was granted at a seat should be saved soon.
-    pub unsaved: Notify,
-    denials: Mutex<Denials>,
-    resting: Mutex<HashMap<NodeId, Instant>>,
+    shards: [Mutex<Shard>; SEATS],
+    /// Notified when a ledger should be saved soon.
+    pub save_wanted: Notify,
+    denials: Mutex<DenialCache>,
+    /// Gateways that did not respond, and the end of their cooldown.
+    cooldowns: Mutex<HashMap<NodeId, Instant>>,
 }
 
 impl Allowance {
-    /// The table says who holds a seat.
-    pub fn set_holder(&self, seat: usize, holder: Option<NodeId>) {
-        self.seats[seat].lock().holder = holder;
+    /// Updates the holder of a shard, as read from the table.
+    pub fn set_holder(&self, shard: usize, holder: Option<NodeId>) {
+        self.shards[shard].lock().holder = holder;
     }
 
-    /// Who holds each seat, as the table says.
-    pub fn seat_holders(&self) -> [Option<NodeId>; SEATS] {
-        std::array::from_fn(|seat| self.seats[seat].lock().holder.clone())
+    /// The holder of each shard, according to the table.
+    pub fn shard_holders(&self) -> [Option<NodeId>; SEATS] {
+        std::array::from_fn(|shard| self.shards[shard].lock().holder.clone())
     }
 
-    /// This gateway has taken the lease of a seat, and nobody else counts there from now on;
-    /// whoever did had saved this. Out: whether the lease is valid now.
-    pub fn begin_counting(
+    /// Starts to charge requests to a shard whose lease this gateway has acquired. `saved` is
+    /// the usage that the previous holder saved; that holder's lease has ended. Returns whether
+    /// the lease is valid now.
+    pub fn activate_shard(
         &self,
         now: Timestamp,
-        seat: usize,
+        shard: usize,
         keeper: &Arc<Mutex<LeaseKeeper>>,
         bound: LimitBound,
         saved: SavedUse,
     ) -> bool {
         let fence = keeper.lock().fence(now);
-        let counting = fence.map(|fence| Counting {
+        let active = fence.map(|fence| ActiveShard {
             keeper: keeper.clone(),
             fence,
             ledger: Ledger::new(bound, HALVES, now, saved),
         });
-        let begins = counting.is_some();
-        self.seats[seat].lock().counting = counting;
-        begins
+        let is_active = active.is_some();
+        self.shards[shard].lock().active = active;
+        is_active
     }
 
-    /// What was granted at a seat, to be saved with its lease; none if this gateway does not
-    /// count there.
-    pub fn save(
+    /// The granted usage of a shard, to be written to the table with its lease; none if this
+    /// gateway does not hold the shard.
+    pub fn usage_to_save(
         &self,
         now: Timestamp,
-        seat: usize,
+        shard: usize,
         configuration: &Configuration,
     ) -> Option<SavedUse> {
-        let mut own = self.seats[seat].lock();
-        let counting = own.counting.as_mut()?;
+        let mut own = self.shards[shard].lock();
+        let active = own.active.as_mut()?;
         let tenants = configuration.tenants.iter().flat_map(Tenants::iter);
-        let counted = tenants.filter(|tenant| seats_of(&tenant.id).contains(&seat));
-        let limits = counted.filter_map(|tenant| Some((&tenant.id, tenant.limit.as_ref()?)));
-        Some(counting.ledger.save(now, limits))
+        let charged = tenants.filter(|tenant| seats_of(&tenant.id).contains(&shard));
+        let limits = charged.filter_map(|tenant| Some((&tenant.id, tenant.limit.as_ref()?)));
+        Some(active.ledger.save(now, limits))
     }
 
-    /// What was last to be saved for a seat stands.
-    pub fn saved(&self, seat: usize) {
-        if let Some(counting) = self.seats[seat].lock().counting.as_mut() {
-            counting.ledger.saved();
+    /// Records that the write of the last [`Allowance::usage_to_save`] of a shard succeeded.
+    pub fn confirm_saved(&self, shard: usize) {
+        if let Some(active) = self.shards[shard].lock().active.as_mut() {
+            active.ledger.saved();
         }
     }
 
-    /// Whether what was granted at a seat should be saved soon.
-    pub fn needs_saving(&self, seat: usize) -> bool {
-        let seat = self.seats[seat].lock();
-        let counting = seat.counting.as_ref();
-        counting.is_some_and(|counting| counting.ledger.needs_saving())
+    /// Whether the granted usage of a shard should be saved soon.
+    pub fn needs_saving(&self, shard: usize) -> bool {
+        let shard = self.shards[shard].lock();
+        let active = shard.active.as_ref();
+        active.is_some_and(|active| active.ledger.needs_saving())
     }
 
-    /// This gateway has lost a seat.
-    pub fn end_counting(&self, seat: usize) {
-        self.seats[seat].lock().counting = None;
+    /// Stops charging requests to a shard whose lease this gateway has lost.
+    pub fn deactivate_shard(&self, shard: usize) {
+        self.shards[shard].lock().active = None;
     }
 
-    /// Answers another gateway, or this one, that asks at a seat.
+    /// Responds to a request of another gateway, or of this one, to charge a shard.
     pub fn answer(
         &self,
         now: Timestamp,
-        ask: &Ask,
+        request: &Ask,
         configuration: Option<&Configuration>,
     ) -> AskAnswer {
-        let Some(seat) = self.seats.get(ask.seat) else {
+        let Some(shard) = self.shards.get(request.shard) else {
             return AskAnswer::NotHere;
         };
-        let mut seat = seat.lock();
-        let counting = seat.counting.as_mut();
-        let valid = counting.filter(|counting| counting.is_valid(now));
+        let mut shard = shard.lock();
+        let active = shard.active.as_mut();
+        let valid = active.filter(|active| active.is_valid(now));
         let tenants = configuration.and_then(|known| known.tenants.as_ref());
-        let (Some(counting), Some(tenants)) = (valid, tenants) else {
+        let (Some(active), Some(tenants)) = (valid, tenants) else {
             return AskAnswer::NotHere;
         };
-        for returned in ask.returned.iter().filter(|it| it.fence == counting.fence) {
-            let ledger = &mut counting.ledger;
-            ledger.give_back(now, &returned.tenant, returned.granted, returned.cost);
+        for refund in request.refunds.iter().filter(|it| it.fence == active.fence) {
+            let ledger = &mut active.ledger;
+            ledger.give_back(now, &refund.tenant, refund.granted_at, refund.cost);
         }
-        let Some(tenant) = tenants.tenant(&ask.tenant) else {
+        let Some(tenant) = tenants.tenant(&request.tenant) else {
             return AskAnswer::NotHere;
         };
         let granted = AskAnswer::Granted {
-            fence: counting.fence,
-            at: now,
+            fence: active.fence,
+            granted_at: now,
         };
         let Some(limit) = tenant.limit else {
             return granted;
         };
         let milliseconds = |wait: Duration| wait.as_millis() as u64 + 1;
-        let taken = counting.ledger.take(now, &ask.tenant, &limit, ask.cost);
-        if counting.ledger.needs_saving() {
-            self.unsaved.notify_one();
+        let decision = active
+            .ledger
+            .take(now, &request.tenant, &limit, request.cost);
+        if active.ledger.needs_saving() {
+            self.save_wanted.notify_one();
         }
-        match taken {
+        match decision {
             Taken::Granted => granted,
             Taken::Beyond(wait) => AskAnswer::Beyond {
                 wait: milliseconds(wait),
             },
-            Taken::NotYet(wait) => AskAnswer::NotYet {
-                wait: milliseconds(wait),
+            Taken::NotYet(wait) => AskAnswer::NotReady {
+                wait_ms: milliseconds(wait),
             },
         }
     }
 
-    /// Asks whoever counts for a tenant, until one grants it or all say no, or until a time.
-    /// `put` asks a gateway, this one included; none if there was no answer.
+    /// Charges a request to its tenant's quota. Retries until a shard holder grants the request,
+    /// all holders respond that it exceeds the quota, or the time `until` would be passed.
+    /// `send` sends a request to a gateway, this one included, and returns none if there was no
+    /// response.
     pub async fn obtain<F>(
         &self,
-        want: &Want,
+        demand: &Want,
         until: Instant,
-        put: impl Fn(NodeId, Ask) -> F,
+        send: impl Fn(NodeId, Ask) -> F,
     ) -> Obtained
     where
         F: Future<Output = Option<AskAnswer>>,
     {
-        if let Some(left) = self.denials.lock().left(want) {
-            return Obtained::Beyond(left);
+        if let Some(remaining) = self.denials.lock().remaining_wait(demand) {
+            return Obtained::Beyond(remaining);
         }
         loop {
-            let pause = match self.ask_all(want, &put).await {
-                Round::Granted(grant) => return Obtained::Granted(grant),
-                Round::Beyond(wait) => {
-                    self.denials.lock().note(want, wait);
+            let pause = match self.request_at_all_shards(demand, &send).await {
+                RoundOutcome::Granted(grant) => return Obtained::Granted(grant),
+                RoundOutcome::OverQuota(wait) => {
+                    self.denials.lock().record(demand, wait);
                     return Obtained::Beyond(wait);
                 }
-                Round::Unknown(pause) => pause,
+                RoundOutcome::Unknown(pause) => pause,
             };
             if Instant::now() + pause >= until {
                 return Obtained::Unknown;
@@ -268,25 +279,29 @@
         }
     }
 
-    /// Asks at the tenant's seats, one after the other.
-    async fn ask_all<F>(&self, want: &Want, put: &impl Fn(NodeId, Ask) -> F) -> Round
+    /// Asks the holders of the tenant's shards, one after the other.
+    async fn request_at_all_shards<F>(
+        &self,
+        demand: &Want,
+        send: &impl Fn(NodeId, Ask) -> F,
+    ) -> RoundOutcome
     where
         F: Future<Output = Option<AskAnswer>>,
     {
-        let mut seats = seats_of(&want.tenant);
-        // Each begins with either: the halves are used alike.
-        seats.rotate_left(rand::random_range(0..HALVES));
+        let mut shards = seats_of(&demand.tenant);
+        // A random first shard balances the usage of the two.
+        shards.rotate_left(rand::random_range(0..HALVES));
         let (mut denials, mut soonest) = (0, None::<Duration>);
         let mut pause = RETRY_PAUSE;
-        for seat in seats {
-            match self.ask(seat, want, put).await {
-                Some(AskAnswer::Granted { fence, at }) => {
-                    return Round::Granted(Grant {
-                        tenant: want.tenant.clone(),
-                        cost: want.cost,
-                        seat,
+        for shard in shards {
+            match self.request_at_shard(shard, demand, send).await {
+                Some(AskAnswer::Granted { fence, granted_at }) => {
+                    return RoundOutcome::Granted(Grant {
+                        tenant: demand.tenant.clone(),
+                        cost: demand.cost,
+                        shard,
                         fence,
-                        granted: at,
+                        granted_at,
                     });
                 }
                 Some(AskAnswer::Beyond { wait }) => {
@@ -294,64 +309,64 @@
                     denials += 1;
                     soonest = Some(soonest.map_or(wait, |soonest| soonest.min(wait)));
                 }
-                Some(AskAnswer::NotYet { wait }) => {
-                    pause = pause.min(Duration::from_millis(wait));
+                Some(AskAnswer::NotReady { wait_ms }) => {
+                    pause = pause.min(Duration::from_millis(wait_ms));
                 }
-                // A time at a back end is no answer to this.
+                // `Reserved` responds to requests for send times only.
                 Some(AskAnswer::NotHere | AskAnswer::Reserved { .. }) | None => {}
             }
         }
         match soonest {
-            Some(wait) if denials == HALVES => Round::Beyond(wait),
-            _ => Round::Unknown(pause),
+            Some(wait) if denials == HALVES => RoundOutcome::OverQuota(wait),
+            _ => RoundOutcome::Unknown(pause),
         }
     }
 
-    async fn ask<F>(
+    async fn request_at_shard<F>(
         &self,
-        seat: usize,
-        want: &Want,
-        put: &impl Fn(NodeId, Ask) -> F,
+        shard: usize,
+        demand: &Want,
+        send: &impl Fn(NodeId, Ask) -> F,
     ) -> Option<AskAnswer>
     where
         F: Future<Output = Option<AskAnswer>>,
     {
-        let holder = self.seats[seat].lock().holder.clone()?;
-        if self.rests(&holder) {
+        let holder = self.shards[shard].lock().holder.clone()?;
+        if self.is_in_cooldown(&holder) {
             return None;
         }
-        let ask = Ask {
-            seat,
-            tenant: want.tenant.clone(),
-            cost: want.cost,
-            returned: std::mem::take(&mut self.seats[seat].lock().returns),
+        let request = Ask {
+            shard,
+            tenant: demand.tenant.clone(),
+            cost: demand.cost,
+            refunds: std::mem::take(&mut self.shards[shard].lock().refunds),
             send_time: None,
         };
-        let answer = put(holder.clone(), ask).await;
-        if answer.is_none() {
-            let until = Instant::now() + REST;
-            self.resting.lock().insert(holder, until);
+        let response = send(holder.clone(), request).await;
+        if response.is_none() {
+            let until = Instant::now() + PEER_COOLDOWN;
+            self.cooldowns.lock().insert(holder, until);
         }
-        answer
+        response
     }
 
-    fn rests(&self, holder: &NodeId) -> bool {
-        let mut resting = self.resting.lock();
+    fn is_in_cooldown(&self, holder: &NodeId) -> bool {
+        let mut cooldowns = self.cooldowns.lock();
         let now = Instant::now();
-        resting.retain(|_, until| now < *until);
-        resting.contains_key(holder)
+        cooldowns.retain(|_, until| now < *until);
+        cooldowns.contains_key(holder)
     }
 
-    /// A request that was counted is known not to have run. That is told with the next
-    /// question to the seat: before that nobody needs to know.
+    /// Refunds a request that was charged and is known not to have run. The refund is sent with
+    /// the next request to the shard's holder, since it only matters for later charges.
     pub fn give_back(&self, grant: Grant) {
-        let mut seat = self.seats[grant.seat].lock();
-        if seat.returns.len() < MOST_RETURNS {
-            seat.returns.push(Returned {
+        let mut shard = self.shards[grant.shard].lock();
+        if shard.refunds.len() < MAX_PENDING_REFUNDS {
+            shard.refunds.push(Refund {
                 tenant: grant.tenant,
                 cost: grant.cost,
                 fence: grant.fence,
-                granted: grant.granted,
+                granted_at: grant.granted_at,
             });
         }
     }
--- a/crates/gateway/src/allowance/seats.rs
+++ b/crates/gateway/src/allowance/seats.rs
@@ -1,7 +1,8 @@
-//! Holds seats at which tenants are counted.
+//! Acquires, keeps and hands over the leases of quota shards.
 //!
-//! In: the leases of seats. Out: ledgers, while this gateway holds a seat. What was granted is
-//! saved in a row beside the lease, so that whoever counts next goes on from there.
+//! In: the lease rows of the shards. Out: calls that activate a shard's ledger while this gateway
+//! holds its lease. The granted usage is saved in a row that is written together with the lease,
+//! so that the next holder continues from it.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -20,78 +21,81 @@
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
 
-/// Length of a seat's lease, in bounds on turns of holders. While the table is out of order a
-/// lease of 3 s would end after 1.7 s; this one lasts for 3.4 s, when callers with keys are
-/// not owed an answer any more.
-const LEASE_PART: f64 = 1.4;
-/// Seats are looked after at least this often.
-const LONGEST_PAUSE: Duration = Duration::from_millis(700);
-/// Least pause between two looks.
-const LEAST_PAUSE: Duration = Duration::from_millis(20);
-/// A machine with this part of the strongest one's processor counts as strong.
-const STRONG_PART: f64 = 0.8;
-/// A machine whose timers are so late on average does not offer itself.
-const LATE: Duration = Duration::from_millis(150);
-/// A gateway hands a seat back after this time, when another one should have it: whoever was
-/// there first would keep them all.
-const LEAST_HOLD: Duration = Duration::from_secs(6);
-/// How long an order of gateways counts: it is worked out from all that are known.
+/// Length of a shard's lease, as a multiple of `bounds.lease`. While the table is unavailable, a
+/// lease of 3 s would end after 1.7 s. With this factor it lasts for 3.4 s, and after that time
+/// callers with keys need no longer be answered.
+const LEASE_FACTOR: f64 = 1.4;
+/// Maximum time between two iterations.
+const MAX_PAUSE: Duration = Duration::from_millis(700);
+/// Minimum time between two iterations.
+const MIN_PAUSE: Duration = Duration::from_millis(20);
+/// A machine with at least this fraction of the strongest machine's processor counts as strong.
+const STRONG_FRACTION: f64 = 0.8;
+/// A gateway with a higher average timer lag does not offer to hold shards.
+const MAX_TIMER_LAG: Duration = Duration::from_millis(150);
+/// Minimum time for which a gateway holds a shard before it hands the shard over to another
+/// gateway. Without hand-overs, the gateway that started first would keep all shards.
+const MIN_HOLD: Duration = Duration::from_secs(6);
+/// How long a computed order of gateways is used; the computation goes through all known gateways.
 const ORDER_LIFETIME: Duration = Duration::from_secs(2);
 
-/// Keeps seats until it is dropped.
+/// Acquires and keeps shards until the future is dropped.
 pub async fn run(shared: Arc<Shared>) {
-    let lease = shared.settings.bounds.lease.mul_f64(LEASE_PART);
-    let seat = |seat| LeaseSeat::new(&shared, &lease_name(seat), lease);
-    let mut seats = Seats {
-        seats: (0..SEATS).map(seat).collect(),
-        counts: [false; SEATS],
+    let lease = shared.settings.bounds.lease.mul_f64(LEASE_FACTOR);
+    let shard_lease = |shard| LeaseSeat::new(&shared, &lease_name(shard), lease);
+    let mut shards = ShardLeases {
+        leases: (0..SEATS).map(shard_lease).collect(),
+        is_active: [false; SEATS],
         order: SeatOrder::default(),
-        ordered: None,
-        leaving: None,
-        silent: HashMap::new(),
+        order_computed_at: None,
+        handing_over: None,
+        unresponsive: HashMap::new(),
         shared: shared.clone(),
     };
     let mut rows = shared.feed.subscribe(shared.platform.tables().lease);
     loop {
-        if !seats.are_needed() {
-            sleep(LONGEST_PAUSE).await;
+        if !shards.are_needed() {
+            sleep(MAX_PAUSE).await;
             continue;
         }
         rows.mark_unchanged();
-        seats.spread().await;
-        let mut pause = LONGEST_PAUSE;
-        for seat in 0..SEATS {
-            pause = pause.min(seats.step(seat).await);
+        shards.choose_hand_over().await;
+        let mut pause = MAX_PAUSE;
+        for shard in 0..SEATS {
+            pause = pause.min(shards.step(shard).await);
         }
-        sleep(LEAST_PAUSE).await;
+        sleep(MIN_PAUSE).await;
         tokio::select! {
             () = sleep(pause) => {}
             _ = rows.changed() => {}
-            () = shared.allowance.unsaved.notified() => {}
+            () = shared.allowance.save_wanted.notified() => {}
         }
     }
 }
 
-/// The row that keeps what was granted at a seat.
-fn saved_key(shared: &Shared, seat: usize) -> String {
-    format!("{}/{}", shared.platform.tables().loads, lease_name(seat))
+/// Key of the row in which the granted usage of a shard is saved.
+fn usage_key(shared: &Shared, shard: usize) -> String {
+    format!("{}/{}", shared.platform.tables().loads, lease_name(shard))
 }
 
-/// What was granted at a seat, to be written with its lease.
-fn save(shared: &Shared, seat: usize) -> Option<Put> {
+/// The write that saves the granted usage of a shard, to be made together with its lease; none if
+/// this gateway does not hold the shard or has no configuration.
+fn usage_write(shared: &Shared, shard: usize) -> Option<Put> {
     let configuration = shared.configuration()?;
-    let saved = shared.allowance.save(shared.now(), seat, &configuration)?;
+    let saved = shared
+        .allowance
+        .usage_to_save(shared.now(), shard, &configuration)?;
     let value = serde_json::to_string(&saved).ok()?;
     Some(Put {
-        key: saved_key(shared, seat),
+        key: usage_key(shared, shard),
         value,
     })
 }
 
-/// What was last saved of a seat; none if the table does not tell.
-async fn read_saved(shared: &Shared, seat: usize) -> Option<SavedUse> {
+/// Reads the last saved usage of a shard; none if the table could not be read.
+async fn read_usage(shared: &Shared, shard: usize) -> Option<SavedUse> {
     let snapshot = shared.table().read(shared.platform.tables().loads).await;
-    let key = saved_key(shared, seat);
+    let key = usage_key(shared, shard);
     let rows = snapshot.ok()?.rows;
     let Some(row) = rows.iter().find(|row| row.key == key) else {
         return Some(SavedUse::default());
@@ -99,33 +103,35 @@
     match serde_json::from_str(&row.value) {
         Ok(saved) => Some(saved),
         Err(error) => {
-            // Only gateways write it. Counting goes on as if nothing had been saved.
+            // Only gateways write this row. An unreadable row is treated as if no usage had been
+            // saved.
             shared.refuse_row(row, &error);
             Some(SavedUse::default())
         }
     }
 }
 
-/// All seats, as this gateway takes part in them.
-struct Seats {
+/// The leases of all shards, as this process takes part in them.
+struct ShardLeases {
     shared: Arc<Shared>,
-    seats: Vec<LeaseSeat>,
-    /// Those at which this gateway counts.
-    counts: [bool; SEATS],
-    /// When this gateway comes for a free seat.
+    leases: Vec<LeaseSeat>,
+    /// Whether this gateway charges requests to each shard.
+    is_active: [bool; SEATS],
+    /// The order in which gateways offer to take a free shard.
     order: SeatOrder,
-    /// When that was worked out.
-    ordered: Option<Instant>,
-    /// The seat that is being handed back, for another gateway to take.
-    leaving: Option<usize>,
-    /// Gateways that were to take a seat and did not answer, and when they may be asked again.
-    silent: HashMap<NodeId, Instant>,
+    /// When `order` was computed.
+    order_computed_at: Option<Instant>,
+    /// The shard whose lease is being released for another gateway.
+    handing_over: Option<usize>,
+    /// Gateways that were chosen to take over a shard and did not respond, and when they may be
+    /// chosen again.
+    unresponsive: HashMap<NodeId, Instant>,
 }
 
-impl Seats {
-    /// Whether there are tenants to count for, or seats to hand back.
+impl ShardLeases {
+    /// Whether there are tenants with quotas, or active shards to release.
     fn are_needed(&self) -> bool {
-        self.has_tenants() || self.counts.contains(&true)
+        self.has_tenants() || self.is_active.contains(&true)
     }
 
     fn has_tenants(&self) -> bool {
@@ -133,115 +139,129 @@
         configuration.is_some_and(|known| known.tenants.is_some())
     }
 
-    /// One look at one seat. Out: when to look again.
-    async fn step(&mut self, seat: usize) -> Duration {
-        let offer = self.offer(seat);
+    /// Runs one iteration for one shard. Returns the time until the next one.
+    async fn step(&mut self, shard: usize) -> Duration {
+        let offer = self.offer(shard);
         let shared = self.shared.clone();
-        if shared.allowance.needs_saving(seat) {
-            self.seats[seat].keeper.lock().renew_soon();
+        if shared.allowance.needs_saving(shard) {
+            self.leases[shard].keeper.lock().renew_soon();
         }
-        let stepped = self.seats[seat].step(offer, || save(&shared, seat)).await;
+        let stepped = self.leases[shard]
+            .step(offer, || usage_write(&shared, shard))
+            .await;
         if stepped == Stepped::Written {
-            shared.allowance.saved(seat);
+            shared.allowance.confirm_saved(shard);
         }
-        self.count(seat).await;
+        self.update_active(shard).await;
         match stepped {
             Stepped::Idle(pause) => pause,
-            Stepped::Done | Stepped::Written => LEAST_PAUSE,
+            Stepped::Done | Stepped::Written => MIN_PAUSE,
         }
     }
 
-    /// Begins to count at a seat that was taken, and ends at one that was lost.
-    async fn count(&mut self, seat: usize) {
-        let (is_held, counts) = (self.seats[seat].is_held(), self.counts[seat]);
+    /// Activates a shard whose lease was acquired, and deactivates one whose lease was lost.
+    async fn update_active(&mut self, shard: usize) {
+        let (is_held, was_active) = (self.leases[shard].is_held(), self.is_active[shard]);
         let shared = &self.shared;
-        if is_held && !counts {
-            let Some(saved) = read_saved(shared, seat).await else {
+        if is_held && !was_active {
+            let Some(saved) = read_usage(shared, shard).await else {
                 return;
             };
             let bound = shared.settings.bounds.limits;
-            let keeper = &self.seats[seat].keeper;
+            let keeper = &self.leases[shard].keeper;
             let (allowance, now) = (&shared.allowance, shared.now());
-            self.counts[seat] = allowance.begin_counting(now, seat, keeper, bound, saved);
-        } else if !is_held && counts {
-            shared.allowance.end_counting(seat);
-            self.counts[seat] = false;
+            self.is_active[shard] = allowance.activate_shard(now, shard, keeper, bound, saved);
+        } else if !is_held && was_active {
+            shared.allowance.deactivate_shard(shard);
+            self.is_active[shard] = false;
         }
-        if self.counts[seat] != counts {
-            let change = if counts { "lost" } else { "taken" };
-            let fields = format_args!("seat={seat} change={change}");
+        if self.is_active[shard] != was_active {
+            let change = if was_active { "lost" } else { "taken" };
+            let fields = format_args!("seat={shard} change={change}");
             lines::write(Rank::Decision, "counting_seat", fields);
         }
     }
 
-    fn offer(&mut self, seat: usize) -> Offer {
+    fn offer(&mut self, shard: usize) -> Offer {
         let shared = &self.shared;
         if shared.is_stopping() || !shared.can_place() || !self.has_tenants() {
             return Offer::Never;
         }
-        if self.seats[seat].is_held() {
-            return if self.leaving == Some(seat) {
+        if self.leases[shard].is_held() {
+            return if self.handing_over == Some(shard) {
                 Offer::Never
             } else {
                 Offer::After(0)
             };
         }
-        if shared.lateness() > LATE {
+        if shared.lateness() > MAX_TIMER_LAG {
             return Offer::Never;
         }
-        self.put_in_order();
-        Offer::After(self.order.delay_beside(seat, &self.counts))
+        self.update_order();
+        Offer::After(self.order.delay_beside(shard, &self.is_active))
     }
 
-    /// Chooses a seat that is left to another gateway, which answers: a seat that nobody takes
-    /// leaves its tenants with half of their limits.
-    async fn spread(&mut self) {
-        if self.leaving.is_some_and(|seat| self.seats[seat].is_held()) {
+    /// Chooses a shard to hand over to a gateway that responds. Half of the quota of the shard's
+    /// tenants is unavailable while no gateway holds the shard.
+    async fn choose_hand_over(&mut self) {
+        if self
+            .handing_over
+            .is_some_and(|shard| self.leases[shard].is_held())
+        {
             return;
         }
-        self.leaving = None;
+        self.handing_over = None;
         let now = Instant::now();
-        self.silent.retain(|_, until| now < *until);
-        let Some((seat, to)) = self.seat_to_spread() else {
+        self.unresponsive.retain(|_, until| now < *until);
+        let Some((shard, to)) = self.shard_to_hand_over() else {
             return;
         };
-        let held = self.seats[seat].keeper.lock().held_for(self.shared.now());
-        if held.is_none_or(|held| Duration::from_millis(held) < LEAST_HOLD) {
+        let held = self.leases[shard].keeper.lock().held_for(self.shared.now());
+        if held.is_none_or(|held| Duration::from_millis(held) < MIN_HOLD) {
             return;
         }
         if self.shared.answers_for_limits(&to).await {
-            self.leaving = Some(seat);
+            self.handing_over = Some(shard);
         } else {
-            self.silent.insert(to, now + LEAST_HOLD);
+            self.unresponsive.insert(to, now + MIN_HOLD);
         }
     }
 
-    fn seat_to_spread(&self) -> Option<(usize, NodeId)> {
+    /// The shard that this gateway should hand over, and the gateway that should take it.
+    fn shard_to_hand_over(&self) -> Option<(usize, NodeId)> {
         let shared = &self.shared;
         let own = shared.settings.node.as_str();
-        let least = f64::from(shared.settings.millicores) * STRONG_PART;
+        let least = f64::from(shared.settings.millicores) * STRONG_FRACTION;
         let members = shared.answering_members();
         let is_as_strong = |member: &&Member| f64::from(member.row.millicores) >= least;
         let strong = members.iter().filter(is_as_strong);
         let others: Vec<&str> = strong
             .map(|member| member.name.as_str())
-            .filter(|name| *name != own && !self.silent.contains_key(&NodeId::from(*name)))
+            .filter(|name| *name != own && !self.unresponsive.contains_key(&NodeId::from(*name)))
             .collect();
-        let holders = shared.allowance.seat_holders();
-        let holders = std::array::from_fn(|seat| {
-            let known = holders[seat].as_ref().map(NodeId::as_str);
-            if self.counts[seat] { Some(own) } else { known }
+        let holders = shared.allowance.shard_holders();
+        let holders = std::array::from_fn(|shard| {
+            let known = holders[shard].as_ref().map(NodeId::as_str);
+            if self.is_active[shard] {
+                Some(own)
+            } else {
+                known
+            }
         });
-        let spread = counting_seat::seat_to_spread(own, &holders, &others)?;
-        Some((spread.seat, spread.to.into()))
+        let hand_over = counting_seat::seat_to_spread(own, &holders, &others)?;
+        Some((hand_over.seat, hand_over.to.into()))
     }
 
-    /// Works out when this gateway comes for seats, by the gateways that are known.
-    fn put_in_order(&mut self) {
-        if self.ordered.is_some_and(|at| at.elapsed() < ORDER_LIFETIME) {
+    /// Computes the order in which the known gateways offer to take free shards, unless the current
+    /// one is recent.
+    fn update_order(&mut self) {
+        if self
+            .order_computed_at
+            .is_some_and(|at| at.elapsed() < ORDER_LIFETIME)
+        {
             return;
         }
-        self.ordered = Some(Instant::now());
+        self.order_computed_at = Some(Instant::now());
         let shared = &self.shared;
         let strongest = f64::from(shared.strongest_millicores());
         let members = shared.answering_members();
@@ -249,7 +269,7 @@
             .iter()
             .map(|member| SeatCandidate {
                 name: &member.name,
-                is_strong: f64::from(member.row.millicores) >= strongest * STRONG_PART,
+                is_strong: f64::from(member.row.millicores) >= strongest * STRONG_FRACTION,
             })
             .collect();
         self.order = SeatOrder::new(shared.settings.node.as_str(), &candidates);
