--- a/crates/gateway/src/allowance/mod.rs
+++ b/crates/gateway/src/allowance/mod.rs
@@ -264,7 +264,7 @@
             return Obtained::Beyond(remaining);
         }
         loop {
-            let pause = match self.request_at_all_shards(demand, &send).await {
+            let pause = match self.charge_at_any_shard(demand, &send).await {
                 RoundOutcome::Granted(grant) => return Obtained::Granted(grant),
                 RoundOutcome::OverQuota(wait) => {
                     self.denials.lock().record(demand, wait);
@@ -279,8 +279,9 @@
         }
     }
 
-    /// Asks the holders of the tenant's shards, one after the other.
-    async fn request_at_all_shards<F>(
+    /// Asks the holders of the tenant's shards, one after the other, until one of them charges the
+    /// request.
+    async fn charge_at_any_shard<F>(
         &self,
         demand: &Want,
         send: &impl Fn(NodeId, Ask) -> F,
@@ -294,7 +295,7 @@
         let (mut denials, mut soonest) = (0, None::<Duration>);
         let mut pause = RETRY_PAUSE;
         for shard in shards {
-            match self.request_at_shard(shard, demand, send).await {
+            match self.charge_at_shard(shard, demand, send).await {
                 Some(AskAnswer::Granted { fence, granted_at }) => {
                     return RoundOutcome::Granted(Grant {
                         tenant: demand.tenant.clone(),
@@ -322,7 +323,7 @@
         }
     }
 
-    async fn request_at_shard<F>(
+    async fn charge_at_shard<F>(
         &self,
         shard: usize,
         demand: &Want,
--- a/crates/gateway/src/feed/fed.rs
+++ b/crates/gateway/src/feed/fed.rs
@@ -134,7 +134,7 @@
             })
             .collect();
         let own = self.shared.own_running();
-        let update_request = self.update_request(parent, wait, &due, &own);
+        let update_request = self.build_update_request(parent, wait, &due, &own);
         let request = RelayRequest::News(update_request.clone());
         let time_limit = wait + RESPONSE_TIMEOUT;
         let client = self.shared.table().client();
@@ -182,7 +182,7 @@
         }
     }
 
-    fn update_request(
+    fn build_update_request(
         &self,
         parent: Parent,
         wait: Duration,
@@ -217,9 +217,9 @@
         }
     }
 
-    /// Applies a response to the cache. Returns whether it is fresh for every requested table.
-    /// `responded_at` is the earliest moment at which the parent can have responded, as time since
-    /// boot.
+    /// Applies a response to the cache. Returns whether the response is fresh for every requested
+    /// table. `responded_at` is the earliest moment at which the parent can have responded, as time
+    /// since boot.
     fn apply(&self, request: &FeedQuestion, response: FeedAnswer, responded_at: Duration) -> bool {
         let mut fresh = 0;
         for update in response.tables {
--- a/crates/gateway/src/feed/filler.rs
+++ b/crates/gateway/src/feed/filler.rs
@@ -32,7 +32,7 @@
 /// sent together.
 pub(super) const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Maximum pause of a gateway that has children. Together with the wait for a change, the pause
-/// keeps its content within the age that the children accept.
+/// keeps the gateway's content within the age that the children accept.
 pub(super) const MAX_PARENT_PAUSE: Duration = Duration::from_millis(150);
 /// Maximum number of gateways in a small fleet. There, leaves ask as often as gateways that have
 /// children, and roots read busy tables without an additional pause, since the cost is low.
--- a/crates/gateway/src/feed/parents.rs
+++ b/crates/gateway/src/feed/parents.rs
@@ -29,20 +29,20 @@
 /// A gateway that responds to requests of other gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The name of its node.
+    /// The name of the gateway's node.
     pub name: String,
-    /// The address at which it serves other gateways.
+    /// The address at which the gateway serves other gateways.
     pub address: SocketAddr,
-    /// Its row, which states the capacity of its machine.
+    /// The gateway's row, which states the capacity of its machine.
     pub row: MemberRow,
 }
 
 /// A gateway from which this one may request updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Parent {
-    /// The address at which it serves other gateways.
+    /// The address at which the gateway serves other gateways.
     pub address: SocketAddr,
-    /// Whether it is a root, as far as this gateway knows.
+    /// Whether the parent is a root, as far as this gateway knows.
     pub is_root: bool,
 }
 
--- a/crates/gateway/src/relay/server.rs
+++ b/crates/gateway/src/relay/server.rs
@@ -20,7 +20,8 @@
 use crate::shared::Shared;
 
 /// Maximum number of connections served at the same time. In a fleet of 1,300 gateways, all
-/// gateways send their demand to the placement holder, and some of them request updates from it.
+/// gateways send their demand to the placement holder, and some of them request updates from the
+/// holder.
 const MAX_CONNECTIONS: usize = 1_600;
 /// Time limit for the response of the placement holder to forwarded demand.
 const FORWARD_TIMEOUT: Duration = Duration::from_millis(400);
@@ -114,8 +115,8 @@
     }
 }
 
-/// Merges demand if this gateway is the placement holder. Otherwise forwards it if the sender asks
-/// for that.
+/// Merges demand if this gateway is the placement holder. Otherwise forwards the demand to the
+/// placement holder if the sender requests that.
 async fn receive_demand(shared: &Shared, demand: ToldDemand) -> RelayAnswer {
     if shared.is_placing() {
         let now = shared.now();
