--- a/crates/gateway/src/back_end_limits.rs
+++ b/crates/gateway/src/back_end_limits.rs
@@ -1,19 +1,22 @@
-//! Limits that back ends in need state, over all gateways together: no more is sent to such a
-//! back end than it says it takes, and what is left over goes elsewhere or is refused.
+//! Enforces the rate limits that overloaded back ends state, over all gateways together. No back
+//! end receives more requests than its limit allows; excess requests go to other back ends or are
+//! refused.
 //!
 //! ```text
-//! answer --> limit known here --> told with the news: up, down, among roots
-//! request for a limited back end --ask--> the gateway that places models
-//!                                <-- a time to send at, or when there is room
+//! response --> limit recorded here --> limit notice: to parent, to children, among roots
+//! request for a limited back end --> placement holder
+//!                                <-- send time, or time until there is capacity
 //! ```
 //!
-//! One gateway gives out the times for all: the one that places models. Every deployment has
-//! one, all gateways know it, and it needs nothing of the table for this, so limits hold while
-//! the table is out of order. Where nobody gives out times nothing is sent to back ends with a
-//! limit: a part of each limit for each gateway would be less than a request in most fleets.
+//! One gateway, the placement holder, schedules the sends of all gateways. Every deployment has a
+//! placement holder, every gateway knows it, and scheduling needs no table calls, so limits hold
+//! while the table is unavailable. While no gateway schedules sends, back ends with a limit receive
+//! no requests: an equal share of each limit for every gateway would be less than one request in
+//! most fleets.
 //!
-//! In: answers of back ends, what other gateways tell and ask. Out: the limits in force, and
-//! which back ends have no room for now. This module knows no connections.
+//! Input: responses of back ends, limit notices and send time requests of other gateways. Output:
+//! the limits in force, and which back ends currently have no capacity. This module has no access
+//! to connections.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -25,52 +28,53 @@
 
 use crate::allowance::{AskAnswer, SendTimeAsk};
 
-/// While nobody gives out times, or whoever does gives no answer, a back end has no room for
-/// this time: another gateway takes that over within some seconds.
+/// Time for which a back end is considered to have no capacity if the placement holder is unknown
+/// or does not respond. Another gateway takes over scheduling within a few seconds.
 const UNKNOWN_PAUSE: Duration = Duration::from_millis(600);
 
-/// What came of asking for a time.
+/// Result of a request for a send time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reservation {
     /// The request may be sent to the back end after this time.
     In(Duration),
-    /// There is no room for it, as far as it can wait.
+    /// There is no capacity within the time that the request can wait.
     NoRoom,
 }
 
-/// Limits of back ends, as this gateway knows them, asks for times, and gives them out.
+/// Limits of back ends, the state of this gateway's send time requests, and, at the placement
+/// holder, the schedule of sends.
 #[derive(Debug, Default)]
 pub struct BackEndLimits {
     known: Mutex<StatedLimits>,
-    /// Until when back ends have no room, as this gateway was told.
+    /// Times until which back ends have no capacity, as the placement holder has reported.
     full_until: Mutex<HashMap<BackEndHash, Timestamp>>,
-    /// The times that were given out, while this gateway does so.
+    /// Schedule of sends, while this gateway is the placement holder.
     pacer: Mutex<Option<Pacer>>,
 }
 
 impl BackEndLimits {
-    /// Uses what is known of limits.
+    /// Runs `act` on the known limits.
     pub fn known<T>(&self, act: impl FnOnce(&mut StatedLimits) -> T) -> T {
         act(&mut self.known.lock())
     }
 
-    /// Requests a second that a back end takes of all gateways together; none if it takes what
-    /// it is sent.
+    /// Rate in requests per second that a back end accepts from all gateways together; `None` if
+    /// the back end states no limit.
     pub fn rate(&self, back_end: BackEndHash) -> Option<f64> {
         self.known.lock().rate(back_end)
     }
 
-    /// This gateway gives out times from now on, or another one does.
+    /// Starts or stops scheduling sends at this gateway.
     pub fn set_counting(&self, now: Timestamp, counts: bool) {
         *self.pacer.lock() = counts.then(|| Pacer::new(now));
     }
 
-    /// Answers a gateway, this one included, that asks for a time.
+    /// Handles a request of any gateway, including this one, for a send time.
     pub fn answer(&self, now: Timestamp, ask: &SendTimeAsk) -> AskAnswer {
         if !ask.rate.is_finite() {
             return AskAnswer::NotHere;
         }
-        // Of two statements that differ the lower one does no harm.
+        // If both gateways know different limits, the lower one is safe.
         let known = self.rate(ask.back_end);
         let rate = known.map_or(ask.rate, |known| known.min(ask.rate));
         let mut pacer = self.pacer.lock();
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Takes in what whoever gives out times said; none if it gave no answer.
+    /// Applies the placement holder's response, or its absence.
     pub fn take_answer(
         &self,
         now: Timestamp,
@@ -103,7 +107,7 @@
         Reservation::NoRoom
     }
 
-    /// How long a back end has no room; none if there may be some now.
+    /// Time until a back end may have capacity again; `None` if it may have capacity now.
     pub fn full_for(&self, now: Timestamp, back_end: BackEndHash) -> Option<Duration> {
         let until = *self.full_until.lock().get(&back_end)?;
         (now < until).then(|| Duration::from_millis(until.since(now)))
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -1,8 +1,9 @@
-//! Steady time that also counts while the machine is suspended.
+//! A monotonic clock that also advances while the machine is suspended.
 //!
-//! The clock of tokio's and the standard library's `Instant` stands still then: by it a lease
-//! is still valid, a deadline still far, and what was heard still fresh. So whatever others
-//! rely on is reckoned by this clock, and `Instant` only waits.
+//! The clock behind `Instant` of tokio and of the standard library stops during a suspension. By
+//! that clock, a lease would still be valid, a deadline far away, and received state fresh.
+//! Therefore all times that other processes rely on use the clock in this module, and `Instant` is
+//! used only for waiting.
 
 use std::fmt;
 use std::sync::Arc;
@@ -12,18 +13,18 @@
 use nix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// A machine that stood still for less than this was not suspended: the two clocks are read
-/// one after the other.
+/// Minimum difference between the two clocks that counts as a suspension. The clocks are read one
+/// after the other, so smaller differences occur without a suspension.
 pub const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
 
-/// Two looks at one clock that are closer than this belong to one moment.
+/// Maximum time between two reads of one clock that are considered simultaneous.
 const READ_TIME: Duration = Duration::from_millis(2);
-/// Tries to read both clocks at one moment.
+/// Maximum number of attempts to read both clocks simultaneously.
 const READ_TRIES: usize = 4;
 
-/// Where the time comes from.
+/// Source of the time.
 pub trait TimeSource: fmt::Debug + Send + Sync {
-    /// Time since the machine started, suspensions included.
+    /// Time since the machine started, including suspensions.
     fn since_boot(&self) -> Duration;
 }
 
@@ -35,7 +36,7 @@
     fn since_boot(&self) -> Duration {
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => time.into(),
-            // Linux has had this clock since 2.6.39, and reading it has no other error.
+            // Linux has this clock since 2.6.39, and reading it cannot fail for another reason.
             Err(error) => unreachable!("CLOCK_BOOTTIME: {error}"),
         }
     }
@@ -56,7 +57,7 @@
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Creates a clock that starts now.
     pub fn new(source: Arc<dyn TimeSource>) -> Self {
         Clock {
             start: source.since_boot(),
@@ -76,14 +77,15 @@
         Timestamp(since_start.as_millis() as u64)
     }
 
-    /// How long the machine has been suspended, in all, since this clock started.
+    /// Total time for which the machine has been suspended since this clock started.
     pub fn suspended(&self) -> Duration {
         let (since_boot, steady) = self.read_both();
         let since_start = since_boot.saturating_sub(self.start);
         since_start.saturating_sub(steady)
     }
 
-    /// Both clocks at one moment, as far as the thread was not put aside between them.
+    /// Reads both clocks, simultaneously unless the scheduler interrupts the thread between the
+    /// reads at every attempt.
     fn read_both(&self) -> (Duration, Duration) {
         let mut since_boot = self.since_boot();
         for _ in 0..READ_TRIES {
@@ -97,7 +99,7 @@
         (since_boot, self.start_instant.elapsed())
     }
 
-    /// Whether the machine was suspended since [`Clock::suspended`] said `before`.
+    /// Whether the machine has been suspended since [`Clock::suspended`] returned `before`.
     pub fn was_suspended_since(&self, before: Duration) -> bool {
         self.suspended() >= before + LEAST_SUSPENSION
     }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -1,12 +1,13 @@
-//! The back ends that requests may go to, and what each holds.
+//! The back ends that may receive requests, and the models that each holds.
 //!
-//! In: rows of discovery and of the placement holder, with their versions; what back ends and
-//! other gateways say of those that leave. Out: the candidates of a request. Of the two rows on
-//! one back end the newer counts for what it holds; the table orders them by one counter.
+//! Input: rows of discovery and of the placement holder, with their versions, and drain notices
+//! from back ends and other gateways. Output: the candidates for a request. Of the two rows about
+//! one back end, the newer row determines which models the back end holds. The table orders all
+//! rows by one version counter.
 //!
-//! Invariant: a back end that once said that it leaves stays leaving, until it starts again; one
-//! whose row is gone, or cannot be read, gets nothing new. Nothing that was known of a life of a
-//! back end is held against the next one, nor counted for it.
+//! Invariants: a back end that has announced its drain stays draining until it restarts. A back end
+//! without a row, or with an unreadable row, receives no new requests. State of one incarnation of
+//! a back end never affects the next incarnation.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::sync::Arc;
@@ -21,7 +22,7 @@
 
 use crate::back_end::{BackEnd, SeenRow};
 
-/// A load that is this late is no longer believed, in milliseconds.
+/// Time after the expected end of a load from which the load is no longer expected to succeed.
 const LOAD_GRACE: u64 = 3_000;
 
 /// One back end with its rows.
@@ -31,18 +32,20 @@
     incarnation: Incarnation,
     report: BackEndReport,
     version: u64,
-    /// The version of the first row of this life.
+    /// Version of the first row of this incarnation.
     first_version: u64,
-    /// Whether it has said that it leaves.
+    /// Whether the back end has announced its drain.
     draining: bool,
-    /// Whether its newest row can be read. One that cannot is no end of its process.
+    /// Whether the newest row can be parsed. An unreadable row does not mean that the process has
+    /// exited.
     is_readable: bool,
-    /// A row of a life that seems to be over, in case it is the newest one after all.
+    /// A newer row that seems to belong to a previous incarnation. It is kept because it is current
+    /// if the clock of the back end's machine was set back.
     doubtful: Option<(BackEndReport, u64)>,
 }
 
 impl Entry {
-    /// A life that was first heard of by a row at this version.
+    /// Creates the entry of an incarnation from its first row.
     fn new(zone: &ZoneId, report: BackEndReport, row: SeenRow) -> Self {
         let back_end = BackEnd::new(&report, report.zone == *zone);
         back_end.note_row(row);
@@ -59,7 +62,7 @@
         }
     }
 
-    /// A newer row of the same life.
+    /// Applies a newer row of the same incarnation.
     fn take(&mut self, report: BackEndReport, row: SeenRow) {
         self.back_end.note_row(row);
         self.back_end.note_cold(row.seen + report.cold_left);
@@ -69,19 +72,20 @@
         self.doubtful = None;
     }
 
-    /// It has said that it leaves.
+    /// Marks the back end as draining.
     fn leave(&mut self) {
         self.draining = true;
         self.back_end.retire();
     }
 
-    /// Whether it may get new requests, as its rows say.
+    /// Whether the back end's rows allow new requests.
     fn is_active(&self) -> bool {
         !self.draining && self.is_readable
     }
 
-    /// Whether the placement holder's row speaks of this life. Rows of gateways that know
-    /// nothing of starts do if they are newer than this life.
+    /// Whether the placement holder's row refers to this incarnation. A row without a start time,
+    /// as gateways of earlier builds write it, does so if it is newer than the first row of this
+    /// incarnation.
     fn is_meant_by(&self, placed: &Placed) -> bool {
         match (placed.row.born, self.incarnation.born()) {
             (Some(meant), Some(own)) => meant == own,
@@ -97,38 +101,38 @@
     heard: Timestamp,
 }
 
-/// What is known of a model at a service.
+/// Availability of a model at a service.
 #[derive(Clone, Debug, Default)]
 pub struct ModelPlaces {
-    /// Back ends that hold the model, and the adapter if one is asked for.
+    /// Back ends that hold the model and, if one is requested, the adapter.
     pub ready: Vec<Arc<BackEnd>>,
-    /// Back ends that hold the model, but not the adapter.
+    /// Back ends that hold the model but not the adapter.
     pub without_adapter: Vec<Arc<BackEnd>>,
-    /// When a load under way is expected to be done.
+    /// Earliest expected end of a load in progress.
     pub loading_until: Option<Timestamp>,
-    /// The nearest copy from which a back end without the model could load it.
+    /// The fastest source from which a back end without the model could load it.
     pub nearest_copy: CopyTier,
 }
 
-/// All back ends.
+/// All known back ends.
 #[derive(Debug)]
 pub struct Directory {
     zone: ZoneId,
     entries: HashMap<BackEndId, Entry>,
     placed: HashMap<BackEndId, Placed>,
     services: HashMap<ServiceId, Vec<BackEndId>>,
-    /// Lives of back ends that have said that they leave, also of those without a row.
+    /// Incarnations that have announced their drain, including those without a row.
     departures: Departures,
-    /// Zones whose back ends are to get nothing.
+    /// Zones whose back ends receive no new requests.
     evacuated: BTreeSet<ZoneId>,
-    /// Whether warm back ends come before cold ones.
+    /// Whether warm back ends are preferred to those that are warming up.
     spares_cold: bool,
-    /// Back ends whose row went though they had not said that they leave.
+    /// Back ends whose row was removed without an announced drain.
     gone_unsaid: Vec<Arc<BackEnd>>,
 }
 
 impl Directory {
-    /// An empty directory of a gateway in `zone`.
+    /// Creates an empty directory of a gateway in `zone`.
     pub fn new(zone: ZoneId) -> Self {
         Directory {
             zone,
@@ -142,25 +146,25 @@
         }
     }
 
-    /// Warm back ends come before cold ones from now on, which fall over when they are sent much.
+    /// Prefers warm back ends from now on, because back ends that are warming up fail under load.
     pub fn spare_cold(&mut self) {
         self.spares_cold = true;
     }
 
-    /// Back ends of these zones, and of no others, are to get nothing. True if that is news.
+    /// Replaces the set of zones whose back ends receive no new requests. Returns whether the set
+    /// has changed.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) -> bool {
         let is_news = self.evacuated != zones;
         self.evacuated = zones;
         is_news
     }
 
-    /// Back ends whose row went, since this was last asked, though they had not said that they
-    /// leave.
+    /// Returns the back ends whose row was removed without an announced drain since the last call.
     pub fn take_gone_unsaid(&mut self) -> Vec<Arc<BackEnd>> {
         std::mem::take(&mut self.gone_unsaid)
     }
 
-    /// A back end's row was written, and seen at `now`.
+    /// Applies a back end's row that was received at `now`.
     pub fn put(&mut self, now: Timestamp, report: BackEndReport, version: u64) {
         let row = SeenRow { version, seen: now };
         let Some(entry) = self.entries.get_mut(&report.id) else {
@@ -188,8 +192,9 @@
         }
     }
 
-    /// Rows of lives that seemed to be over are taken in after all, when nothing contradicted
-    /// them: the clock of a back end's machine may have been set back.
+    /// Retries rows that seemed to belong to a previous incarnation. They are applied once nothing
+    /// has contradicted them for a while, because the clock of the back end's machine may have been
+    /// set back.
     pub fn settle(&mut self, now: Timestamp) {
         let doubtful = self
             .entries
@@ -201,7 +206,7 @@
         }
     }
 
-    /// Whether there is anything to settle.
+    /// Whether any row awaits [`Directory::settle`].
     pub fn is_unsettled(&self) -> bool {
         self.entries.values().any(|entry| entry.doubtful.is_some())
     }
@@ -221,13 +226,13 @@
         self.entries.insert(id, entry);
     }
 
-    /// A back end has started again under its name: the process before it has ended.
+    /// Replaces the entry of a back end that has restarted under its name.
     fn begin_life(&mut self, report: BackEndReport, row: SeenRow) {
         let placed = self.placed.remove(&report.id);
         self.remove(&report.id);
         let id = report.id.clone();
         self.add(report, row);
-        // The holder may have heard of the new life first.
+        // The placement holder may have learned of the new incarnation first.
         let entry = self.entries.get(&id);
         if let Some(placed) = placed.filter(|it| entry.is_some_and(|entry| entry.is_meant_by(it))) {
             self.placed.insert(id, placed);
@@ -244,8 +249,9 @@
         }
     }
 
-    /// A back end's row was written, and names none that could be used. True if one was used
-    /// until then; it may live, and is used again once its row can be read.
+    /// Records that the newest row of a back end cannot be parsed. Returns whether the former row
+    /// could be. The back end may still run, and receives requests again once its row can be
+    /// parsed.
     pub fn put_unreadable(&mut self, id: &BackEndId, version: u64) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
             return false;
@@ -257,7 +263,8 @@
         std::mem::replace(&mut entry.is_readable, false)
     }
 
-    /// A back end says in an answer that it leaves. True if that is news.
+    /// Records a drain that a back end has announced in a response. Returns whether the drain was
+    /// unknown.
     pub fn note_departure(&mut self, now: Timestamp, back_end: &BackEnd) -> bool {
         let entry = self.entries.get_mut(&back_end.id);
         if let Some(entry) = entry.filter(|entry| entry.back_end.life_hash == back_end.life_hash) {
@@ -266,7 +273,8 @@
         self.departures.note(now, back_end.life_hash)
     }
 
-    /// Other gateways tell of back ends that leave. Out: those that are news and have a row.
+    /// Merges drain notices of other gateways. Returns the back ends that have a row and whose
+    /// drain was unknown.
     pub fn take_departures(&mut self, now: Timestamp, told: &[ToldDeparture]) -> Vec<Arc<BackEnd>> {
         let news: HashSet<BackEndHash> = self.departures.take(now, told).into_iter().collect();
         let entries = self.entries.values_mut();
@@ -279,23 +287,23 @@
             .collect()
     }
 
-    /// Whether all of these departures are known.
+    /// Whether all of these drains are known.
     pub fn knows_departures(&self, told: &[ToldDeparture]) -> bool {
         let mut told = told.iter();
         told.all(|departure| self.departures.contains(departure.back_end))
     }
 
-    /// What other gateways should know of back ends that leave.
+    /// Drain notices for other gateways.
     pub fn told_departures(&self, now: Timestamp) -> Vec<ToldDeparture> {
         self.departures.told(now)
     }
 
-    /// Whether a back end has said that it leaves.
+    /// Whether the back end has announced its drain.
     pub fn has_departed(&self, back_end: &BackEnd) -> bool {
         self.departures.contains(back_end.life_hash)
     }
 
-    /// A back end's row was removed.
+    /// Applies the removal of a back end's row.
     pub fn remove(&mut self, id: &BackEndId) {
         let Some(entry) = self.entries.remove(id) else {
             return;
@@ -310,8 +318,8 @@
         self.placed.remove(id);
     }
 
-    /// The whole table was read: what it does not hold is gone. `unreadable` are rows that name
-    /// no back end to use.
+    /// Applies a read of the whole table: back ends without a row are removed. `unreadable` lists
+    /// rows that cannot be parsed.
     pub fn replace(
         &mut self,
         now: Timestamp,
@@ -335,7 +343,7 @@
         }
     }
 
-    /// The placement holder's row on a back end was written.
+    /// Applies a row of the placement holder about a back end.
     pub fn put_placed(&mut self, now: Timestamp, id: BackEndId, row: PlacedRow, version: u64) {
         let placed = Placed {
             row,
@@ -345,24 +353,24 @@
         self.placed.insert(id, placed);
     }
 
-    /// The placement holder's row on a back end was removed.
+    /// Applies the removal of a row of the placement holder.
     pub fn remove_placed(&mut self, id: &BackEndId) {
         self.placed.remove(id);
     }
 
-    /// A back end by its name.
+    /// Returns a back end by its name.
     pub fn back_end(&self, id: &BackEndId) -> Option<Arc<BackEnd>> {
         Some(self.entries.get(id)?.back_end.clone())
     }
 
-    /// A back end by its present life.
+    /// Returns a back end by the hash of its current incarnation.
     pub fn by_life(&self, life: BackEndHash) -> Option<Arc<BackEnd>> {
         let mut entries = self.entries.values();
         let entry = entries.find(|entry| entry.back_end.life_hash == life)?;
         Some(entry.back_end.clone())
     }
 
-    /// What is known of lives of back ends, by the names of those that there are.
+    /// Maps values by incarnation to values by name. Unknown incarnations are left out.
     pub fn by_name(&self, lives: &HashMap<BackEndHash, f64>) -> BTreeMap<BackEndId, f64> {
         let named = |entry: &Entry| {
             let known = lives.get(&entry.back_end.life_hash)?;
@@ -371,21 +379,21 @@
         self.entries.values().filter_map(named).collect()
     }
 
-    /// Back ends whose process ended while requests were there, and whose row still stands.
+    /// Back ends whose process crashed while it ran requests, and whose row still exists.
     pub fn ended(&self, now: Timestamp) -> BTreeSet<BackEndId> {
         let entries = self.entries.values();
         let ended = entries.filter(|entry| entry.back_end.has_ended(now));
         ended.map(|entry| entry.report.id.clone()).collect()
     }
 
-    /// Other gateways saw the processes of these back ends end.
+    /// Records crashes of back ends that other gateways have reported.
     pub fn note_ended(&self, now: Timestamp, ended: &HashSet<BackEndHash>) {
         let entries = self.entries.values();
         let gone = entries.filter(|entry| ended.contains(&entry.back_end.life_hash));
         gone.for_each(|entry| entry.back_end.note_ended(now));
     }
 
-    /// What this gateway has running at back ends.
+    /// Numbers of requests of this gateway in flight at each back end.
     pub fn running(&self) -> Counts {
         let counts = self.entries.values().map(|entry| {
             let count = u16::try_from(entry.back_end.in_flight()).unwrap_or(u16::MAX);
@@ -403,19 +411,19 @@
         self.entries.values().map(report).collect()
     }
 
-    /// Back ends of a service that are there and not about to leave.
+    /// Back ends of a service that accept new requests.
     pub fn members(&self, now: Timestamp, service: &ServiceId) -> Vec<Arc<BackEnd>> {
         let members = self.active(now, service);
         self.warm_first(now, members.map(|entry| entry.back_end.clone()).collect())
     }
 
-    /// Whether the back end may get new requests.
+    /// Whether the back end may receive new requests.
     pub fn is_active(&self, id: &BackEndId) -> bool {
         let entry = self.entries.get(id);
         entry.is_some_and(|entry| self.may_be_sent(entry))
     }
 
-    /// Where a model, and an adapter of it, can be asked for at `now`.
+    /// Availability of a model, and optionally of one of its adapters, at `now`.
     pub fn places(
         &self,
         now: Timestamp,
@@ -467,8 +475,8 @@
         }
     }
 
-    /// Those that may get new requests. One whose process has ended has a row for some
-    /// heartbeats yet, and whatever is sent there is lost time.
+    /// Back ends of a service that may receive new requests. The row of a crashed process remains
+    /// for several heartbeats, in which requests to its back end would only lose time.
     fn active(&self, now: Timestamp, service: &ServiceId) -> impl Iterator<Item = &Entry> {
         let members = self.services.get(service).into_iter().flatten();
         members
@@ -480,7 +488,7 @@
         entry.is_active() && !self.evacuated.contains(&entry.report.zone)
     }
 
-    /// Leaves out cold back ends while there are warm ones.
+    /// Removes back ends that are warming up if there are warm ones.
     fn warm_first(&self, now: Timestamp, mut back_ends: Vec<Arc<BackEnd>>) -> Vec<Arc<BackEnd>> {
         let is_warm = |back_end: &Arc<BackEnd>| !back_end.is_cold(now);
         if self.spares_cold && back_ends.iter().any(is_warm) {
--- a/crates/gateway/src/lateness.rs
+++ b/crates/gateway/src/lateness.rs
@@ -1,7 +1,7 @@
-//! How late this process is: how much later than asked its timers fire, on average.
+//! Measures the timer lag of this process: the mean delay with which its timers fire.
 //!
-//! A machine without enough processor for what it does is late with everything; one that
-//! is late does not offer itself for placing models.
+//! On a machine without enough CPU capacity all tasks run late. A gateway with a high timer lag
+//! does not offer itself for the placement lease.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,20 +11,20 @@
 
 /// Pause between two measurements.
 const PAUSE: Duration = Duration::from_millis(250);
-/// Weight of the newest measurement: the average spans about two seconds.
+/// Weight of the newest measurement in the moving average, which spans about two seconds.
 const NEWEST_WEIGHT: f64 = 0.12;
 
-/// The average, in microseconds.
+/// Moving average of the timer lag, in microseconds.
 #[derive(Debug, Default)]
 pub struct Lateness(AtomicU64);
 
 impl Lateness {
-    /// The average of late.
+    /// Average of recent measurements.
     pub fn average(&self) -> Duration {
         Duration::from_micros(self.0.load(Ordering::Relaxed))
     }
 
-    /// Takes in one measurement.
+    /// Adds one measurement.
     pub fn note(&self, late: Duration) {
         let former = self.average().as_secs_f64();
         let average = former + (late.as_secs_f64() - former) * NEWEST_WEIGHT;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Measures until it is dropped.
+/// Measures until the future is dropped.
 pub async fn measure(lateness: Arc<Lateness>) {
     loop {
         let began = Instant::now();
--- a/crates/gateway/src/lease_seat.rs
+++ b/crates/gateway/src/lease_seat.rs
@@ -1,7 +1,7 @@
-//! One lease as a row of the table, and this process's part in keeping it.
+//! A lease that is stored as one row of the table, and this process's participation in it.
 //!
-//! In: the row, as other gateways or the table tell it. Out: writes of that row under the
-//! condition that nobody else wrote it meanwhile.
+//! Input: the row, as received from other gateways or from the table. Output: conditional writes of
+//! the row, which succeed only if no other gateway has written it meanwhile.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use crate::shared::Shared;
 use crate::watch::LOST_PAUSE;
 
-/// What was confirmed longer ago than this shows nothing of a lease.
+/// Maximum age of the cached lease row. An older row does not show who holds the lease.
 const FRESH: Duration = Duration::from_millis(1_600);
 
-/// What came of a step.
+/// Result of [`LeaseSeat::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stepped {
-    /// Nothing is due for so long.
+    /// Nothing is due for this time.
     Idle(Duration),
-    /// The row was read, or somebody else has written it.
+    /// The row was read, or another gateway has written it.
     Done,
-    /// The row was written, and what belongs beside it.
+    /// The row was written, together with the row passed in `beside`.
     Written,
 }
 
-/// A lease, and whether this process holds it.
+/// A lease and its state at this process.
 pub struct LeaseSeat {
-    /// What this process knows of the lease.
+    /// State of the lease, as known to this process.
     pub keeper: Arc<Mutex<LeaseKeeper>>,
     shared: Arc<Shared>,
     key: String,
-    /// A write was refused or had no answer: the row is read from the table itself.
+    /// The last write was refused or had no response. The next read bypasses the cache and reads
+    /// the table.
     in_doubt: bool,
-    /// The newest version of the row that this process saw or wrote.
+    /// The newest version of the row that this process has read or written.
     newest: u64,
 }
 
 impl LeaseSeat {
-    /// The lease of this name, of this length; nothing is known of it yet.
+    /// Creates the state for the lease `name` of the duration `lease`; nothing is known of the
+    /// lease yet.
     pub fn new(shared: &Arc<Shared>, name: &str, lease: Duration) -> Self {
         let node = shared.settings.node.clone();
         let keeper = LeaseKeeper::new(node, rand::random(), lease.as_millis() as u64);
@@ -54,13 +56,13 @@
         }
     }
 
-    /// Whether this process took the lease and has not lost it since.
+    /// Whether this process has acquired the lease and has not lost it since.
     pub fn is_held(&self) -> bool {
         self.keeper.lock().is_holder()
     }
 
-    /// Does what is due, on a gateway that offers itself so. `beside` is written with the
-    /// lease's row.
+    /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
+    /// lease. The row that `beside` returns is written in the same transaction as the lease's row.
     pub async fn step(&mut self, offer: Offer, beside: impl FnOnce() -> Option<Put>) -> Stepped {
         let now = self.shared.now();
         let step = self.keeper.lock().step(now, offer);
@@ -87,7 +89,8 @@
         let row = rows.iter().find(|row| row.key == self.key);
         let version = row.map_or(0, |row| row.modified);
         if version < self.newest {
-            // What other gateways tell is behind what this one knows.
+            // The row in the cache is older than the version that this process has already read or
+            // written.
             return Stepped::Idle(LOST_PAUSE);
         }
         self.newest = version;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,20 +1,29 @@
-//! A gateway: forwards callers' requests to a fleet of back ends, byte for
-//! byte, and takes part in placing models on them.
+//! A gateway forwards requests of callers to a fleet of back ends, byte for byte, and takes part in
+//! placing models on these back ends.
 //!
-//! Every process is the same. What must last, and what gateways tell each
-//! other, is rows of a table; what differs between platforms is behind
-//! [`ports::Platform`]. Layers, from the caller inwards: [`server`] keeps
-//! connections, [`request`] reads one request and finds its route, `tenancy` finds its tenant
-//! and has it counted by [`allowance`],
-//! [`admission`] waits for a back end or refuses, [`candidates`] chooses
-//! between several, [`back_end_limits`] keeps to what those in need say they take, [`attempt`]
-//! sends once,
-//! [`plain`] and [`stream`] turn attempts into one answer. Beside them
-//! [`feed`] learns what is new of the tables, from the table or from other gateways, and
-//! [`watch`] takes it in; [`members`] makes this gateway known, [`demand_teller`] tells
-//! what is asked for,
-//! [`holder`] keeps the placement lease, and [`placement`] places models while
-//! this process has it.
+//! All gateways run the same process. Persistent state, and state that gateways share with each
+//! other, is kept in rows of a table service. [`ports::Platform`] hides the differences between
+//! platforms.
+//!
+//! A request passes through these modules:
+//!
+//! - [`server`] manages connections of callers.
+//! - [`request`] reads one request and finds its route.
+//! - `tenancy` identifies the tenant and charges the request to the tenant's quota in [`allowance`].
+//! - [`admission`] queues the request until a back end is available, or refuses it.
+//! - [`candidates`] chooses between several back ends.
+//! - [`back_end_limits`] enforces the limits that overloaded back ends state.
+//! - [`attempt`] sends the request once.
+//! - [`plain`] and [`stream`] combine attempts into one response.
+//!
+//! These modules run in the background:
+//!
+//! - [`feed`] receives updates of the tables from the table service or from other gateways.
+//! - [`watch`] applies these updates.
+//! - [`members`] registers this gateway.
+//! - [`demand_teller`] sends this gateway's demand to the placement holder.
+//! - [`holder`] maintains the placement lease.
+//! - [`placement`] places models while this process holds the lease.
 
 pub mod admission;
 pub mod allowance;
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -1,9 +1,9 @@
-//! Log lines: one `key=value` line for each decision, to standard output.
+//! Log of events: one `key=value` line for each decision, on standard output.
 //!
-//! In: typed lines through [`write`]. Out: lines that a thread of its own
-//! writes, so that a reader that has stopped reading holds nothing up: when
-//! the queue is full, lines are dropped and counted. Volume is bounded by a
-//! budget a second for each rank, and lines of failures have a budget apart.
+//! Input: events, through [`write`]. Output: log lines, which a dedicated thread writes so that a
+//! blocked reader cannot delay the gateway. If the queue is full, log lines are dropped and
+//! counted. Each priority has its own limit of lines per second, so that lines of served requests
+//! cannot displace lines of failures.
 
 use std::fmt;
 use std::io::Write;
@@ -18,22 +18,22 @@
 use logforth::{Diagnostic, Error};
 use parking_lot::Mutex;
 
-/// Lines that wait for the writer at most.
+/// Maximum number of log lines in the queue.
 const QUEUE_LINES: usize = 2_048;
-/// Lines about served requests a second.
+/// Maximum number of log lines about served requests per second.
 const SERVED_PER_SECOND: u32 = 40;
-/// Lines about anything else a second.
+/// Maximum number of all other log lines per second.
 const OTHER_PER_SECOND: u32 = 300;
 
 static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
 static LIMITS: OnceLock<Mutex<LineBudget>> = OnceLock::new();
 
-/// How much a line matters when there are too many.
+/// Priority of a log line when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// A request that was served.
+    /// A served request.
     Served,
-    /// A failed request, or a change of what the process believes.
+    /// A failed request, or a change of state.
     Decision,
 }
 
@@ -44,19 +44,20 @@
     other: u32,
 }
 
-/// Starts the log to standard output. `node` stands in every line.
+/// Starts the log on standard output. Every log line contains `node`.
 pub fn start(node: &str) -> eyre::Result<()> {
     start_to(node, std::io::stdout())
 }
 
-/// Starts the log to `output`, which may block for ever.
+/// Starts the log on `output`, whose writes may block indefinitely.
 pub fn start_to(node: &str, mut output: impl Write + Send + 'static) -> eyre::Result<()> {
     let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || {
             for line in receiver {
-                // A reader that went away is no reason to stop serving.
+                // A write error is ignored, because the gateway must keep serving requests without
+                // a reader of its log.
                 let _ = output.write_all(line.as_bytes());
             }
         })?;
@@ -70,7 +71,7 @@
         .map_err(|error| eyre!("logs cannot be started: {error}"))
 }
 
-/// Writes a line: what it is about, then its fields.
+/// Writes a log line that consists of the event's name and its fields.
 pub fn write(rank: Rank, event: &str, fields: fmt::Arguments<'_>) {
     if !allowed(rank) {
         LEFT_OUT.fetch_add(1, Ordering::Relaxed);
@@ -82,7 +83,7 @@
     }
 }
 
-/// Lines that were left out since the start.
+/// Number of log lines dropped since the start.
 pub fn left_out() -> u64 {
     LEFT_OUT.load(Ordering::Relaxed)
 }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,8 +1,8 @@
-//! Which gateways there are: each has one row, written at its start and removed at a
+//! Membership of gateways: each gateway has one row, which it writes at its start and removes at a
 //! planned stop.
 //!
-//! In: rows of the table of members. Out: this gateway's own row, the number of gateways
-//! (budgets are shared by it), and whom to ask for changes of the tables.
+//! Input: rows of the table of members. Output: this gateway's own row, the number of gateways, by
+//! which shared budgets are divided, and the gateways that may be parents in the feed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,25 +19,26 @@
 use crate::shared::Shared;
 use crate::watch::{Follower, row_name};
 
-/// Pause after a call of the table without an answer, doubled each time ...
+/// Initial pause after a failed table call; doubled after each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// ... up to this.
+/// Upper limit of that pause.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
-/// A gateway that finds no other one at its start looks again after this time: those that
-/// start together have written their rows by then.
+/// Mean pause before a gateway that found no other gateway at its start reads the table again.
+/// Gateways that started at the same time have written their rows by then.
 const SECOND_LOOK: Duration = Duration::from_millis(500);
-/// Time from a gateway's own row to its first look at those that start with it: rows of all that
-/// wrote in the same moment stand by then, unless there are hundreds.
+/// Mean time from the write of a gateway's own row to its first read of the rows of gateways that
+/// start together. All rows written at the same moment are readable by then, unless there are
+/// hundreds.
 const FIRST_LOOK: Duration = Duration::from_millis(700);
-/// Pause between two such looks: in this time the table takes some 300 rows.
+/// Mean pause between two such reads. The table accepts about 300 rows in this time.
 const LOOK_PAUSE: Duration = Duration::from_millis(1_500);
-/// Those that start together write within this time: the table makes the writes of one
-/// part one after the other.
+/// Gateways that start together spread their writes over this time, because the table serializes
+/// the writes to one partition.
 const WRITE_SPREAD: Duration = Duration::from_millis(1_500);
-/// How often a gateway looks whether its row still stands.
+/// Mean interval at which a gateway checks whether its row still exists.
 const KEEP_PAUSE: Duration = Duration::from_secs(3);
 
-/// The row of this gateway.
+/// Contents of this gateway's row.
 fn own_row(shared: &Shared) -> MemberRow {
     MemberRow {
         address: shared.settings.relay,
@@ -52,9 +53,9 @@
     format!("{table}/{}", shared.settings.node)
 }
 
-/// Learns which other gateways there are, before anything else asks the table: most
-/// gateways then ask others, and not the table. One that finds none makes itself known
-/// first, and looks again.
+/// Reads which other gateways exist, before any other task uses the table, so that most gateways
+/// request updates from other gateways and not from the table. A gateway that finds no other
+/// gateway writes its own row first and then reads the table again.
 pub async fn join(shared: &Arc<Shared>) {
     if shared.settings.starts_with_all {
         return join_with_all(shared).await;
@@ -68,7 +69,8 @@
     look(shared).await;
 }
 
-/// Makes this gateway known, and waits until most of those that start with it are.
+/// Writes this gateway's row and waits until most of the gateways that start together have written
+/// theirs.
 async fn join_with_all(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
     write_own(shared).await;
@@ -83,7 +85,7 @@
     }
 }
 
-/// Reads the table of members. Out: how many other gateways there are.
+/// Reads the table of members and returns the number of other gateways.
 async fn look(shared: &Arc<Shared>) -> usize {
     let table = shared.platform.tables().members;
     let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
@@ -105,7 +107,7 @@
     }
 }
 
-/// Writes this gateway's row, unless it stands.
+/// Writes this gateway's row unless it exists.
 async fn write_own(shared: &Arc<Shared>) {
     let row = own_row(shared);
     let Ok(value) = serde_json::to_string(&row) else {
@@ -134,7 +136,7 @@
     }
 }
 
-/// This gateway's row as it was last seen.
+/// This gateway's row, as last received.
 fn known_row(shared: &Shared) -> Option<TableRow> {
     let table = shared.platform.tables().members;
     let rows = shared.feed.rows(table, Duration::MAX)?;
@@ -142,7 +144,7 @@
     rows.into_iter().find(|row| row.key == key)
 }
 
-/// Writes this gateway's row when it is not there, until the process stops.
+/// Writes this gateway's row again whenever it is missing, until the process stops.
 pub async fn keep(shared: Arc<Shared>) {
     let mut pause = WRITE_SPREAD.mul_f64(rand::random::<f64>());
     while !shared.is_stopping() {
@@ -152,7 +154,7 @@
     }
 }
 
-/// Removes this gateway's row: others need not find out that it is gone.
+/// Removes this gateway's row, so that other gateways need not detect its absence.
 pub async fn leave(shared: Arc<Shared>) {
     let Some(row) = known_row(&shared) else {
         return;
@@ -166,14 +168,14 @@
     );
 }
 
-/// Takes in which gateways there are.
+/// Follower of the table of members.
 pub struct MemberFollower {
     shared: Arc<Shared>,
     rows: BTreeMap<String, MemberRow>,
 }
 
 impl MemberFollower {
-    /// Knows no gateway yet.
+    /// Creates a follower that knows no gateway yet.
     pub fn new(shared: Arc<Shared>) -> Self {
         MemberFollower {
             shared,
@@ -218,8 +220,8 @@
         }
     }
 
-    /// Places in the tree are worked out from all gateways: once for all changes that came
-    /// together, since at a start of hundreds each has as many.
+    /// Computing tree positions needs all gateways, and a start of hundreds of gateways causes
+    /// hundreds of changes. The positions are therefore computed once for each batch of changes.
     fn settle(&mut self) {
         self.tell();
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -9,48 +9,48 @@
     Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Bounds of latency histograms, in seconds.
+/// Bucket bounds of latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// Tenants that have figures of their own, those that came first; of thousands each would
-/// make a dozen series.
+/// Maximum number of tenants with time series of their own: the first ones that send requests. Each
+/// tenant adds a dozen time series, and there may be thousands of tenants.
 const MOST_TENANTS: usize = 32;
-/// All other tenants together.
+/// Label of all other tenants together.
 const OTHER_TENANTS: &str = "other";
 
-/// All figures.
+/// All metrics of a gateway.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that ended, by outcome.
+    /// Completed requests, by outcome.
     pub requests: IntCounterVec,
-    /// Requests of tenants that ended, by tenant and outcome.
+    /// Completed requests of tenants, by tenant and outcome.
     tenant_requests: IntCounterVec,
-    /// Tenants with figures of their own.
+    /// Tenants with time series of their own.
     tenants: Mutex<BTreeSet<String>>,
-    /// Sends to back ends, by result.
+    /// Attempts at back ends, by result.
     pub attempts: IntCounterVec,
-    /// Questions for times at back ends that state a limit, by result.
+    /// Requests for send times at back ends that state a limit, by result.
     pub reservations: IntCounterVec,
-    /// Answers in which back ends say that they leave or ask for a pause, by kind.
+    /// Responses in which back ends announce a drain or request a pause, by kind.
     pub back_end_statements: IntCounterVec,
     /// Orders to engines, by result.
     pub orders: IntCounterVec,
-    /// Calls of the table, by result.
+    /// Table calls, by result.
     pub table_calls: IntCounterVec,
-    /// Rows of tables that could not be used, by reason.
+    /// Table rows that could not be parsed, by reason.
     pub refused_rows: IntCounterVec,
     /// Reads and writes of the quarantine row, by result.
     pub quarantine_row: IntCounterVec,
-    /// Changes of the lease as this process saw them, by kind.
+    /// Changes of the placement lease as observed by this process, by kind.
     pub lease_changes: IntCounterVec,
-    /// Requests that are being served.
+    /// Requests in progress.
     pub open_requests: IntGauge,
-    /// Back ends that state a limit, as this gateway knows.
+    /// Number of back ends with a known stated limit.
     pub stated_limits: IntGauge,
-    /// Log lines that were left out.
+    /// Dropped log lines.
     pub lines_left_out: IntGauge,
     queue: Histogram,
     connect: Histogram,
@@ -59,7 +59,7 @@
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// Creates all metrics with the value zero.
     pub fn new() -> eyre::Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
@@ -132,28 +132,28 @@
         Ok(())
     }
 
-    /// A request waited so long for a back end.
+    /// Records the time that a request waited for a back end.
     pub fn queued(&self, time: Duration) {
         self.queue.observe(time.as_secs_f64());
     }
 
-    /// A new connection to a back end took so long, whether it came about or not.
+    /// Records the time to establish a connection to a back end, including failed attempts.
     pub fn connected(&self, time: Duration) {
         self.connect.observe(time.as_secs_f64());
     }
 
-    /// A back end's answer began so long after the send.
+    /// Records the time from a send to the first byte of the back end's response.
     pub fn answered(&self, time: Duration) {
         self.first_byte.observe(time.as_secs_f64());
     }
 
-    /// A request ended so long after its arrival.
+    /// Counts a completed request and records the time since its arrival.
     pub fn ended(&self, outcome: &str, time: Duration) {
         self.requests.with_label_values(&[outcome]).inc();
         self.whole.observe(time.as_secs_f64());
     }
 
-    /// A request of a tenant ended, or was refused before anything was done for it.
+    /// Counts a request of a tenant that has been completed or refused.
     pub fn tenant_ended(&self, tenant: &str, outcome: &str) {
         let mut tenants = self.tenants.lock();
         let has_own = tenants.contains(tenant)
@@ -165,7 +165,7 @@
             .inc();
     }
 
-    /// The text that a collector reads.
+    /// Encodes the metrics for the collector.
     pub fn text(&self) -> eyre::Result<Vec<u8>> {
         let left_out = i64::try_from(crate::lines::left_out())?;
         self.lines_left_out.set(left_out);
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,7 +1,7 @@
-//! What a gateway needs of the platform it runs on.
+//! The interface between a gateway and the platform that it runs on.
 //!
-//! One implementation translates between these types and a platform's wire;
-//! tests have a stand-in. Nothing else in this crate knows a platform's names.
+//! One implementation translates between these types and the platform's wire format, and tests use
+//! a fake. No other module of this crate depends on names of a platform.
 
 use std::time::Duration;
 
@@ -17,74 +17,71 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// What a request says of itself in its head.
+/// Metadata of a request, from its HTTP headers.
 #[derive(Clone, Debug, Default)]
 pub struct Ticket {
-    /// Names the request; answers repeat it.
+    /// Identifier of the request, which responses repeat.
     pub id: String,
-    /// How long the caller waits.
+    /// Time that the caller waits for a response.
     pub deadline: Option<Duration>,
-    /// The model that it asks for.
+    /// Requested model.
     pub model: Option<ModelId>,
-    /// The adapter of that model.
+    /// Requested adapter of that model.
     pub adapter: Option<AdapterId>,
-    /// Its prompt.
     pub prompt: Prompt,
-    /// Tokens of the prompt and of the longest answer, together.
+    /// Sum of the prompt's tokens and of the maximum number of tokens in the response.
     pub tokens: Option<u64>,
-    /// The last event that the caller has.
+    /// Identifier of the last event that the caller has received.
     pub last_event: Option<String>,
 }
 
-/// What the gateway tells a back end with a request.
+/// What a gateway sends to a back end in the headers of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptHead<'a> {
-    /// The only back end that may run it.
+    /// The only back end that may run the request.
     pub back_end: &'a BackEndId,
-    /// How long it may take.
+    /// Remaining time for the request.
     pub time_left: Duration,
-    /// Rank of its tenant, or else of its route; 0 is the most urgent.
+    /// Priority of the tenant or, without a tenant, of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Whose request it is, where callers have keys.
+    /// Name of the tenant, where callers have API keys.
     pub tenant: Option<&'a str>,
-    /// Continue after this event.
+    /// Identifier of the event after which the stream continues.
     pub last_event: Option<&'a str>,
 }
 
-/// What the head of a back end's answer says.
+/// Metadata of a back end's response, from its HTTP headers.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerMarks {
-    /// The request that it answers.
+    /// Identifier of the request that the response belongs to.
     pub request_id: Option<String>,
-    /// It says that the request was not run.
+    /// Whether the back end states that it did not run the request.
     pub not_run: bool,
-    /// How many requests the back end takes.
+    /// The rate limit that the back end states.
     pub limit: Statement,
-    /// The back end leaves: it serves on for a while, and then ends.
+    /// Whether the back end is draining: it finishes its requests for a while and then exits.
     pub is_leaving: bool,
-    /// For how long the back end wants no requests from this gateway.
+    /// Time for which the back end asks this gateway to send no requests.
     pub pause: RequestedPause,
 }
 
-/// An order with the holder's generation.
+/// An order with the placement holder's fencing token.
 #[derive(Clone, Debug)]
 pub struct FencedOrder<'a> {
-    /// What to do.
     pub order: &'a OrderKind,
-    /// The engine that is meant.
+    /// Engine that carries out the order.
     pub engine: &'a BackEndId,
-    /// Orders that it must have taken.
+    /// Number of orders that the engine must have accepted before.
     pub sequence: u64,
-    /// The holder's name.
+    /// Name of the placement holder.
     pub holder: &'a NodeId,
-    /// The holder's generation.
+    /// Fencing token of the placement holder.
     pub fence: u64,
 }
 
-/// Rows as of one moment.
+/// Rows of a table as of one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableSnapshot {
-    /// All rows read.
     pub rows: Vec<TableRow>,
     /// Version of the table.
     pub version: u64,
@@ -95,11 +92,11 @@
 pub enum RowChange {
     /// The row was written.
     Put(TableRow),
-    /// The row with this key was removed at this version.
+    /// The row was removed.
     Removed {
-        /// Its key.
+        /// Key of the removed row.
         key: String,
-        /// Version of the removal.
+        /// Version of the table at which the row was removed.
         version: u64,
     },
 }
@@ -117,38 +114,38 @@
 /// Changes of a table, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChanges {
-    /// The changes.
     pub changes: Vec<RowChange>,
-    /// Version to continue from.
+    /// Version from which the next request for changes continues.
     pub version: u64,
 }
 
-/// Why a read of the table gave nothing.
+/// Why a read of the table failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TableError {
-    /// Changes since that version are not kept any more: read the whole table.
+    /// The table does not keep changes since the given version any more; the whole table must be
+    /// read.
     #[error("history is gone")]
     HistoryGone,
-    /// Too many calls; nothing was done.
+    /// The table rejected the call because of too many calls; the call had no effect.
     #[error("too many calls")]
     Throttled,
-    /// The table says that it cannot answer; nothing was done.
+    /// The table reported an error status; the call had no effect.
     #[error("unavailable: status {0}")]
     Unavailable(u16),
-    /// No answer in time, or the connection was lost.
+    /// The call timed out, or the connection was lost.
     #[error("no answer: {0}")]
     Lost(String),
-    /// The answer is not understood.
+    /// The response could not be parsed.
     #[error("answer is not understood: {0}")]
     Content(String),
 }
 
-/// A table that can be followed. Keys are `TABLE/KEY`.
+/// A table service with a change feed. Keys have the form `TABLE/KEY`.
 pub trait WatchedTable: Send + Sync + 'static {
-    /// All rows of a table.
+    /// Reads all rows of a table.
     fn read<'a>(&'a self, table: &'a str) -> BoxFuture<'a, Result<TableSnapshot, TableError>>;
 
-    /// Changes after `version`; waits up to `wait` for the first.
+    /// Returns the changes after `version`; waits up to `wait` for the first change.
     fn changes<'a>(
         &'a self,
         table: &'a str,
@@ -156,26 +153,26 @@
         wait: Duration,
     ) -> BoxFuture<'a, Result<TableChanges, TableError>>;
 
-    /// Runs a transaction; its reads are not used.
+    /// Runs a transaction. Rows that the transaction reads are not returned.
     fn transact(&self, transaction: Transaction) -> BoxFuture<'_, TableAnswer>;
 
-    /// Removes a row if the version that last wrote it is `version`.
+    /// Removes a row if `version` is the version at which the row was last written.
     fn remove<'a>(&'a self, key: &'a str, version: u64) -> BoxFuture<'a, TableAnswer>;
 }
 
-/// In what way a row says nothing that could be used.
+/// Why a row could not be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowFault {
-    /// Its bytes are no text.
+    /// The value is not valid UTF-8.
     Bytes,
-    /// It is no document of the right shape: a field is missing or of another type.
+    /// The value is not a document of the expected schema: a field is missing or has another type.
     Shape,
-    /// A field holds a word that is not known.
+    /// A field has an unknown enumerated value.
     UnknownWord,
 }
 
 impl RowFault {
-    /// A word for lines and counters.
+    /// Value for log lines and metric labels.
     pub fn as_str(self) -> &'static str {
         match self {
             RowFault::Bytes => "bytes",
@@ -185,85 +182,85 @@
     }
 }
 
-/// The value of a row whose bytes are no text: no document is empty.
+/// The value of a row whose bytes are not valid UTF-8. A valid document is never empty.
 pub const UNREADABLE_VALUE: &str = "";
 
-/// A row or an answer that is not what the platform's pages say.
+/// A row or a response that does not conform to the platform's schema.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{place}: {reason}")]
 pub struct ContentError {
-    /// In what way.
     pub fault: RowFault,
-    /// Which field of which row.
+    /// Row and field of the error.
     pub place: String,
-    /// What is wrong with it.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Names of the platform's own tables, and of those that the gateways write.
+/// Names of the platform's own tables and of the tables that gateways write.
 #[derive(Clone, Copy, Debug)]
 pub struct TableNames {
-    /// Holds the configuration.
+    /// Table of the configuration.
     pub configuration: &'static str,
-    /// Holds one row for each back end.
+    /// Table with one row for each back end.
     pub back_ends: &'static str,
-    /// One row for each gateway: where it answers others, and what its machine can carry.
+    /// Table with one row for each gateway: its address for other gateways and the capacity of its
+    /// machine.
     pub members: &'static str,
-    /// One row for each engine that was ordered something.
+    /// Table with one row for each engine that received an order.
     pub placed: &'static str,
-    /// The placement lease.
+    /// Table of leases, of which one is the placement lease.
     pub lease: &'static str,
-    /// Loads from the weight store of late, written with the lease.
+    /// Table of state that outlasts a lease holder: recent loads from the weight store, saved quota
+    /// usage of tenants, and the quarantine row.
     pub loads: &'static str,
-    /// How fast engines are, one row for each service, written by the placement holder.
+    /// Table of engine speeds with one row for each service, written by the placement holder.
     pub reading: &'static str,
 }
 
-/// The platform, as a gateway sees it.
+/// A platform, as a gateway uses it.
 pub trait Platform: Send + Sync + 'static {
-    /// The table service.
     fn table(&self) -> &dyn WatchedTable;
 
-    /// Names of tables.
     fn tables(&self) -> TableNames;
 
-    /// The path at which readiness is asked.
+    /// Path of the readiness endpoint.
     fn readiness_path(&self) -> &'static str;
 
-    /// Reads a configuration row; none if the row is something else.
+    /// Parses a configuration row. Returns `None` if the row is not a configuration row.
     fn configuration(&self, row: &TableRow) -> Result<Option<Configuration>, ContentError>;
 
-    /// The zone whose back ends are to get nothing while a row with this key stands in the table
-    /// of the configuration; none if it is another row.
+    /// Returns the evacuated zone that a row in the table of the configuration names, by the row's
+    /// key. While that row exists, back ends in the zone receive no requests. Returns `None` for
+    /// any other row.
     fn evacuated_zone(&self, key: &str) -> Option<ZoneId>;
 
-    /// Reads a back end's row.
+    /// Parses a back end's row.
     fn back_end(&self, row: &TableRow) -> Result<BackEndReport, ContentError>;
 
-    /// Reads the head of a request.
+    /// Parses the headers of a request.
     fn ticket(&self, headers: &HeaderMap) -> Ticket;
 
-    /// Takes the caller's key out of the head of a request.
+    /// Removes the caller's API key from the headers of a request and returns the key.
     fn take_key(&self, headers: &mut HeaderMap) -> Option<ApiKey>;
 
-    /// Marks the head of a request for one attempt.
+    /// Sets the headers of one attempt.
     fn mark_attempt(&self, headers: &mut HeaderMap, attempt: &AttemptHead<'_>);
 
-    /// Reads the head of an answer.
+    /// Parses the headers of a response.
     fn answer_marks(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMarks;
 
-    /// Adds when to come back.
+    /// Sets the header that states when the caller should retry.
     fn mark_retry_after(&self, headers: &mut HeaderMap, pause: Duration);
 
-    /// A question for an engine's state.
+    /// Creates the request for an engine's state.
     fn report_request(&self, engine: &BackEndId) -> Request<Bytes>;
 
-    /// Reads an engine's state.
+    /// Parses an engine's state.
     fn report(&self, body: &[u8]) -> Result<EngineReport, ContentError>;
 
-    /// An order as a request.
+    /// Creates the request that sends an order.
     fn order_request(&self, order: &FencedOrder<'_>) -> Request<Bytes>;
 
-    /// What an engine's answer to an order means.
+    /// Returns what the status of an engine's response to an order means.
     fn order_result(&self, status: StatusCode) -> OrderResult;
 }
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Wires a gateway together, and runs it until it is told to stop.
+//! Starts the tasks of a gateway and runs them until the process is told to stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
     watch,
 };
 
-/// How often a stopping process looks whether all requests have ended.
+/// Interval at which a stopping process checks whether all requests have ended.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
 /// A running gateway.
@@ -36,7 +36,7 @@
 }
 
 impl Gateway {
-    /// Listens, and starts everything that runs beside requests.
+    /// Opens the listeners and starts all tasks.
     pub async fn start(
         settings: GatewaySettings,
         platform: Arc<dyn Platform>,
@@ -44,7 +44,7 @@
         Gateway::start_by(Clock::default(), settings, platform).await
     }
 
-    /// The same, by a clock.
+    /// Same as [`Gateway::start`], with a given clock.
     pub async fn start_by(
         clock: Clock,
         mut settings: GatewaySettings,
@@ -60,7 +60,7 @@
             Some(address) => listen_beside(address, "relay").await,
             None => None,
         };
-        // Others are told the address that listens, or none.
+        // Other gateways receive the address that is actually bound, or none.
         settings.relay = relay.as_ref().and_then(|it| it.local_addr().ok());
         let fields = format_args!(
             "node={} zone={} callers={}",
@@ -95,7 +95,7 @@
         self.tasks.push(serve_readiness(shared, readiness));
     }
 
-    /// What callers can do without.
+    /// Starts the servers that callers do not depend on.
     fn spawn_beside(&mut self, figures: Option<TcpListener>, relay: Option<TcpListener>) {
         let shared = &self.shared;
         if let (Some(listener), Some(address)) = (figures, &shared.settings.metrics) {
@@ -108,22 +108,23 @@
         }
     }
 
-    /// Where callers connect.
+    /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Where readiness is asked.
+    /// Address of the readiness endpoint.
     pub fn readiness(&self) -> SocketAddr {
         self.readiness
     }
 
-    /// Where calls of the table are relayed for other gateways.
+    /// Address at which this gateway relays table calls for other gateways.
     pub fn relay(&self) -> Option<SocketAddr> {
         self.shared.settings.relay
     }
 
-    /// A planned stop: not ready from now on; returns when every request has ended.
+    /// Performs a planned stop: the gateway reports that it is not ready from now on. Returns when
+    /// every request has ended.
     pub async fn drain(&self) {
         lines::write(Rank::Decision, "stop", format_args!("phase=begun"));
         self.shared.stop();
@@ -150,7 +151,8 @@
     Ok(())
 }
 
-/// Joins the other gateways, and does what all of them do together until it is dropped.
+/// Registers this gateway as a member, then runs the tasks that gateways share, until the future is
+/// dropped.
 async fn take_part(shared: Arc<Shared>) {
     members::join(&shared).await;
     let duties = [
@@ -173,7 +175,8 @@
         .wrap_err_with(|| format!("cannot listen on {address}"))
 }
 
-/// What callers can do without is no reason not to serve.
+/// Binds a listener that callers do not depend on. A failure is logged, and the gateway serves
+/// requests without the listener.
 async fn listen_beside(address: SocketAddr, what: &str) -> Option<TcpListener> {
     match listen(address).await {
         Ok(listener) => Some(listener),
@@ -210,8 +213,8 @@
     tokio::spawn(server::serve_pages(listener, page))
 }
 
-/// Returns on SIGTERM or SIGINT. SIGHUP is noted: what can change while a
-/// process runs comes from the table, not from its settings file.
+/// Returns on SIGTERM or SIGINT. SIGHUP is only logged: everything that can change at run time
+/// comes from the table, not from the settings file.
 async fn wait_for_stop() -> eyre::Result<()> {
     let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("SIGINT")?;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,14 +1,16 @@
-//! Requests that are kept away from back ends, as this gateway knows and tells it.
+//! Quarantined requests: requests that are not sent to back ends, because back ends crashed while
+//! they ran these requests.
 //!
 //! ```text
-//! lost connections, whole answers --> known --> verdicts on requests
-//!          gateways that this one feeds --^  \--> those that it feeds (with the feed's answers)
-//!                                             \--> the one that feeds it, at once
+//! lost connections, complete responses --> outcomes --> quarantine entries
+//!                  notices of children --^          \--> children (with responses of the feed)
+//!                                                    \--> parent (at once)
 //! ```
 //!
-//! News go up by a call of its own and come down with the answers to waiting
-//! questions, so they are everywhere within a few round trips, whether the table answers or not.
-//! Roots ask each other. A gateway that starts later is told all that is remembered.
+//! Outcome notices travel up the tree in dedicated calls and down the tree with the responses to
+//! pending feed requests. They reach all gateways within a few round trips, even while the table is
+//! unavailable. Roots request updates from each other. A gateway that starts later receives all
+//! recorded outcomes.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -29,29 +31,30 @@
 use crate::relay::{RelayAnswer, RelayRequest};
 use crate::shared::Shared;
 
-/// Pause before news are handed up again when nobody took them: a fifteenth of the three
-/// seconds that users allow them to all gateways.
+/// Pause before notices are sent to parents again after no parent accepted them: a fifteenth of the
+/// 3 s within which users expect all gateways to have them.
 const HAND_UP_PAUSE: Duration = Duration::from_millis(200);
-/// A gateway takes news within this time, or another one is told.
+/// Time within which a parent must accept notices before the next parent is tried.
 const HAND_UP_TIMEOUT: Duration = Duration::from_millis(300);
-/// Whoever has nothing to hand up looks again after so long.
+/// Interval at which a gateway without new notices checks for them.
 const IDLE: Duration = Duration::from_secs(5);
 
-/// News of requests under which back ends ended, for one who asked.
+/// An update of outcomes for a gateway that requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineNews {
-    /// Where the asker is when it has taken in the events.
+    /// Position of the receiver after it has merged the events.
     pub position: Position,
-    /// What happened, in the order in which the teller learned of it.
+    /// Outcomes, in the order in which the sender learned of them.
     pub events: Vec<ToldOutcome>,
 }
 
-/// What this gateway knows, and how far it knows what others tell.
+/// The outcomes known to this gateway, and its positions in the outcomes of other gateways.
 pub struct SharedQuarantine {
     known: Mutex<Quarantine>,
-    /// Rings when there is more to tell.
+    /// Notifies its receivers when there are new outcomes to send.
     grown: watch::Sender<()>,
-    /// Notified when the end of a back end under a request of this gateway changes the verdicts.
+    /// Notified when a crash of a back end under a request of this gateway changes the quarantine
+    /// entries.
     local_verdict_change: Notify,
     heard: Mutex<HashMap<SocketAddr, Position>>,
     /// See [`SharedQuarantine::is_initialized`].
@@ -71,14 +74,14 @@
 }
 
 impl SharedQuarantine {
-    /// How much longer a request is kept away from back ends; none if it may be sent.
+    /// Remaining time for which a request is quarantined; `None` if it may be sent.
     pub fn verdict(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
         let left = self.known.lock().verdict(now, fingerprint)?;
         Some(Duration::from_millis(left))
     }
 
-    /// A back end ended while a request of this gateway was there. True if other requests
-    /// than before are kept away.
+    /// Records that a back end crashed while it ran a request of this gateway. Returns whether the
+    /// quarantine entries changed.
     pub fn note_end(&self, now: Timestamp, request: Fingerprint, back_end: BackEndHash) -> bool {
         let has_changed = self.change(|known| known.note_end(now, request, back_end));
         if has_changed {
@@ -87,37 +90,40 @@
         has_changed
     }
 
-    /// Waits until the end of a back end under a request of this gateway changes the verdicts.
-    /// Returns at once if that has happened since the last call; several changes count as one.
+    /// Waits until a crash of a back end under a request of this gateway changes the quarantine
+    /// entries. Returns at once if that has happened since the last call; several changes count as
+    /// one.
     pub async fn local_verdict_change(&self) {
         self.local_verdict_change.notified().await;
     }
 
-    /// A back end answered a request of this gateway whole. True as above.
+    /// Records a complete response to a request of this gateway. Returns whether the quarantine
+    /// entries changed.
     pub fn note_served(&self, now: Timestamp, request: Fingerprint) -> bool {
         self.change(|known| known.note_served(now, request))
     }
 
-    /// Another gateway told of events. True as above.
+    /// Merges outcome notices of another gateway. Returns whether the quarantine entries changed.
     pub fn take(&self, now: Timestamp, told: &[ToldOutcome], source: Source) -> bool {
         self.change(|known| {
             known.take(now, told, source);
         })
     }
 
-    /// The gateway at `address` answered with news. True as above.
+    /// Merges an update with which the gateway at `address` has responded. Returns whether the
+    /// quarantine entries changed.
     pub fn take_news(&self, now: Timestamp, address: SocketAddr, news: &QuarantineNews) -> bool {
         self.heard.lock().insert(address, news.position);
         self.take(now, &news.events, Source::Beside)
     }
 
-    /// Whether the verdicts from before the start of this gateway are known or the wait for them
-    /// has timed out.
+    /// Whether the quarantine entries from before the start of this gateway are known or the wait
+    /// for them has timed out.
     pub fn is_initialized(&self) -> bool {
         self.is_initialized.load(Ordering::Acquire)
     }
 
-    /// Marks the quarantine as initialized and wakes subscribers. Returns true on the first call
+    /// Marks the quarantine as initialized and notifies subscribers. Returns true on the first call
     /// only.
     pub fn note_initialized(&self) -> bool {
         let is_first = !self.is_initialized.swap(true, Ordering::AcqRel);
@@ -127,13 +133,13 @@
         is_first
     }
 
-    /// How far the gateway at `address` is known.
+    /// This gateway's position in the outcomes of the gateway at `address`.
     pub fn heard(&self, address: SocketAddr) -> Option<Position> {
         self.heard.lock().get(&address).copied()
     }
 
-    /// What is new to a gateway at this position. None until this gateway is initialized: the
-    /// receiver treats the events as complete.
+    /// Returns the update for a gateway at this position. Returns `None` until this gateway is
+    /// initialized, because the receiver treats the events as complete.
     pub fn news(&self, now: Timestamp, position: Option<Position>) -> Option<QuarantineNews> {
         if !self.is_initialized() {
             return None;
@@ -145,23 +151,23 @@
         })
     }
 
-    /// The ends that verdicts hang on.
+    /// The crashes that current quarantine entries depend on.
     pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
         self.known.lock().verdict_events(now)
     }
 
-    /// How often other requests than before were kept away.
+    /// Number of changes of the quarantine entries so far.
     pub fn verdict_changes(&self) -> u64 {
         self.known.lock().verdict_changes()
     }
 
-    /// Whether anything is new to one at this position.
+    /// Whether there is an update for a gateway at this position.
     pub fn is_ahead_of(&self, position: Option<Position>) -> bool {
-        // A gateway without a position may need the answer to become ready, even without events.
+        // A gateway without a position may need the response to become ready, even without events.
         self.is_initialized() && (position.is_none() || self.known.lock().is_ahead_of(position))
     }
 
-    /// Rings when there is more to tell.
+    /// Notifies its receiver when there are new outcomes to send.
     pub fn subscribe(&self) -> watch::Receiver<()> {
         self.grown.subscribe()
     }
@@ -184,7 +190,7 @@
         has_changed
     }
 
-    /// What this gateway and those that it feeds saw since a position.
+    /// Outcomes that this gateway and its children have observed since a position.
     fn seen_below(&self, now: Timestamp, position: Option<Position>) -> QuarantineNews {
         let known = self.known.lock();
         QuarantineNews {
@@ -194,7 +200,7 @@
     }
 }
 
-/// Hands news to a gateway that feeds this one, until it is dropped.
+/// Sends new outcomes to a parent, until the future is dropped.
 pub async fn hand_up(shared: Arc<Shared>) {
     let mut grown = shared.quarantine.subscribe();
     let mut handed: Option<Position> = None;
@@ -203,7 +209,7 @@
         let news = shared.quarantine.seen_below(shared.now(), handed);
         if news.events.is_empty() {
             handed = Some(news.position);
-            // Time is up or there is more: the next turn looks.
+            // After the timeout or a notification, the next iteration checks for outcomes.
             let _ = timeout(IDLE, grown.changed()).await;
         } else if hand_to_any(&shared, news.events).await {
             handed = Some(news.position);
@@ -213,7 +219,8 @@
     }
 }
 
-/// True if a gateway took it. At a root there is nobody above: the others ask it.
+/// Sends outcomes to the first parent that accepts them, and returns whether one did. Roots have no
+/// parent; other roots request the outcomes from them.
 async fn hand_to_any(shared: &Shared, events: Vec<ToldOutcome>) -> bool {
     let (is_root, candidates) = {
         let parents = shared.feed.parents.lock();
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -1,12 +1,14 @@
-//! The verdicts that outlast all gateways: one row of the table.
+//! Stores quarantine entries in one row of the table, so that they survive the loss of all
+//! gateways.
 //!
 //! Gateways keep no state that outlives their process, and all machines may lose power at once.
-//! Verdicts are therefore stored in the table: a gateway writes them when the end of a back end
-//! under one of its requests changes them, and the placement holder writes them when they change.
-//! Gateways that follow the table read them once after their start and pass them on to the others.
+//! Quarantine entries are therefore stored in the table: a gateway writes them when a crash of a
+//! back end under one of its requests changes them, and the placement holder writes them whenever
+//! they change. Gateways that follow the table read the row once after their start and forward the
+//! entries to the others.
 //!
-//! Invariant: the row only adds to what gateways know. Ages in it are those of its last write,
-//! so a verdict may stand for longer than it should, never shorter.
+//! Invariant: the row only adds to the outcomes that gateways know. Ages in the row are as of its
+//! last write, so an entry may last longer than intended but never shorter.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,18 +24,18 @@
 use crate::ports::{TableError, WatchedTable};
 use crate::shared::Shared;
 
-/// Pause after a call of the table without an answer, doubled each time ...
+/// Initial pause after a failed table call; doubled after each further failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// ... up to this.
+/// Upper limit of that pause.
 const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
-/// Least pause between two writes: ends come in groups, and what is not written yet is known
-/// to all gateways.
+/// Minimum pause between two writes. Crashes occur in groups, and all gateways already know the
+/// outcomes that are not written yet.
 const WRITE_PAUSE: Duration = Duration::from_millis(250);
-/// Without news the holder looks again after so long.
+/// Interval at which the placement holder checks the row without a notification.
 const IDLE: Duration = Duration::from_secs(30);
 
-/// How long a gateway that has read the back ends waits for the verdicts before it serves without
-/// them, so that an unavailable table does not block it.
+/// Time for which a gateway that has read the back ends waits for the quarantine entries before it
+/// serves requests without them, so that an unavailable table does not block it.
 const INITIAL_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn key(shared: &Shared) -> String {
@@ -121,7 +123,7 @@
 }
 
 /// Marks the quarantine as initialized [`INITIAL_READ_TIMEOUT`] after the back ends were read, and
-/// logs and counts the timeout if the verdicts are still unknown.
+/// logs and counts the timeout if the quarantine entries are still unknown.
 pub async fn enforce_initial_read_timeout(shared: Arc<Shared>) {
     let mut changes = shared.subscribe();
     while !shared.has_read_back_ends() {
@@ -140,23 +142,24 @@
     }
 }
 
-/// Keeps the row while this gateway places models, until it is dropped.
+/// Keeps the row up to date while this gateway is the placement holder, until the future is
+/// dropped.
 pub async fn keep(shared: Arc<Shared>) {
     let mut grown = shared.quarantine.subscribe();
     loop {
         let changes = shared.quarantine.verdict_changes();
         update_row(&shared).await;
         while shared.quarantine.verdict_changes() == changes {
-            // Time is up or there is more to tell: the next turn looks.
+            // After the timeout or a notification, the loop checks the entries again.
             let _ = timeout(IDLE, grown.changed()).await;
             sleep(WRITE_PAUSE).await;
         }
     }
 }
 
-/// Updates the row when the end of a back end under a request of this gateway changes the verdicts,
-/// until it is dropped. Does not require the placement lease: all gateways may be lost while none
-/// holds it.
+/// Updates the row when a crash of a back end under a request of this gateway changes the
+/// quarantine entries, until the future is dropped. Does not require the placement lease: all
+/// gateways may be lost while none holds it.
 pub async fn write_local_verdicts(shared: Arc<Shared>) {
     loop {
         shared.quarantine.local_verdict_change().await;
@@ -164,10 +167,11 @@
     }
 }
 
-/// Writes the known verdicts unless the row already names the same requests. Retries until the
-/// row is up to date.
+/// Writes the current quarantine entries unless the row already names the same requests. Retries
+/// until the row is up to date.
 ///
-/// Comparing with the stored row covers verdicts that were known before the lease was taken.
+/// The comparison with the stored row covers entries that existed before the placement lease was
+/// acquired.
 async fn update_row(shared: &Shared) {
     let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
     loop {
@@ -186,7 +190,7 @@
                 note_write_failure(shared, "refused");
                 backoff.wait().await;
             }
-            // It may stand, or may do so later.
+            // The write may have taken effect, or may do so later.
             TableAnswer::Unknown => {
                 note_write_failure(shared, "unknown");
                 backoff.wait().await;
--- a/crates/gateway/src/reading_rows.rs
+++ b/crates/gateway/src/reading_rows.rs
@@ -1,8 +1,8 @@
-//! How fast engines are, told among gateways: the placement holder puts together
-//! what their demand rows say, and every gateway follows the outcome.
+//! Rows of prefill speeds: the placement holder merges the engine speeds in the demand of all
+//! gateways into rows that every gateway follows.
 //!
-//! In: demand rows. Out: one row for each service, written when it says something
-//! new. A row that is lost or old costs a longer pause now and then, never an answer.
+//! Input: demand of gateways. Output: one row for each service, written when its content has
+//! changed. A lost or outdated row only makes some waits longer; no request is lost.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,12 +18,12 @@
 use crate::shared::Shared;
 use crate::watch::{Follower, LOST_PAUSE, row_name};
 
-/// Pause between two looks at what gateways have seen, at least.
+/// Minimum pause between two evaluations of the demand of gateways.
 const PAUSE: Duration = Duration::from_millis(1_000);
-/// Bytes a second that all gateways together read of these rows at most.
+/// Maximum rate at which all gateways together read these rows, in bytes per second.
 const BYTES_PER_SECOND: f64 = 200_000.0;
 
-/// Takes in what the holder tells.
+/// Follower of the table of prefill speeds.
 pub struct ReadingFollower(pub Arc<Shared>);
 
 impl ReadingFollower {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Tells all gateways what each has seen, until it is dropped.
+/// Writes the merged engine speeds to the table, until the future is dropped.
 pub async fn tell(shared: Arc<Shared>) {
     let mut teller = Teller {
         shared,
@@ -69,20 +69,21 @@
 
 struct Teller {
     shared: Arc<Shared>,
-    /// What stands in the table, with its version.
+    /// The rows in the table, with their versions.
     told: BTreeMap<ServiceId, (ReadingRow, u64)>,
-    /// Size of the row that was told last.
+    /// Size of the last written row in bytes.
     bytes_told: usize,
 }
 
 impl Teller {
-    /// Time over which the last row is spread: every gateway reads it.
+    /// Minimum time between two writes that keeps the read rate of all gateways within
+    /// `BYTES_PER_SECOND`.
     fn read_time(&self) -> Duration {
         let bytes = self.bytes_told * self.shared.possible_gateways();
         Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND)
     }
 
-    /// Reads what a former holder has told.
+    /// Reads the rows that a previous placement holder has written.
     async fn read(&mut self) {
         let table = self.shared.platform.tables().reading;
         let snapshot = loop {
@@ -119,9 +120,10 @@
             TableAnswer::Committed { revision, .. } => {
                 self.told.insert(service, (row, revision));
             }
-            // Another holder's, or an earlier write of this one that was done late.
+            // The row was written by another placement holder, or by an earlier write of this
+            // gateway that took effect late.
             TableAnswer::Conflict { .. } | TableAnswer::Unknown => self.read().await,
-            // Nothing was written; the next turn tells what is known by then.
+            // The refused write had no effect; the next iteration writes the values known by then.
             TableAnswer::Refused { .. } => {}
         }
     }
--- a/crates/gateway/src/refused_rows.rs
+++ b/crates/gateway/src/refused_rows.rs
@@ -1,8 +1,9 @@
-//! Rows of tables that say nothing this gateway can use: another writer made them, or they
-//! were spoiled.
+//! Records table rows that could not be parsed, because another writer made them or because they
+//! were corrupted.
 //!
-//! In: rows that could not be read, and why; rows that can be again. Out: one line for each
-//! row, however often it is seen, and counters by reason. All other rows hold.
+//! Input: rows that could not be parsed, with the reason, and rows that can be parsed again.
+//! Output: one log line for each version of such a row, however often the gateway reads it, and
+//! counters by reason. All other rows remain in use.
 
 use std::collections::HashMap;
 
@@ -12,18 +13,19 @@
 use crate::lines::{self, Rank};
 use crate::ports::RowFault;
 
-/// Rows that are remembered as refused, so that each has one line: some hundred bytes each.
+/// Maximum number of refused rows that are remembered to avoid repeated log lines. Each takes a few
+/// hundred bytes.
 const MOST_KNOWN: usize = 256;
 
-/// What is known of rows that were refused.
+/// Rows that could not be parsed.
 pub struct RefusedRows {
     count: IntCounterVec,
-    /// Version at which each was refused last.
+    /// Version at which each row was last refused.
     known: Mutex<HashMap<String, u64>>,
 }
 
 impl RefusedRows {
-    /// Nothing was refused yet. `count` counts rows by reason.
+    /// Creates an empty record. `count` counts refused rows by reason.
     pub fn new(count: IntCounterVec) -> Self {
         RefusedRows {
             count,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// A row at this version says nothing that could be used.
+    /// Records that the row at this version could not be parsed.
     pub fn refuse(&self, key: &str, version: u64, fault: RowFault, error: &dyn std::fmt::Display) {
         let mut known = self.known.lock();
         if known.get(key) == Some(&version) {
@@ -48,7 +50,7 @@
         lines::write(Rank::Decision, "row_refused", fields);
     }
 
-    /// A row is gone, or can be read again.
+    /// Records that the row was removed or can be parsed again.
     pub fn forget(&self, key: &str) {
         let mut known = self.known.lock();
         if !known.is_empty() {
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a gateway. The platform's adapter fills them from its own file.
+//! Settings of a gateway. The platform crate fills them from its own settings file.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -10,39 +10,34 @@
 /// Settings of one process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySettings {
-    /// The process's name; the same after a restart.
+    /// Name of the process, stable across restarts.
     pub node: NodeId,
-    /// Its zone.
     pub zone: ZoneId,
-    /// Address for callers.
     pub listen_callers: SocketAddr,
-    /// Address at which readiness is asked.
     pub listen_readiness: SocketAddr,
-    /// Address and path of the figures.
     pub metrics: Option<MetricsAddress>,
-    /// Where calls of the table are relayed for other gateways.
+    /// Address at which this gateway relays table calls for other gateways.
     pub relay: Option<SocketAddr>,
-    /// Capacity of the machine's link in megabits a second; 0 if it is not known.
+    /// Capacity of the machine's network link in megabits per second; 0 if unknown.
     pub link_megabits: u32,
-    /// Processor that this process has, in thousandths of a core; 0 if it is not known.
+    /// CPU share of this process in thousandths of a core; 0 if unknown.
     pub millicores: u32,
-    /// Whether all gateways start together, for the first time.
+    /// Whether all gateways start together, as at the first start of a deployment.
     pub starts_with_all: bool,
     /// Bounds that the deployment sets.
     pub bounds: Bounds,
 }
 
-/// Where figures are served.
+/// Address and path of the metrics endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricsAddress {
-    /// Address.
     pub listen: SocketAddr,
-    /// Path.
     pub path: String,
 }
 
 impl MetricsAddress {
-    /// `PORT/PATH` on a machine with this address; none if the text is something else.
+    /// Parses `PORT/PATH` and combines it with the machine's address. Returns `None` for any other
+    /// format.
     pub fn parse(machine: IpAddr, text: &str) -> Option<Self> {
         let (port, path) = text.split_once('/')?;
         Some(MetricsAddress {
@@ -55,31 +50,31 @@
 /// Bounds that the deployment sets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// The retry budget of all gateways.
+    /// The retry budget that all gateways share.
     pub retries: RetryShare,
-    /// The bound on loads from the weight store.
+    /// The rate limit of loads from the weight store.
     pub loads: LoadBound,
-    /// Length of the placement lease.
+    /// Duration of the placement lease.
     pub lease: Duration,
-    /// Within this time after the table took it, a leaving back end and a new
-    /// configuration are known to every gateway.
+    /// Maximum time from the commit of a back end's drain or of a new configuration in the table
+    /// until every gateway knows it.
     pub news: Duration,
-    /// What is known of keys.
+    /// Maximum times until all gateways accept a new API key and reject a revoked one.
     pub keys: KeyBounds,
-    /// How far all gateways together may be over a tenant's limit.
+    /// How far all gateways together may exceed a tenant's quota.
     pub limits: LimitBound,
-    /// Whether a cold back end falls over when it is sent much: others come first.
+    /// Whether back ends that are warming up fail under load, so that warm back ends are preferred.
     pub spares_cold: bool,
-    /// From a planned stop until the process is killed.
+    /// Time from the start of a planned stop until the process is killed.
     pub grace: Duration,
-    /// Reading calls of the table a second, of all gateways together.
+    /// Maximum rate of read calls to the table of all gateways together, in calls per second.
     pub table_reads: f64,
-    /// Writing calls of the table a second, of all gateways together.
+    /// Maximum rate of write calls to the table of all gateways together, in calls per second.
     pub table_writes: f64,
 }
 
-/// Where a gateway answers others: the first of the ports from the first to the last one that are
-/// free for that, but for the one of its figures. None if there is none.
+/// Address at which a gateway serves other gateways. The port is the first one of the inclusive
+/// range `ports` that the metrics endpoint does not use. Returns `None` if there is no such port.
 pub fn relay_address(
     address: IpAddr,
     ports: Option<(u16, u16)>,
--- a/crates/gateway/src/shared/answers.rs
+++ b/crates/gateway/src/shared/answers.rs
@@ -1,4 +1,5 @@
-//! What answers say of the back ends that give them, beside answering a request.
+//! Records what back ends state about themselves in the headers of their responses: limits, pauses
+//! and drains.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use crate::ports::AnswerMarks;
 
 impl Shared {
-    /// A back end's answer to a request that was sent at `sent` says this.
+    /// Records the metadata of a back end's response to a request that was sent at `sent`.
     pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, marks: &AnswerMarks) {
         self.note_statement(back_end, sent.elapsed(), marks.limit);
         if marks.is_leaving {
@@ -45,13 +46,14 @@
         }
     }
 
-    /// How much longer a back end wants no requests from this gateway; none if it takes them.
+    /// Remaining time of the pause that a back end has requested from this gateway; `None` if there
+    /// is no pause.
     pub fn pause_left(&self, now: Timestamp, back_end: &BackEnd) -> Option<Duration> {
         self.paused.lock().left(now, back_end.life_hash)
     }
 
-    /// Those of the back ends that want no pause, or, if there are none, the time until one of
-    /// them takes requests again.
+    /// Returns the back ends that have requested no pause. If all of them are paused, returns the
+    /// time until the first pause ends as an error.
     pub fn without_paused(
         &self,
         now: Timestamp,
@@ -70,8 +72,9 @@
         }
     }
 
-    /// A back end says in an answer that it leaves. Its row may come much later, if the table is
-    /// out of order, so what the answer says counts by itself.
+    /// Records a drain that a back end has announced in a response. The announcement takes effect
+    /// at once, because the back end's row may be updated much later while the table is
+    /// unavailable.
     pub fn note_departure(&self, back_end: &BackEnd) {
         self.count_statement("leaving");
         if self.directory(|directory| directory.has_departed(back_end)) {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Another gateway tells of back ends that leave.
+    /// Merges drain notices from another gateway.
     pub fn note_told_departures(&self, told: &[ToldDeparture]) {
         if self.directory(|directory| directory.knows_departures(told)) {
             return;
@@ -97,7 +100,7 @@
         leaving.for_each(|back_end| log_departure(back_end, "gateway"));
     }
 
-    /// What other gateways should know of back ends that leave.
+    /// Drain notices for other gateways.
     pub fn told_departures(&self) -> Vec<ToldDeparture> {
         let now = self.now();
         self.directory(|directory| directory.told_departures(now))
--- a/crates/gateway/src/shared/back_end_limits.rs
+++ b/crates/gateway/src/shared/back_end_limits.rs
@@ -1,5 +1,5 @@
-//! Limits that back ends state: learned from answers and from other gateways, and this
-//! gateway's way to whoever gives out times at such back ends.
+//! Rate limits that back ends state: records limits from responses and from other gateways, and
+//! requests send times for back ends with a limit from the placement holder.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -17,8 +17,8 @@
 use crate::lines::{self, Rank};
 
 impl Shared {
-    /// A back end's answer to a request that was sent so long ago says how many requests it
-    /// takes.
+    /// Records the limit that a back end states in its response to a request. `since_sent` is the
+    /// time since the request was sent.
     pub fn note_statement(&self, back_end: &BackEnd, since_sent: Duration, statement: Statement) {
         if matches!(statement, Statement::Unreadable) {
             let fields = format_args!("back_end={} reason=no_number", back_end.id);
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Another gateway tells of limits.
+    /// Merges limit notices from another gateway.
     pub fn note_told_limits(&self, told: &[ToldLimit]) {
         if told.is_empty() {
             return;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Back ends that state limits, with the requests a second that each takes.
+    /// Stated limits of back ends, in requests per second.
     pub fn engine_limits(&self) -> BTreeMap<BackEndId, f64> {
         let lives = self.back_end_limits.known(|known| known.in_force());
         if lives.is_empty() {
@@ -55,14 +55,14 @@
         self.directory(|directory: &Directory| directory.by_name(&lives))
     }
 
-    /// What other gateways should know of limits.
+    /// Limit notices for other gateways.
     pub fn told_limits(&self) -> Vec<ToldLimit> {
         let now = self.now();
         self.back_end_limits.known(|known| known.told(now))
     }
 
-    /// Asks for a time at a back end that takes so many requests a second, for a request that
-    /// can wait so long.
+    /// Requests a send time at a back end from the placement holder. `rate` is the stated limit in
+    /// requests per second, `most_wait` the longest time that the request can wait.
     pub async fn reserve(&self, back_end: &BackEnd, rate: f64, most_wait: Duration) -> Reservation {
         let ask = Ask::for_send_time(SendTimeAsk {
             back_end: back_end.life_hash,
@@ -102,7 +102,7 @@
     }
 }
 
-/// A rate for a line, or a dash.
+/// Formats a rate for a log line, or a dash if there is none.
 struct OrNone(Option<f64>);
 
 impl fmt::Display for OrNone {
--- a/crates/gateway/src/shared/gateways.rs
+++ b/crates/gateway/src/shared/gateways.rs
@@ -1,7 +1,7 @@
-//! The gateways that are known: how many, where they answer, who places models.
+//! The known gateways: their number, their addresses, and the placement holder.
 //!
-//! In: rows of the table of members, and the lease. Out: this gateway's place among those
-//! that tell each other news, and whom to ask.
+//! Input: rows of the table of members, and the placement lease. Output: this gateway's position in
+//! the tree that distributes updates, and addresses of other gateways.
 
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
@@ -11,22 +11,23 @@
 use super::Shared;
 use crate::feed::Member;
 
-/// Gateways are reckoned to be at least so many, until the table was read.
+/// Assumed minimum number of gateways, as long as the table of members has not been read.
 pub(super) const LEAST_GATEWAYS: usize = 4;
-/// Gateways that may have joined and are not yet known.
+/// Assumed number of gateways that have joined but are not known yet.
 const UNKNOWN_GATEWAYS: usize = 2;
 
-/// The gateways that are known.
+/// The known gateways.
 #[derive(Debug, Default)]
 pub(super) struct Members {
     count: usize,
     answering: Vec<Member>,
-    /// Who places models, as the lease says.
+    /// The placement holder, according to the lease row.
     holder: Option<NodeId>,
 }
 
 impl Shared {
-    /// So many gateways have a row, and these answer others.
+    /// Sets the known gateways: `count` gateways have a row, and those in `answering` serve other
+    /// gateways.
     pub fn set_members(&self, count: usize, answering: Vec<Member>) {
         self.gateways
             .store(count.max(LEAST_GATEWAYS), Ordering::Relaxed);
@@ -40,7 +41,7 @@
         self.place_in_feed(&members);
     }
 
-    /// The lease says who places models.
+    /// Sets the placement holder according to the lease row.
     pub fn set_holder(&self, holder: Option<NodeId>) {
         let mut members = self.members.lock();
         if members.holder == holder {
@@ -63,18 +64,17 @@
         }
     }
 
-    /// The gateway that places models, as the lease says.
+    /// The placement holder, according to the lease row.
     pub fn holder(&self) -> Option<NodeId> {
         self.members.lock().holder.clone()
     }
 
-    /// Where the gateway that places models answers; none if there is none, or if it is
-    /// not known.
+    /// Address of the placement holder; `None` if there is no holder or its address is unknown.
     pub fn holder_address(&self) -> Option<SocketAddr> {
         self.address_of(&self.holder()?)
     }
 
-    /// Where a gateway answers others; none if that is not known.
+    /// Address at which a gateway serves other gateways; `None` if unknown.
     pub fn address_of(&self, name: &NodeId) -> Option<SocketAddr> {
         let members = self.members.lock();
         let mut answering = members.answering.iter();
@@ -85,18 +85,18 @@
         )
     }
 
-    /// The gateways that answer others.
+    /// The gateways that serve other gateways.
     pub fn answering_members(&self) -> Vec<Member> {
         self.members.lock().answering.clone()
     }
 
-    /// Gateways that have a row.
+    /// Number of gateways that have a row.
     pub fn known_gateways(&self) -> usize {
         self.members.lock().count
     }
 
-    /// Whether this gateway may place models: others can tell it of their demand, or
-    /// there are no others.
+    /// Whether this gateway may place models. That requires that other gateways can send it their
+    /// demand, or that no gateway serves others.
     pub fn can_place(&self) -> bool {
         let own = self.settings.node.as_str();
         let members = self.members.lock();
@@ -104,14 +104,14 @@
         answers || members.answering.is_empty()
     }
 
-    /// Processor of the strongest machine that is known, in thousandths of a core.
+    /// CPU capacity of the strongest known machine, in thousandths of a core.
     pub fn strongest_millicores(&self) -> u32 {
         let members = self.members.lock();
         let millicores = members.answering.iter().map(|member| member.row.millicores);
         millicores.max().unwrap_or(0)
     }
 
-    /// Processor of one machine.
+    /// CPU capacity of a gateway's machine, in thousandths of a core.
     pub fn millicores_of(&self, name: &NodeId) -> Option<u32> {
         let members = self.members.lock();
         let mut answering = members.answering.iter();
@@ -119,7 +119,7 @@
         Some(member.row.millicores)
     }
 
-    /// Gateways that there may be.
+    /// Upper estimate of the number of gateways.
     pub fn possible_gateways(&self) -> usize {
         self.gateways.load(Ordering::Relaxed) + UNKNOWN_GATEWAYS
     }
--- a/crates/gateway/src/shared/limits.rs
+++ b/crates/gateway/src/shared/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants: this gateway's way to whoever counts for one.
+//! Quotas of tenants: sends quota requests to the gateway that manages a tenant's quota shard.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 use crate::allowance::{Ask, AskAnswer, Obtained, Want};
 use crate::relay::{RelayAnswer, RelayRequest};
 
-/// Whoever counts answers within this time: a hundred times what it takes, and less than
-/// callers of application services wait.
+/// Timeout of a quota request: a hundred times the usual response time, and less than the time
+/// limits of callers of application services.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Shared {
-    /// Counts a request for its tenant, wherever that is counted, or says that it is beyond
-    /// the limit. When nobody who counts answers, tries until a time.
+    /// Charges a request to its tenant at a gateway that manages the tenant's quota, or reports
+    /// that the quota is exceeded. Retries until `until` while no such gateway responds.
     pub async fn count(&self, want: &Want, until: Instant) -> Obtained {
         let put = |holder, ask| self.put(holder, ask);
         self.allowance.obtain(want, until, put).await
     }
 
-    /// Asks another gateway, or this one; none if there was no answer in time.
+    /// Sends a quota request to another gateway, or handles it locally if `holder` is this gateway.
+    /// Returns `None` if there is no response in time.
     pub(super) async fn put(&self, holder: NodeId, ask: Ask) -> Option<AskAnswer> {
         if holder == self.settings.node {
             return Some(self.answer_ask(&ask));
@@ -35,13 +36,13 @@
         }
     }
 
-    /// Whether another gateway answers questions on limits now: it is asked one that counts
-    /// nothing, whatever it holds.
+    /// Whether another gateway currently responds to quota requests. The probe charges nothing, and
+    /// every gateway responds to it whether or not it holds a quota shard.
     pub async fn answers_for_limits(&self, gateway: &NodeId) -> bool {
         self.put(gateway.clone(), Ask::nothing()).await.is_some()
     }
 
-    /// What this gateway, which may count for the tenant or give out times, says.
+    /// Handles a request for quota or for a send time at this gateway.
     pub fn answer_ask(&self, ask: &Ask) -> AskAnswer {
         if let Some(send_time) = &ask.send_time {
             return self.back_end_limits.answer(self.now(), send_time);
--- a/crates/gateway/src/shared/mod.rs
+++ b/crates/gateway/src/shared/mod.rs
@@ -1,9 +1,8 @@
-//! What all requests of a process share: the state here, and what is done with it, matter by
-//! matter, in the modules below.
+//! State that all requests of a process share. The modules below implement the operations on this
+//! state, grouped by topic.
 //!
 //! Lock order: `configuration`, `directory`, `demand`, `retries`, `reading`, `members`,
-//! `feed.parents`, then any other.
-//! No lock is held over an await.
+//! `feed.parents`, then any other lock. No lock is held across an await point.
 
 mod answers;
 mod back_end_limits;
@@ -48,40 +47,39 @@
 use crate::relay::RelayedTable;
 use crate::settings::GatewaySettings;
 
-/// A caller with so much less time than usual has tried before.
+/// A caller whose time limit is shorter than usual by more than this margin is considered to be
+/// retrying.
 const RETURNING_MARGIN: Duration = Duration::from_millis(100);
 
 /// State of a process.
 pub struct Shared {
-    /// The one clock of what this process believes.
+    /// The clock for all state that depends on time.
     pub clock: Clock,
-    /// Settings at the start.
+    /// Settings at the start of the process.
     pub settings: GatewaySettings,
-    /// The platform.
     pub platform: Arc<dyn Platform>,
-    /// Figures.
     pub metrics: Metrics,
-    /// Demand of this gateway's callers.
+    /// Demand of the callers of this gateway.
     pub demand: Mutex<Demand>,
-    /// Rings when demand says something that should be told at once.
+    /// Notified when the demand contains an entry that should be sent immediately.
     pub urgent_demand: Notify,
-    /// Rings when another gateway places models than before.
+    /// Notified when the placement holder changes.
     pub new_holder: Notify,
-    /// What this gateway knows of the tables.
+    /// Cached tables, and the sources of their updates.
     pub feed: Feed,
-    /// Rows of tables that could not be used.
+    /// Table rows that could not be parsed.
     pub refused_rows: RefusedRows,
-    /// Limits of tenants.
+    /// Quotas of tenants.
     pub allowance: Allowance,
-    /// Requests that are kept away from back ends.
+    /// Quarantined requests.
     pub quarantine: SharedQuarantine,
-    /// Limits that back ends state.
+    /// Rate limits that back ends state.
     pub back_end_limits: BackEndLimits,
-    /// Back ends that want no requests from this gateway for now.
+    /// Back ends that have asked this gateway for a pause.
     paused: Mutex<PausedBackEnds>,
-    /// What all gateways have told of their demand, while this one places models.
+    /// Demand of all gateways, while this gateway is the placement holder.
     pub demand_rows: DemandRows,
-    /// How long orders to engines wait for their answers.
+    /// Timeout of orders to engines.
     pub order_patience: Patience,
     configuration: RwLock<Option<Arc<Configuration>>>,
     directory: RwLock<Directory>,
@@ -103,7 +101,7 @@
 }
 
 impl Shared {
-    /// State of a process that has just started.
+    /// Creates the state of a starting process.
     pub fn new(
         clock: Clock,
         settings: GatewaySettings,
@@ -152,17 +150,17 @@
         })
     }
 
-    /// The table, by whichever way reaches it.
+    /// The table service, through the path that currently works.
     pub fn table(&self) -> &Arc<RelayedTable> {
         &self.table
     }
 
-    /// Whether this gateway places models.
+    /// Whether this gateway is the placement holder.
     pub fn is_placing(&self) -> bool {
         self.placing.load(Ordering::Relaxed)
     }
 
-    /// This gateway took the lease, or lost it.
+    /// Records that this gateway has acquired or lost the placement lease.
     pub fn set_placing(&self, placing: bool) {
         let former = self.placing.swap(placing, Ordering::Relaxed);
         if former != placing {
@@ -172,67 +170,70 @@
         }
     }
 
-    /// What is known of weight stores; none before the planner has told.
+    /// Records of loads from the weight stores; `None` until the planner has set them.
     pub fn store_records(&self) -> Option<StoreRecords> {
         self.store_records.lock().clone()
     }
 
-    /// The planner tells what it knows of weight stores.
+    /// Replaces the records of loads from the weight stores.
     pub fn set_store_records(&self, records: StoreRecords) {
         *self.store_records.lock() = Some(records);
     }
 
-    /// How late this process's timers are, on average.
+    /// Mean delay with which timers of this process fire.
     pub fn lateness(&self) -> Duration {
         self.lateness.average()
     }
 
-    /// Where lateness is noted.
+    /// The timer lag, for the task that measures it.
     pub fn lateness_measured(&self) -> Arc<Lateness> {
         self.lateness.clone()
     }
 
-    /// Steady time since the start, suspensions of the machine included.
+    /// Monotonic time since the start of the process, including suspensions of the machine.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The machine woke from a suspension: whoever waits looks at the time again.
+    /// Notifies all waiting tasks that the machine has resumed from a suspension, so that they
+    /// check the time again.
     pub fn wake(&self) {
         self.awakenings.send_modify(|count| *count += 1);
         self.changed();
     }
 
-    /// Rings when the machine woke from a suspension.
+    /// Notifies its receiver when the machine has resumed from a suspension.
     pub fn awakenings(&self) -> watch::Receiver<u64> {
         self.awakenings.subscribe()
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.configuration.read().clone()
     }
 
-    /// Time since the latest moment for which it is proved that the table held no newer
-    /// configuration than the one in force; none if that is proved for no moment.
+    /// Time since the latest moment for which it is verified that the table held no newer
+    /// configuration than the active one. Returns `None` if there is no such moment.
     pub fn configuration_age(&self) -> Option<Duration> {
         let table = self.platform.tables().configuration;
         self.feed.proved_age(table)
     }
 
-    /// The configuration in force and, where callers have keys, the time since the moment for
-    /// which it is proved; other requests do not pay for asking.
+    /// The active configuration and, where callers have API keys, the time since the moment for
+    /// which it is verified. The time is computed only where callers have API keys, because it has
+    /// a cost.
     pub fn configuration_for_caller(&self) -> Option<(Arc<Configuration>, Option<Duration>)> {
         let known = self.configuration()?;
         if known.tenants.is_none() {
             return Some((known, None));
         }
-        // The age first: a configuration that comes in between is no older.
+        // The age is read first: a configuration that is activated between both reads is not older.
         let age = self.configuration_age();
         Some((self.configuration()?, age))
     }
 
-    /// Puts a configuration in force, unless a newer one is. True if it is news.
+    /// Activates a configuration unless the active one is at least as new. Returns whether the
+    /// configuration was activated.
     pub fn set_configuration(&self, configuration: Configuration) -> bool {
         let mut current = self.configuration.write();
         let known = current.as_ref().map_or(0, |known| known.version);
@@ -245,7 +246,7 @@
         true
     }
 
-    /// A row that gateways write for each other could not be read.
+    /// Records that a row written by another gateway could not be parsed.
     pub fn refuse_row(&self, row: &TableRow, error: &dyn std::fmt::Display) {
         let fault = if row.value == UNREADABLE_VALUE {
             RowFault::Bytes
@@ -261,28 +262,29 @@
         read(&self.directory.read())
     }
 
-    /// Changes the directory, and wakes requests that wait.
+    /// Changes the directory and notifies waiting requests.
     pub fn change_directory(&self, change: impl FnOnce(&mut Directory)) {
         change(&mut self.directory.write());
         self.changed();
     }
 
-    /// The back ends' table was read for the first time.
+    /// Records that the table of back ends has been read.
     pub fn note_back_ends_read(&self) {
         self.back_ends_read.store(true, Ordering::Release);
     }
 
-    /// Whether the back ends' table was read since the start.
+    /// Whether the table of back ends has been read since the start.
     pub fn has_read_back_ends(&self) -> bool {
         self.back_ends_read.load(Ordering::Acquire)
     }
 
-    /// Rings whenever configuration or directory change.
+    /// Notifies its receiver of changes of the configuration, of the directory, and of other state
+    /// that waiting requests depend on.
     pub fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// The service of the next request on a route.
+    /// Chooses the service of the next request on a route.
     pub fn split(&self, services: &[(ServiceId, u32)]) -> Option<ServiceId> {
         if let [(only, _)] = services {
             return Some(only.clone());
@@ -290,7 +292,8 @@
         self.split.lock().next(services).cloned()
     }
 
-    /// Whether a caller has less time than callers of the route have at first.
+    /// Whether the caller's time limit is shorter than the usual one of the route, which shows that
+    /// the caller is retrying.
     pub fn is_returning(&self, route: &Arc<str>, deadline: Option<Duration>) -> bool {
         let Some(deadline) = deadline else {
             return false;
@@ -301,7 +304,7 @@
         deadline + RETURNING_MARGIN < *usual
     }
 
-    /// Uses what is known of how engines of a service read prompts.
+    /// Runs `act` on the prefill model of a service.
     pub fn reading<T>(&self, service: &ServiceId, act: impl FnOnce(&mut ReadingModel) -> T) -> T {
         let mut reading = self.reading.lock();
         match reading.get_mut(service) {
@@ -310,7 +313,7 @@
         }
     }
 
-    /// What this gateway has seen of late of how fast engines are.
+    /// Recent measurements of engine speeds by this gateway.
     pub fn reading_samples(&self) -> BTreeMap<ServiceId, ReadingSample> {
         let now = self.now();
         let gateways = self.possible_gateways();
@@ -321,25 +324,25 @@
         samples.filter(|(_, sample)| !sample.is_empty()).collect()
     }
 
-    /// Begins a planned stop.
+    /// Starts a planned stop.
     pub fn stop(&self) {
         self.stopping_since.store(self.now().0, Ordering::Relaxed);
         self.stopping.store(true, Ordering::Relaxed);
         self.changed();
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a planned stop has started.
     pub fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Milliseconds since the planned stop began.
+    /// Milliseconds since the planned stop started; `None` if there is no planned stop.
     pub fn stopping_for(&self) -> Option<u64> {
         let since = Timestamp(self.stopping_since.load(Ordering::Relaxed));
         self.is_stopping().then(|| self.now().since(since))
     }
 
-    /// Whether callers should be sent here.
+    /// Whether callers should send requests to this gateway.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping()
             && self.has_read_back_ends()
--- a/crates/gateway/src/shared/running.rs
+++ b/crates/gateway/src/shared/running.rs
@@ -1,4 +1,5 @@
-//! What all gateways have running at back ends, as this one adds it up and tells it.
+//! Counts of requests in flight at back ends: sums the counts of all gateways and sends the sums to
+//! other gateways.
 
 use gorsebank_fleet::feeders::Place;
 use gorsebank_fleet::running::Counts;
@@ -8,12 +9,13 @@
 use crate::relay::RootCounts;
 
 impl Shared {
-    /// What this gateway has running at back ends.
+    /// Requests of this gateway in flight at each back end.
     pub fn own_running(&self) -> Counts {
         self.directory(Directory::running)
     }
 
-    /// What this gateway and all below it have running, for another root.
+    /// Requests in flight of this gateway and of all gateways below it in the tree, for another
+    /// root.
     pub fn root_counts(&self) -> RootCounts {
         let own = self.own_running();
         let now = self.now();
@@ -23,14 +25,14 @@
         }
     }
 
-    /// Another root told its counts.
+    /// Records the counts of another root.
     pub fn note_root(&self, told: RootCounts) {
         let now = self.now();
         let mut running = self.feed.running.lock();
         running.note_root(now, told.from.as_str(), told.counts);
     }
 
-    /// What all gateways have running at back ends; none if it is not known.
+    /// Requests of all gateways in flight at each back end; `None` if unknown.
     pub fn running_sums(&self) -> Option<Counts> {
         let own = self.own_running();
         let (now, place) = (self.now(), self.feed.parents.lock().place());
@@ -41,7 +43,7 @@
         }
     }
 
-    /// A root takes in its own sums.
+    /// Records the sums that this gateway has computed as a root.
     pub fn sum_up_running(&self) {
         let own = self.own_running();
         let now = self.now();
--- a/crates/gateway/src/shared/shares.rs
+++ b/crates/gateway/src/shared/shares.rs
@@ -1,4 +1,4 @@
-//! This gateway's share of what all gateways may use together: retries, calls of the table,
+//! This gateway's share of resources that all gateways use together: retries, table calls, and
 //! connections to back ends.
 
 use std::time::Duration;
@@ -9,21 +9,23 @@
 
 use super::Shared;
 
-/// Tables that rules hang on.
+/// Number of tables that must be followed closely, because rules depend on their freshness.
 const TABLES_FOLLOWED: f64 = 3.0;
-/// Part of the table's rates that following uses; the rest is for the placement holder.
+/// Fraction of the table's call rate that is available for following tables. The rest is reserved
+/// for the placement holder.
 const TABLE_PART: f64 = 0.5;
-/// Idle connections take up at most the inverse of this of a back end's connections.
+/// Divisor for idle connections: all gateways together keep at most one part in `IDLE_DIVISOR` of a
+/// back end's connections idle.
 const IDLE_DIVISOR: usize = 2;
 
-/// What came of asking for a retry.
+/// Result of a request for a retry.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryGrant {
-    /// Whether it may be made.
+    /// Whether the retry may be sent.
     pub granted: bool,
-    /// Retries that are left of this gateway's share.
+    /// Retries left in this gateway's share.
     pub left: f64,
-    /// Gateways that the budget is shared by.
+    /// Number of gateways that share the budget.
     pub gateways: usize,
 }
 
@@ -33,7 +35,7 @@
         self.with_window(service, |window, now| window.request(now));
     }
 
-    /// Takes one retry out of this gateway's share, if there is one.
+    /// Takes one retry from this gateway's share, if any is left.
     pub fn withdraw_retry(&self, service: &ServiceId) -> RetryGrant {
         let gateways = self.possible_gateways();
         self.with_window(service, |window, now| RetryGrant {
@@ -57,14 +59,14 @@
         act(window, now)
     }
 
-    /// Least time between two reads of one table by this gateway, so that all
-    /// gateways together stay within the table's rate, should all of them follow it.
+    /// Minimum time between two reads of one table by this gateway. It keeps all gateways together
+    /// within the table's call rate even if all of them follow the table directly.
     pub fn read_pause(&self) -> Duration {
         let calls = TABLES_FOLLOWED * self.possible_gateways() as f64;
         Duration::from_secs_f64(calls / (self.settings.bounds.table_reads * TABLE_PART))
     }
 
-    /// Idle connections that this gateway may keep to one back end of a service.
+    /// Maximum number of idle connections that this gateway may keep to one back end of a service.
     pub fn idle_connections(&self, service: &ServiceId) -> usize {
         let configuration = self.configuration();
         let known = configuration
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -1,9 +1,8 @@
-//! What a process does when its machine wakes from a suspension.
+//! Handles resumes of the machine from a suspension.
 //!
-//! Ages, deadlines and the lease are right by themselves ([`crate::clock`]). What waits on
-//! `Instant` is woken here, and connections that were open are closed: others may have given
-//! them up meanwhile, and whoever finds that out by sending a request on one cannot tell
-//! whether it ran.
+//! Ages, deadlines and the lease need no handling, because they use [`crate::clock`]. Tasks that
+//! wait on `Instant` are notified, and open connections are closed: the peer may have closed them
+//! meanwhile, and a request on such a connection would fail without showing whether it ran.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,11 +12,11 @@
 use crate::lines::{self, Rank};
 use crate::shared::Shared;
 
-/// Pause between two looks: a tenth of the second within which users expect a request to be
-/// given up once its time is over costs ten wake-ups a second.
+/// Interval of the check: a tenth of the 1 s within which users expect an expired request to be
+/// abandoned. It costs ten wake-ups per second.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Looks until it is dropped.
+/// Checks for suspensions until the future is dropped.
 pub async fn watch(shared: Arc<Shared>) {
     let mut known = shared.clock.suspended();
     loop {
--- a/crates/gateway/src/sweeper.rs
+++ b/crates/gateway/src/sweeper.rs
@@ -1,8 +1,9 @@
-//! Removes rows of engines and gateways that are gone, while this process holds
-//! the placement lease.
+//! Removes rows of engines and gateways that no longer exist, while this process holds the
+//! placement lease.
 //!
-//! In: the tables of members and of engines, and which gateways told of their demand. Out: conditional removals. Two
-//! holders that sweep at once do no harm: each removal has one winner.
+//! Input: the tables of members and of engines, and the gateways that have sent their demand.
+//! Output: conditional removals, which are safe even if two holders sweep at the same time, because
+//! only one removal of each row succeeds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,18 +19,18 @@
 use crate::shared::Shared;
 use crate::watch::row_name;
 
-/// Pause between two looks.
+/// Interval of the sweeps.
 const PAUSE: Duration = Duration::from_secs(15);
-/// Rows that were confirmed longer ago than this say nothing.
+/// Maximum age of the cached rows. The sweep skips a table with older rows.
 const FRESH: Duration = Duration::from_secs(4);
-/// A row on an engine that discovery no longer shows goes after this time, in
-/// milliseconds: no order from before can be carried out by then.
+/// Lifetime in milliseconds of a row about an engine that discovery no longer lists. No earlier
+/// order can be carried out after that time.
 const ENGINE_ROW_LIFETIME: u64 = 30_000;
-/// Gateways tell the holder of their demand every few seconds; one that has not for this
-/// time is gone, in milliseconds.
+/// Time in milliseconds after which a gateway that has sent no demand is considered gone. Gateways
+/// send their demand to the placement holder every few seconds.
 const GATEWAY_ROW_LIFETIME: u64 = 120_000;
 
-/// Runs until it is dropped.
+/// Sweeps periodically until the future is dropped.
 pub async fn run(shared: Arc<Shared>) {
     let mut engines = Sweep::new(ENGINE_ROW_LIFETIME);
     let mut gateways = Sweep::new(GATEWAY_ROW_LIFETIME);
--- a/crates/gateway/src/tenancy.rs
+++ b/crates/gateway/src/tenancy.rs
@@ -1,9 +1,9 @@
-//! Who calls, and whether that is within what the caller may use: what a request passes once,
-//! before it waits for a back end.
+//! Identifies the tenant of a request and charges the request to the tenant's quota, once per
+//! request and before the request waits for a back end.
 //!
-//! In: the request's head, its route, the configuration and the age of what is known of it.
-//! Out: its tenant and what it was counted for, or why it is sent away, with one line. A key
-//! stands in no line.
+//! Input: the request's headers, its route, the configuration and the configuration's age. Output:
+//! the tenant and the charge, or the reason of a rejection, which is logged. API keys are never
+//! logged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,40 +17,39 @@
 use crate::ports::Ticket;
 use crate::shared::Shared;
 
-/// A word for logs and counters: the request is beyond its tenant's limit.
+/// Reason for log lines and metric labels: the request exceeds its tenant's quota.
 pub const BEYOND_LIMIT: &str = "beyond_limit";
-/// Nobody could tell whether it is.
+/// Reason for log lines and metric labels: no gateway could decide whether the request is within
+/// the quota.
 const LIMIT_NOT_KNOWN: &str = "limit_not_known";
-/// A caller that is sent away since nobody can tell whether its key still counts is asked to
-/// come back after this time: gateways that were cut off have asked others by then.
+/// Retry delay for callers that are rejected because this gateway cannot verify whether their API
+/// key is still valid. A gateway without contact to the table or to its parent has found another
+/// parent by then.
 const UNPROVED_PAUSE: Duration = Duration::from_millis(500);
-/// Part of the objective for which a request waits for somebody who counts for its tenant:
-/// another gateway takes that over within 0.6 s of a planned stop.
+/// Fraction of the route's objective for which a request waits for a gateway that can charge it.
+/// After a planned stop another gateway takes over the quota shard within 0.6 s.
 const COUNT_WAIT_PART: f64 = 0.25;
-/// A caller whose request nobody could count is asked to come back after this time.
+/// Retry delay for callers whose request no gateway could charge.
 const UNCOUNTED_PAUSE: Duration = Duration::from_millis(400);
-/// Least pause of a caller that is beyond its tenant's limit: whatever becomes free sooner goes
-/// to those that come by then.
+/// Minimum retry delay for callers that exceed their tenant's quota. Capacity that becomes free
+/// sooner goes to requests that arrive in the meantime.
 const LEAST_LIMIT_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a request is sent away; it has not run.
+/// Why a request was rejected before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentAway {
-    /// Its key does not open the route.
-    Unauthorized {
-        /// Why.
-        reason: &'static str,
-    },
-    /// It is beyond its tenant's limit.
+    /// The API key does not permit use of the route.
+    Unauthorized { reason: &'static str },
+    /// The request exceeds its tenant's quota.
     BeyondLimit {
-        /// When there is room for it.
+        /// Time until the quota has capacity for the request.
         retry_after: Duration,
     },
-    /// This gateway cannot tell.
+    /// This gateway cannot decide whether the request may run.
     Unknown {
-        /// What.
+        /// What is unknown.
         reason: &'static str,
-        /// When it makes sense to come back.
+        /// Recommended delay before a retry.
         retry_after: Duration,
     },
 }
@@ -68,22 +67,21 @@
     }
 }
 
-/// A request, as far as its tenant is concerned.
+/// The parts of a request that determine its tenant and its charge.
 pub struct Caller<'a> {
-    /// What its head says.
+    /// Metadata from the request's headers.
     pub ticket: &'a Ticket,
-    /// Its route.
     pub route: &'a Route,
-    /// When its head was read.
+    /// Time at which the request's headers were read.
     pub arrived: Instant,
 }
 
-/// Takes the key out of the head, where callers need one, and finds its tenant. `age` is the
-/// time since the moment for which the table has confirmed the configuration.
+/// Removes the API key from the headers, where callers need one, and identifies its tenant. `age`
+/// is the time since the moment for which the table has confirmed the configuration.
 ///
 /// # Errors
 ///
-/// If the caller is sent away.
+/// Returns an error if the request is rejected.
 pub fn tenant_of(
     shared: &Shared,
     caller: &Caller<'_>,
@@ -111,11 +109,11 @@
     })
 }
 
-/// Counts a request for its tenant; none if that has no limit.
+/// Charges a request to its tenant's quota. Returns `None` if the tenant has no quota.
 ///
 /// # Errors
 ///
-/// If it is beyond the limit, or if nobody could tell in time.
+/// Returns an error if the request exceeds the quota, or if no gateway could decide in time.
 pub async fn count(
     shared: &Shared,
     caller: &Caller<'_>,
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,9 +1,8 @@
-//! Takes in what is new of the tables: configuration, back ends, the placement holder's
-//! rows, the other gateways.
+//! Applies updates of the tables to the state of this gateway: configuration, back ends, rows of
+//! the placement holder, leases, and the other gateways.
 //!
-//! In: rows and changes as [`crate::feed`] learns them. Out: what requests and placement
-//! go by. Nothing that is already in force is taken back because the table cannot be
-//! reached.
+//! Input: rows and changes from [`crate::feed`]. Output: the state that requests and placement use.
+//! The active state remains in force while the table is unavailable.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -25,23 +24,24 @@
 use crate::reading_rows::ReadingFollower;
 use crate::shared::Shared;
 
-/// Pause of the placement holder after a call of the table without an answer.
+/// Pause after a table call without a response, before the next call of a lease or of the placement
+/// holder.
 pub const LOST_PAUSE: Duration = Duration::from_millis(200);
 
-/// What happens to the rows of one table.
+/// Applies the rows of one table to the state of this gateway.
 pub trait Follower: Send + 'static {
-    /// The whole table was read.
+    /// Applies a read of the whole table.
     fn replace(&mut self, rows: Vec<TableRow>);
-    /// One row changed.
+    /// Applies the change of one row.
     fn change(&mut self, change: RowChange);
-    /// All changes that were told together have been taken in.
+    /// Called after a batch of changes has been applied.
     fn settle(&mut self) {}
 }
 
-/// How often rows of back ends whose clock may have been set back are looked at again.
+/// Interval at which rows of back ends whose clock may have been set back are retried.
 const SETTLE_PAUSE: Duration = Duration::from_secs(1);
 
-/// Follows the tables until the process ends.
+/// Starts the tasks that follow the tables until the process ends.
 pub fn start(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
     let tables = shared.platform.tables();
     let mut followers: Vec<(&'static str, Box<dyn Follower>)> = vec![
@@ -70,8 +70,8 @@
     tasks
 }
 
-/// Takes in rows of back ends that seemed to be older than what is known, once nothing has
-/// contradicted them for long enough.
+/// Applies rows of back ends that seemed outdated, once nothing has contradicted them for long
+/// enough.
 async fn settle_back_ends(shared: Arc<Shared>) {
     loop {
         sleep(SETTLE_PAUSE).await;
@@ -83,7 +83,7 @@
     }
 }
 
-/// Tells a follower what is new of one table, until it is dropped.
+/// Passes updates of one table to its follower, until the future is dropped.
 async fn follow_fed(shared: Arc<Shared>, rhythm: Rhythm, mut follower: Box<dyn Follower>) {
     let mut newest = shared.feed.subscribe(rhythm.table);
     let mut position = TablePosition {
@@ -118,7 +118,7 @@
 
 struct ConfigurationFollower {
     shared: Arc<Shared>,
-    /// Zones whose back ends are to get nothing.
+    /// Zones whose back ends receive no new requests.
     evacuated: BTreeSet<ZoneId>,
 }
 
@@ -188,8 +188,9 @@
 struct BackEndFollower(Arc<Shared>);
 
 impl BackEndFollower {
-    /// Gateways that follow the table tell of every change; the others of back ends that
-    /// are new or leave: hundreds of them would tell the same a hundred times.
+    /// Gateways that follow the table directly log every change. All other gateways log only back
+    /// ends that are new or draining, because hundreds of gateways would otherwise log the same
+    /// changes.
     fn is_worth_a_line(&self, report: &BackEndReport) -> bool {
         let is_news = |directory: &Directory| !directory.is_active(&report.id);
         report.draining || self.0.feed.parents.lock().follows_table() || self.0.directory(is_news)
@@ -225,7 +226,8 @@
         }
         let count = reports.len();
         let now = self.0.now();
-        // Before they can be chosen: requests then wait for the quarantine.
+        // This precedes the change of the directory, so that requests to these back ends wait for
+        // the quarantine.
         self.0.note_back_ends_read();
         self.0
             .change_directory(|directory| directory.replace(now, reports, unreadable));
@@ -249,7 +251,7 @@
                     self.0.change_directory(|directory| {
                         directory.put(now, report, row.modified);
                     });
-                    // It may have started again.
+                    // The row may belong to a new incarnation.
                     self.0.note_gone_back_ends();
                 }
                 Err(error) => {
@@ -306,7 +308,8 @@
     }
 }
 
-/// Takes in who places models, and who counts for tenants.
+/// Records which gateway holds the placement lease, and which gateways hold the leases of quota
+/// shards.
 struct LeaseFollower(Arc<Shared>);
 
 impl LeaseFollower {
@@ -338,7 +341,7 @@
     }
 }
 
-/// The part of a key behind its table.
+/// Returns the part of a key after the table name.
 pub fn row_name(key: &str) -> &str {
     key.split_once('/').map_or(key, |(_, name)| name)
 }
