--- a/crates/gateway/src/back_end_limits.rs
+++ b/crates/gateway/src/back_end_limits.rs
@@ -30,7 +30,7 @@
 
 /// Time for which a back end is considered to have no capacity if the placement holder is unknown
 /// or does not respond. Another gateway takes over scheduling within a few seconds.
-const UNKNOWN_PAUSE: Duration = Duration::from_millis(600);
+const NO_HOLDER_PAUSE: Duration = Duration::from_millis(600);
 
 /// Result of a request for a send time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,23 +65,23 @@
     }
 
     /// Starts or stops scheduling sends at this gateway.
-    pub fn set_counting(&self, now: Timestamp, counts: bool) {
-        *self.pacer.lock() = counts.then(|| Pacer::new(now));
+    pub fn set_counting(&self, now: Timestamp, is_scheduling: bool) {
+        *self.pacer.lock() = is_scheduling.then(|| Pacer::new(now));
     }
 
     /// Handles a request of any gateway, including this one, for a send time.
-    pub fn answer(&self, now: Timestamp, ask: &SendTimeAsk) -> AskAnswer {
-        if !ask.rate.is_finite() {
+    pub fn answer(&self, now: Timestamp, request: &SendTimeAsk) -> AskAnswer {
+        if !request.rate.is_finite() {
             return AskAnswer::NotHere;
         }
         // If both gateways know different limits, the lower one is safe.
-        let known = self.rate(ask.back_end);
-        let rate = known.map_or(ask.rate, |known| known.min(ask.rate));
+        let known = self.rate(request.back_end);
+        let rate = known.map_or(request.rate, |known| known.min(request.rate));
         let mut pacer = self.pacer.lock();
         let Some(pacer) = pacer.as_mut() else {
             return AskAnswer::NotHere;
         };
-        match pacer.take(now, ask.back_end, rate, ask.most_wait) {
+        match pacer.take(now, request.back_end, rate, request.most_wait) {
             SendTime::In(wait) => AskAnswer::Reserved { wait },
             SendTime::Later(wait) => AskAnswer::Beyond { wait },
         }
@@ -92,14 +92,14 @@
         &self,
         now: Timestamp,
         back_end: BackEndHash,
-        answer: Option<AskAnswer>,
+        response: Option<AskAnswer>,
     ) -> Reservation {
-        let wait = match answer {
+        let wait = match response {
             Some(AskAnswer::Reserved { wait }) => {
                 return Reservation::In(Duration::from_millis(wait));
             }
             Some(AskAnswer::Beyond { wait }) => wait,
-            _ => UNKNOWN_PAUSE.as_millis() as u64,
+            _ => NO_HOLDER_PAUSE.as_millis() as u64,
         };
         let mut full = self.full_until.lock();
         full.retain(|_, until| now < *until);
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -18,9 +18,9 @@
 pub const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// Maximum time between two reads of one clock that are considered simultaneous.
-const READ_TIME: Duration = Duration::from_millis(2);
+const MAX_READ_GAP: Duration = Duration::from_millis(2);
 /// Maximum number of attempts to read both clocks simultaneously.
-const READ_TRIES: usize = 4;
+const MAX_READ_ATTEMPTS: usize = 4;
 
 /// Source of the time.
 pub trait TimeSource: fmt::Debug + Send + Sync {
@@ -37,7 +37,7 @@
         match clock_gettime(ClockId::CLOCK_BOOTTIME) {
             Ok(time) => time.into(),
             // Linux has this clock since 2.6.39, and reading it cannot fail for another reason.
-            Err(error) => unreachable!("CLOCK_BOOTTIME: {error}"),
+            Err(error) => unreachable!("cannot read CLOCK_BOOTTIME: {error}"),
         }
     }
 }
@@ -79,20 +79,20 @@
 
     /// Total time for which the machine has been suspended since this clock started.
     pub fn suspended(&self) -> Duration {
-        let (since_boot, steady) = self.read_both();
+        let (since_boot, instant_elapsed) = self.read_both();
         let since_start = since_boot.saturating_sub(self.start);
-        since_start.saturating_sub(steady)
+        since_start.saturating_sub(instant_elapsed)
     }
 
     /// Reads both clocks, simultaneously unless the scheduler interrupts the thread between the
     /// reads at every attempt.
     fn read_both(&self) -> (Duration, Duration) {
         let mut since_boot = self.since_boot();
-        for _ in 0..READ_TRIES {
-            let steady = self.start_instant.elapsed();
+        for _ in 0..MAX_READ_ATTEMPTS {
+            let instant_elapsed = self.start_instant.elapsed();
             let after = self.since_boot();
-            if after.saturating_sub(since_boot) < READ_TIME {
-                return (since_boot, steady);
+            if after.saturating_sub(since_boot) < MAX_READ_GAP {
+                return (since_boot, instant_elapsed);
             }
             since_boot = after;
         }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -23,7 +23,7 @@
 use crate::back_end::{BackEnd, SeenRow};
 
 /// Time after the expected end of a load from which the load is no longer expected to succeed.
-const LOAD_GRACE: u64 = 3_000;
+const LOAD_GRACE_MS: u64 = 3_000;
 
 /// One back end with its rows.
 #[derive(Debug)]
@@ -35,13 +35,13 @@
     /// Version of the first row of this incarnation.
     first_version: u64,
     /// Whether the back end has announced its drain.
-    draining: bool,
+    is_draining: bool,
     /// Whether the newest row can be parsed. An unreadable row does not mean that the process has
     /// exited.
     is_readable: bool,
     /// A newer row that seems to belong to a previous incarnation. It is kept because it is current
     /// if the clock of the back end's machine was set back.
-    doubtful: Option<(BackEndReport, u64)>,
+    deferred_row: Option<(BackEndReport, u64)>,
 }
 
 impl Entry {
@@ -55,55 +55,55 @@
             incarnation: Incarnation::new(report.born),
             version: row.version,
             first_version: row.version,
-            draining: false,
+            is_draining: false,
             is_readable: true,
-            doubtful: None,
+            deferred_row: None,
             report,
         }
     }
 
     /// Applies a newer row of the same incarnation.
-    fn take(&mut self, report: BackEndReport, row: SeenRow) {
+    fn apply(&mut self, report: BackEndReport, row: SeenRow) {
         self.back_end.note_row(row);
         self.back_end.note_cold(row.seen + report.cold_left);
         self.report = report;
         self.version = row.version;
         self.is_readable = true;
-        self.doubtful = None;
+        self.deferred_row = None;
     }
 
     /// Marks the back end as draining.
-    fn leave(&mut self) {
-        self.draining = true;
+    fn start_draining(&mut self) {
+        self.is_draining = true;
         self.back_end.retire();
     }
 
     /// Whether the back end's rows allow new requests.
     fn is_active(&self) -> bool {
-        !self.draining && self.is_readable
+        !self.is_draining && self.is_readable
     }
 
     /// Whether the placement holder's row refers to this incarnation. A row without a start time,
     /// as gateways of earlier builds write it, does so if it is newer than the first row of this
     /// incarnation.
-    fn is_meant_by(&self, placed: &Placed) -> bool {
+    fn matches_placed_row(&self, placed: &ReceivedPlacedRow) -> bool {
         match (placed.row.born, self.incarnation.born()) {
-            (Some(meant), Some(own)) => meant == own,
+            (Some(named), Some(own)) => named == own,
             _ => placed.version > self.first_version || self.incarnation.born().is_none(),
         }
     }
 }
 
 #[derive(Debug)]
-struct Placed {
+struct ReceivedPlacedRow {
     row: PlacedRow,
     version: u64,
-    heard: Timestamp,
+    received: Timestamp,
 }
 
 /// Availability of a model at a service.
 #[derive(Clone, Debug, Default)]
-pub struct ModelPlaces {
+pub struct ModelAvailability {
     /// Back ends that hold the model and, if one is requested, the adapter.
     pub ready: Vec<Arc<BackEnd>>,
     /// Back ends that hold the model but not the adapter.
@@ -119,16 +119,16 @@
 pub struct Directory {
     zone: ZoneId,
     entries: HashMap<BackEndId, Entry>,
-    placed: HashMap<BackEndId, Placed>,
+    placed: HashMap<BackEndId, ReceivedPlacedRow>,
     services: HashMap<ServiceId, Vec<BackEndId>>,
     /// Incarnations that have announced their drain, including those without a row.
-    departures: Departures,
+    drain_notices: Departures,
     /// Zones whose back ends receive no new requests.
     evacuated: BTreeSet<ZoneId>,
     /// Whether warm back ends are preferred to those that are warming up.
-    spares_cold: bool,
+    prefers_warm: bool,
     /// Back ends whose row was removed without an announced drain.
-    gone_unsaid: Vec<Arc<BackEnd>>,
+    removed_without_drain: Vec<Arc<BackEnd>>,
 }
 
 impl Directory {
@@ -139,29 +139,29 @@
             entries: HashMap::new(),
             placed: HashMap::new(),
             services: HashMap::new(),
-            departures: Departures::default(),
+            drain_notices: Departures::default(),
             evacuated: BTreeSet::new(),
-            spares_cold: false,
-            gone_unsaid: Vec::new(),
+            prefers_warm: false,
+            removed_without_drain: Vec::new(),
         }
     }
 
     /// Prefers warm back ends from now on, because back ends that are warming up fail under load.
-    pub fn spare_cold(&mut self) {
-        self.spares_cold = true;
+    pub fn prefer_warm(&mut self) {
+        self.prefers_warm = true;
     }
 
     /// Replaces the set of zones whose back ends receive no new requests. Returns whether the set
     /// has changed.
     pub fn set_evacuated(&mut self, zones: BTreeSet<ZoneId>) -> bool {
-        let is_news = self.evacuated != zones;
+        let has_changed = self.evacuated != zones;
         self.evacuated = zones;
-        is_news
+        has_changed
     }
 
     /// Returns the back ends whose row was removed without an announced drain since the last call.
     pub fn take_gone_unsaid(&mut self) -> Vec<Arc<BackEnd>> {
-        std::mem::take(&mut self.gone_unsaid)
+        std::mem::take(&mut self.removed_without_drain)
     }
 
     /// Applies a back end's row that was received at `now`.
@@ -179,16 +179,16 @@
                 let former = entry.report.service.clone();
                 let id = report.id.clone();
                 if report.draining {
-                    self.departures.note(now, entry.back_end.life_hash);
-                    entry.leave();
+                    self.drain_notices.note(now, entry.back_end.life_hash);
+                    entry.start_draining();
                 }
-                entry.take(report, row);
+                entry.apply(report, row);
                 if moved {
                     self.change_service(&id, &former);
                 }
             }
-            Heard::Other => self.begin_life(report, row),
-            Heard::Outdated => entry.doubtful = Some((report, version)),
+            Heard::Other => self.begin_incarnation(report, row),
+            Heard::Outdated => entry.deferred_row = Some((report, version)),
         }
     }
 
@@ -196,56 +196,60 @@
     /// has contradicted them for a while, because the clock of the back end's machine may have been
     /// set back.
     pub fn settle(&mut self, now: Timestamp) {
-        let doubtful = self
+        let deferred = self
             .entries
             .values()
-            .filter_map(|entry| entry.doubtful.clone());
-        let doubtful: Vec<_> = doubtful.collect();
-        for (report, version) in doubtful {
+            .filter_map(|entry| entry.deferred_row.clone());
+        let deferred: Vec<_> = deferred.collect();
+        for (report, version) in deferred {
             self.put(now, report, version);
         }
     }
 
     /// Whether any row awaits [`Directory::settle`].
     pub fn is_unsettled(&self) -> bool {
-        self.entries.values().any(|entry| entry.doubtful.is_some())
+        self.entries
+            .values()
+            .any(|entry| entry.deferred_row.is_some())
     }
 
     fn add(&mut self, report: BackEndReport, row: SeenRow) {
-        let members = self.services.entry(report.service.clone()).or_default();
-        members.push(report.id.clone());
+        let service_back_ends = self.services.entry(report.service.clone()).or_default();
+        service_back_ends.push(report.id.clone());
         let id = report.id.clone();
-        let life = quarantine::hash(&id, report.born);
+        let incarnation = quarantine::hash(&id, report.born);
         if report.draining {
-            self.departures.note(row.seen, life);
+            self.drain_notices.note(row.seen, incarnation);
         }
         let mut entry = Entry::new(&self.zone, report, row);
-        if self.departures.contains(life) {
-            entry.leave();
+        if self.drain_notices.contains(incarnation) {
+            entry.start_draining();
         }
         self.entries.insert(id, entry);
     }
 
     /// Replaces the entry of a back end that has restarted under its name.
-    fn begin_life(&mut self, report: BackEndReport, row: SeenRow) {
+    fn begin_incarnation(&mut self, report: BackEndReport, row: SeenRow) {
         let placed = self.placed.remove(&report.id);
         self.remove(&report.id);
         let id = report.id.clone();
         self.add(report, row);
         // The placement holder may have learned of the new incarnation first.
         let entry = self.entries.get(&id);
-        if let Some(placed) = placed.filter(|it| entry.is_some_and(|entry| entry.is_meant_by(it))) {
+        if let Some(placed) =
+            placed.filter(|it| entry.is_some_and(|entry| entry.matches_placed_row(it)))
+        {
             self.placed.insert(id, placed);
         }
     }
 
     fn change_service(&mut self, id: &BackEndId, former: &ServiceId) {
-        if let Some(members) = self.services.get_mut(former) {
-            members.retain(|member| member != id);
+        if let Some(service_back_ends) = self.services.get_mut(former) {
+            service_back_ends.retain(|member| member != id);
         }
         if let Some(entry) = self.entries.get(id) {
-            let members = self.services.entry(entry.report.service.clone());
-            members.or_default().push(id.clone());
+            let service_back_ends = self.services.entry(entry.report.service.clone());
+            service_back_ends.or_default().push(id.clone());
         }
     }
 
@@ -268,39 +272,44 @@
     pub fn note_departure(&mut self, now: Timestamp, back_end: &BackEnd) -> bool {
         let entry = self.entries.get_mut(&back_end.id);
         if let Some(entry) = entry.filter(|entry| entry.back_end.life_hash == back_end.life_hash) {
-            entry.leave();
+            entry.start_draining();
         }
-        self.departures.note(now, back_end.life_hash)
+        self.drain_notices.note(now, back_end.life_hash)
     }
 
     /// Merges drain notices of other gateways. Returns the back ends that have a row and whose
     /// drain was unknown.
-    pub fn take_departures(&mut self, now: Timestamp, told: &[ToldDeparture]) -> Vec<Arc<BackEnd>> {
-        let news: HashSet<BackEndHash> = self.departures.take(now, told).into_iter().collect();
+    pub fn take_departures(
+        &mut self,
+        now: Timestamp,
+        notices: &[ToldDeparture],
+    ) -> Vec<Arc<BackEnd>> {
+        let new_drains: HashSet<BackEndHash> =
+            self.drain_notices.take(now, notices).into_iter().collect();
         let entries = self.entries.values_mut();
-        let leaving = entries.filter(|entry| news.contains(&entry.back_end.life_hash));
-        leaving
+        let draining = entries.filter(|entry| new_drains.contains(&entry.back_end.life_hash));
+        draining
             .map(|entry| {
-                entry.leave();
+                entry.start_draining();
                 entry.back_end.clone()
             })
             .collect()
     }
 
     /// Whether all of these drains are known.
-    pub fn knows_departures(&self, told: &[ToldDeparture]) -> bool {
-        let mut told = told.iter();
-        told.all(|departure| self.departures.contains(departure.back_end))
+    pub fn knows_departures(&self, notices: &[ToldDeparture]) -> bool {
+        let mut notices = notices.iter();
+        notices.all(|departure| self.drain_notices.contains(departure.back_end))
     }
 
     /// Drain notices for other gateways.
     pub fn told_departures(&self, now: Timestamp) -> Vec<ToldDeparture> {
-        self.departures.told(now)
+        self.drain_notices.told(now)
     }
 
     /// Whether the back end has announced its drain.
-    pub fn has_departed(&self, back_end: &BackEnd) -> bool {
-        self.departures.contains(back_end.life_hash)
+    pub fn is_draining(&self, back_end: &BackEnd) -> bool {
+        self.drain_notices.contains(back_end.life_hash)
     }
 
     /// Applies the removal of a back end's row.
@@ -310,10 +319,10 @@
         };
         entry.back_end.retire();
         if entry.is_active() {
-            self.gone_unsaid.push(entry.back_end.clone());
+            self.removed_without_drain.push(entry.back_end.clone());
         }
-        if let Some(members) = self.services.get_mut(&entry.report.service) {
-            members.retain(|member| member != id);
+        if let Some(service_back_ends) = self.services.get_mut(&entry.report.service) {
+            service_back_ends.retain(|member| member != id);
         }
         self.placed.remove(id);
     }
@@ -327,12 +336,12 @@
         unreadable: Vec<(BackEndId, u64)>,
     ) {
         let readable = reports.iter().map(|(report, _)| &report.id);
-        let stand: HashSet<&BackEndId> = readable
+        let listed: HashSet<&BackEndId> = readable
             .chain(unreadable.iter().map(|(id, _)| id))
             .collect();
-        let gone = self.entries.keys().filter(|id| !stand.contains(id));
-        let gone: Vec<BackEndId> = gone.cloned().collect();
-        for id in gone {
+        let removed = self.entries.keys().filter(|id| !listed.contains(id));
+        let removed: Vec<BackEndId> = removed.cloned().collect();
+        for id in removed {
             self.remove(&id);
         }
         for (report, version) in reports {
@@ -345,10 +354,10 @@
 
     /// Applies a row of the placement holder about a back end.
     pub fn put_placed(&mut self, now: Timestamp, id: BackEndId, row: PlacedRow, version: u64) {
-        let placed = Placed {
+        let placed = ReceivedPlacedRow {
             row,
             version,
-            heard: now,
+            received: now,
         };
         self.placed.insert(id, placed);
     }
@@ -364,33 +373,33 @@
     }
 
     /// Returns a back end by the hash of its current incarnation.
-    pub fn by_life(&self, life: BackEndHash) -> Option<Arc<BackEnd>> {
+    pub fn by_incarnation(&self, incarnation: BackEndHash) -> Option<Arc<BackEnd>> {
         let mut entries = self.entries.values();
-        let entry = entries.find(|entry| entry.back_end.life_hash == life)?;
+        let entry = entries.find(|entry| entry.back_end.life_hash == incarnation)?;
         Some(entry.back_end.clone())
     }
 
-    /// Maps values by incarnation to values by name. Unknown incarnations are left out.
-    pub fn by_name(&self, lives: &HashMap<BackEndHash, f64>) -> BTreeMap<BackEndId, f64> {
+    /// Maps rates by incarnation to rates by name. Unknown incarnations are left out.
+    pub fn rates_by_name(&self, rates: &HashMap<BackEndHash, f64>) -> BTreeMap<BackEndId, f64> {
         let named = |entry: &Entry| {
-            let known = lives.get(&entry.back_end.life_hash)?;
+            let known = rates.get(&entry.back_end.life_hash)?;
             Some((entry.report.id.clone(), *known))
         };
         self.entries.values().filter_map(named).collect()
     }
 
-    /// Back ends whose process crashed while it ran requests, and whose row still exists.
+    /// Back ends whose process exited while it ran requests, and whose row still exists.
     pub fn ended(&self, now: Timestamp) -> BTreeSet<BackEndId> {
         let entries = self.entries.values();
         let ended = entries.filter(|entry| entry.back_end.has_ended(now));
         ended.map(|entry| entry.report.id.clone()).collect()
     }
 
-    /// Records crashes of back ends that other gateways have reported.
-    pub fn note_ended(&self, now: Timestamp, ended: &HashSet<BackEndHash>) {
+    /// Records exits of back ends that other gateways have reported.
+    pub fn note_ended(&self, now: Timestamp, exited: &HashSet<BackEndHash>) {
         let entries = self.entries.values();
-        let gone = entries.filter(|entry| ended.contains(&entry.back_end.life_hash));
-        gone.for_each(|entry| entry.back_end.note_ended(now));
+        let known = entries.filter(|entry| exited.contains(&entry.back_end.life_hash));
+        known.for_each(|entry| entry.back_end.note_ended(now));
     }
 
     /// Numbers of requests of this gateway in flight at each back end.
@@ -405,7 +414,7 @@
     /// Reports of all back ends, for the placement holder.
     pub fn reports(&self) -> Vec<BackEndReport> {
         let report = |entry: &Entry| BackEndReport {
-            draining: !self.may_be_sent(entry),
+            draining: !self.accepts_requests(entry),
             ..entry.report.clone()
         };
         self.entries.values().map(report).collect()
@@ -413,14 +422,14 @@
 
     /// Back ends of a service that accept new requests.
     pub fn members(&self, now: Timestamp, service: &ServiceId) -> Vec<Arc<BackEnd>> {
-        let members = self.active(now, service);
-        self.warm_first(now, members.map(|entry| entry.back_end.clone()).collect())
+        let active = self.active(now, service);
+        self.retain_warm(now, active.map(|entry| entry.back_end.clone()).collect())
     }
 
     /// Whether the back end may receive new requests.
     pub fn is_active(&self, id: &BackEndId) -> bool {
         let entry = self.entries.get(id);
-        entry.is_some_and(|entry| self.may_be_sent(entry))
+        entry.is_some_and(|entry| self.accepts_requests(entry))
     }
 
     /// Availability of a model, and optionally of one of its adapters, at `now`.
@@ -430,36 +439,38 @@
         service: &ServiceId,
         model: &ModelId,
         adapter: Option<&AdapterId>,
-    ) -> ModelPlaces {
-        let mut places = ModelPlaces::default();
+    ) -> ModelAvailability {
+        let mut availability = ModelAvailability::default();
         for entry in self.active(now, service) {
             let placed = self.placed.get(&entry.report.id);
-            let placed = placed.filter(|placed| entry.is_meant_by(placed));
-            self.add_place(now, entry, placed, model, adapter, &mut places);
+            let placed = placed.filter(|placed| entry.matches_placed_row(placed));
+            self.add_availability(now, entry, placed, model, adapter, &mut availability);
         }
-        places.ready = self.warm_first(now, places.ready);
-        places
+        availability.ready = self.retain_warm(now, availability.ready);
+        availability
     }
 
-    fn add_place(
+    fn add_availability(
         &self,
         now: Timestamp,
         entry: &Entry,
-        placed: Option<&Placed>,
+        placed: Option<&ReceivedPlacedRow>,
         model: &ModelId,
         adapter: Option<&AdapterId>,
-        places: &mut ModelPlaces,
+        availability: &mut ModelAvailability,
     ) {
         if placed.is_some_and(|placed| placed.row.unloading.as_ref() == Some(model)) {
             return;
         }
         let Some(adapters) = holdings(entry, placed).get(model) else {
             if let Some(until) = placed.and_then(|placed| placed.loading_until(now, model)) {
-                let earliest = places.loading_until.map_or(until, |known| known.min(until));
-                places.loading_until = Some(earliest);
+                let earliest = availability
+                    .loading_until
+                    .map_or(until, |known| known.min(until));
+                availability.loading_until = Some(earliest);
             }
             let copy = entry.report.nearest_copy(model);
-            places.nearest_copy = places.nearest_copy.max(copy);
+            availability.nearest_copy = availability.nearest_copy.max(copy);
             return;
         };
         if entry.back_end.is_absent(now, model, None) {
@@ -469,45 +480,45 @@
             adapters.contains(adapter) && !entry.back_end.is_absent(now, model, Some(adapter))
         });
         if has_adapter {
-            places.ready.push(entry.back_end.clone());
+            availability.ready.push(entry.back_end.clone());
         } else {
-            places.without_adapter.push(entry.back_end.clone());
+            availability.without_adapter.push(entry.back_end.clone());
         }
     }
 
     /// Back ends of a service that may receive new requests. The row of a crashed process remains
     /// for several heartbeats, in which requests to its back end would only lose time.
     fn active(&self, now: Timestamp, service: &ServiceId) -> impl Iterator<Item = &Entry> {
-        let members = self.services.get(service).into_iter().flatten();
-        members
+        let service_back_ends = self.services.get(service).into_iter().flatten();
+        service_back_ends
             .filter_map(|id| self.entries.get(id))
-            .filter(move |entry| self.may_be_sent(entry) && !entry.back_end.has_ended(now))
+            .filter(move |entry| self.accepts_requests(entry) && !entry.back_end.has_ended(now))
     }
 
-    fn may_be_sent(&self, entry: &Entry) -> bool {
+    fn accepts_requests(&self, entry: &Entry) -> bool {
         entry.is_active() && !self.evacuated.contains(&entry.report.zone)
     }
 
     /// Removes back ends that are warming up if there are warm ones.
-    fn warm_first(&self, now: Timestamp, mut back_ends: Vec<Arc<BackEnd>>) -> Vec<Arc<BackEnd>> {
+    fn retain_warm(&self, now: Timestamp, mut back_ends: Vec<Arc<BackEnd>>) -> Vec<Arc<BackEnd>> {
         let is_warm = |back_end: &Arc<BackEnd>| !back_end.is_cold(now);
-        if self.spares_cold && back_ends.iter().any(is_warm) {
+        if self.prefers_warm && back_ends.iter().any(is_warm) {
             back_ends.retain(is_warm);
         }
         back_ends
     }
 }
 
-impl Placed {
+impl ReceivedPlacedRow {
     fn loading_until(&self, now: Timestamp, model: &ModelId) -> Option<Timestamp> {
         let loading = self.row.loading.as_ref()?;
-        let until = self.heard + loading.ready_in;
-        let believed = loading.model == *model && now.since(until) < LOAD_GRACE;
-        believed.then_some(until)
+        let until = self.received + loading.ready_in;
+        let is_expected = loading.model == *model && now.since(until) < LOAD_GRACE_MS;
+        is_expected.then_some(until)
     }
 }
 
-fn holdings<'a>(entry: &'a Entry, placed: Option<&'a Placed>) -> &'a Holdings {
+fn holdings<'a>(entry: &'a Entry, placed: Option<&'a ReceivedPlacedRow>) -> &'a Holdings {
     match placed {
         Some(placed) if placed.version > entry.version => &placed.row.holdings,
         _ => &entry.report.holdings,
--- a/crates/gateway/src/lateness.rs
+++ b/crates/gateway/src/lateness.rs
@@ -10,34 +10,34 @@
 use tokio::time::{Instant, sleep};
 
 /// Pause between two measurements.
-const PAUSE: Duration = Duration::from_millis(250);
+const MEASUREMENT_PAUSE: Duration = Duration::from_millis(250);
 /// Weight of the newest measurement in the moving average, which spans about two seconds.
 const NEWEST_WEIGHT: f64 = 0.12;
 
 /// Moving average of the timer lag, in microseconds.
 #[derive(Debug, Default)]
-pub struct Lateness(AtomicU64);
+pub struct TimerLag(AtomicU64);
 
-impl Lateness {
+impl TimerLag {
     /// Average of recent measurements.
     pub fn average(&self) -> Duration {
         Duration::from_micros(self.0.load(Ordering::Relaxed))
     }
 
     /// Adds one measurement.
-    pub fn note(&self, late: Duration) {
+    pub fn record(&self, lag: Duration) {
         let former = self.average().as_secs_f64();
-        let average = former + (late.as_secs_f64() - former) * NEWEST_WEIGHT;
+        let average = former + (lag.as_secs_f64() - former) * NEWEST_WEIGHT;
         let micros = Duration::from_secs_f64(average).as_micros() as u64;
         self.0.store(micros, Ordering::Relaxed);
     }
 }
 
 /// Measures until the future is dropped.
-pub async fn measure(lateness: Arc<Lateness>) {
+pub async fn measure(timer_lag: Arc<TimerLag>) {
     loop {
         let began = Instant::now();
-        sleep(PAUSE).await;
-        lateness.note(began.elapsed().saturating_sub(PAUSE));
+        sleep(MEASUREMENT_PAUSE).await;
+        timer_lag.record(began.elapsed().saturating_sub(MEASUREMENT_PAUSE));
     }
 }
--- a/crates/gateway/src/lease_seat.rs
+++ b/crates/gateway/src/lease_seat.rs
@@ -15,7 +15,7 @@
 use crate::watch::LOST_PAUSE;
 
 /// Maximum age of the cached lease row. An older row does not show who holds the lease.
-const FRESH: Duration = Duration::from_millis(1_600);
+const MAX_ROW_AGE: Duration = Duration::from_millis(1_600);
 
 /// Result of [`LeaseSeat::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     Idle(Duration),
     /// The row was read, or another gateway has written it.
     Done,
-    /// The row was written, together with the row passed in `beside`.
+    /// The row was written, together with the row that `extra_put` returned.
     Written,
 }
 
@@ -36,9 +36,9 @@
     key: String,
     /// The last write was refused or had no response. The next read bypasses the cache and reads
     /// the table.
-    in_doubt: bool,
+    must_read_table: bool,
     /// The newest version of the row that this process has read or written.
-    newest: u64,
+    newest_version: u64,
 }
 
 impl LeaseSeat {
@@ -51,8 +51,8 @@
             keeper: Arc::new(Mutex::new(keeper)),
             key: format!("{}/{name}", shared.platform.tables().lease),
             shared: shared.clone(),
-            in_doubt: false,
-            newest: 0,
+            must_read_table: false,
+            newest_version: 0,
         }
     }
 
@@ -62,58 +62,58 @@
     }
 
     /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
-    /// lease. The row that `beside` returns is written in the same transaction as the lease's row.
-    pub async fn step(&mut self, offer: Offer, beside: impl FnOnce() -> Option<Put>) -> Stepped {
+    /// lease. The row that `extra_put` returns is written in the same transaction as the lease's row.
+    pub async fn step(&mut self, offer: Offer, extra_put: impl FnOnce() -> Option<Put>) -> Stepped {
         let now = self.shared.now();
         let step = self.keeper.lock().step(now, offer);
         match step {
             LeaseStep::Wait(until) => Stepped::Idle(Duration::from_millis(until.since(now))),
             LeaseStep::Read => self.read().await,
-            LeaseStep::Write { expected, row } => self.write(expected, row, beside()).await,
+            LeaseStep::Write { expected, row } => self.write(expected, row, extra_put()).await,
         }
     }
 
     async fn read(&mut self) -> Stepped {
         let shared = &self.shared;
         let table = shared.platform.tables().lease;
-        let rows = if self.in_doubt {
+        let rows = if self.must_read_table {
             let read = shared.table().read(table).await;
             read.ok().map(|snapshot| snapshot.rows)
         } else {
-            shared.feed.rows(table, FRESH)
+            shared.feed.rows(table, MAX_ROW_AGE)
         };
         let Some(rows) = rows else {
             return Stepped::Idle(LOST_PAUSE);
         };
-        self.in_doubt = false;
+        self.must_read_table = false;
         let row = rows.iter().find(|row| row.key == self.key);
         let version = row.map_or(0, |row| row.modified);
-        if version < self.newest {
+        if version < self.newest_version {
             // The row in the cache is older than the version that this process has already read or
             // written.
             return Stepped::Idle(LOST_PAUSE);
         }
-        self.newest = version;
+        self.newest_version = version;
         let lease = row.and_then(|row| serde_json::from_str::<LeaseRow>(&row.value).ok());
         let now = shared.now();
         self.keeper.lock().read(now, version, lease.as_ref());
         Stepped::Done
     }
 
-    async fn write(&mut self, expected: u64, row: LeaseRow, beside: Option<Put>) -> Stepped {
+    async fn write(&mut self, expected: u64, row: LeaseRow, extra_put: Option<Put>) -> Stepped {
         let shared = &self.shared;
         let Ok(value) = serde_json::to_string(&row) else {
             return Stepped::Idle(LOST_PAUSE);
         };
         let mut transaction = Transaction::put_if(self.key.clone(), expected, value);
-        transaction.puts.extend(beside);
+        transaction.puts.extend(extra_put);
         let answer = shared.table().transact(transaction).await;
-        self.in_doubt = !matches!(answer, TableAnswer::Committed { .. });
+        self.must_read_table = !matches!(answer, TableAnswer::Committed { .. });
         let now = self.shared.now();
         let mut keeper = self.keeper.lock();
         match answer {
             TableAnswer::Committed { revision, .. } => {
-                self.newest = revision;
+                self.newest_version = revision;
                 keeper.written(now, revision, &row);
                 Stepped::Written
             }
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -19,14 +19,14 @@
 use parking_lot::Mutex;
 
 /// Maximum number of log lines in the queue.
-const QUEUE_LINES: usize = 2_048;
+const MAX_QUEUED_LINES: usize = 2_048;
 /// Maximum number of log lines about served requests per second.
-const SERVED_PER_SECOND: u32 = 40;
+const MAX_SERVED_PER_SECOND: u32 = 40;
 /// Maximum number of all other log lines per second.
-const OTHER_PER_SECOND: u32 = 300;
+const MAX_OTHER_PER_SECOND: u32 = 300;
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
-static LIMITS: OnceLock<Mutex<LineBudget>> = OnceLock::new();
+static DROPPED: AtomicU64 = AtomicU64::new(0);
+static BUDGET: OnceLock<Mutex<LineBudget>> = OnceLock::new();
 
 /// Priority of a log line when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 #[derive(Debug)]
 struct LineBudget {
-    second: Instant,
+    window_start: Instant,
     served: u32,
     other: u32,
 }
@@ -51,7 +51,7 @@
 
 /// Starts the log on `output`, whose writes may block indefinitely.
 pub fn start_to(node: &str, mut output: impl Write + Send + 'static) -> eyre::Result<()> {
-    let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
+    let (sender, receiver) = sync_channel::<String>(MAX_QUEUED_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || {
@@ -68,16 +68,16 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.append(append))
         .try_apply()
-        .map_err(|error| eyre!("logs cannot be started: {error}"))
+        .map_err(|error| eyre!("cannot start the log: {error}"))
 }
 
 /// Writes a log line that consists of the event's name and its fields.
-pub fn write(rank: Rank, event: &str, fields: fmt::Arguments<'_>) {
-    if !allowed(rank) {
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+pub fn write(priority: Rank, event: &str, fields: fmt::Arguments<'_>) {
+    if !is_within_budget(priority) {
+        DROPPED.fetch_add(1, Ordering::Relaxed);
         return;
     }
-    match rank {
+    match priority {
         Rank::Served => log::info!("event={event} {fields}"),
         Rank::Decision => log::warn!("event={event} {fields}"),
     }
@@ -85,29 +85,29 @@
 
 /// Number of log lines dropped since the start.
 pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED.load(Ordering::Relaxed)
 }
 
-fn allowed(rank: Rank) -> bool {
-    let budget = LIMITS.get_or_init(|| {
+fn is_within_budget(priority: Rank) -> bool {
+    let budget = BUDGET.get_or_init(|| {
         Mutex::new(LineBudget {
-            second: Instant::now(),
+            window_start: Instant::now(),
             served: 0,
             other: 0,
         })
     });
     let mut budget = budget.lock();
-    if budget.second.elapsed().as_secs() >= 1 {
-        budget.second = Instant::now();
+    if budget.window_start.elapsed().as_secs() >= 1 {
+        budget.window_start = Instant::now();
         budget.served = 0;
         budget.other = 0;
     }
-    let (count, most) = match rank {
-        Rank::Served => (&mut budget.served, SERVED_PER_SECOND),
-        Rank::Decision => (&mut budget.other, OTHER_PER_SECOND),
+    let (count, max) = match priority {
+        Rank::Served => (&mut budget.served, MAX_SERVED_PER_SECOND),
+        Rank::Decision => (&mut budget.other, MAX_OTHER_PER_SECOND),
     };
     *count += 1;
-    *count <= most
+    *count <= max
 }
 
 #[derive(Debug)]
@@ -130,7 +130,7 @@
             record.payload()
         );
         if let Err(TrySendError::Full(_)) = self.sender.try_send(line) {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            DROPPED.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -20,23 +20,23 @@
 use crate::watch::{Follower, row_name};
 
 /// Initial pause after a failed table call; doubled after each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Upper limit of that pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 /// Mean pause before a gateway that found no other gateway at its start reads the table again.
 /// Gateways that started at the same time have written their rows by then.
-const SECOND_LOOK: Duration = Duration::from_millis(500);
+const SECOND_READ_DELAY: Duration = Duration::from_millis(500);
 /// Mean time from the write of a gateway's own row to its first read of the rows of gateways that
 /// start together. All rows written at the same moment are readable by then, unless there are
 /// hundreds.
-const FIRST_LOOK: Duration = Duration::from_millis(700);
+const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
 /// Mean pause between two such reads. The table accepts about 300 rows in this time.
-const LOOK_PAUSE: Duration = Duration::from_millis(1_500);
+const READ_PAUSE: Duration = Duration::from_millis(1_500);
 /// Gateways that start together spread their writes over this time, because the table serializes
 /// the writes to one partition.
 const WRITE_SPREAD: Duration = Duration::from_millis(1_500);
 /// Mean interval at which a gateway checks whether its row still exists.
-const KEEP_PAUSE: Duration = Duration::from_secs(3);
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
 /// Contents of this gateway's row.
 fn own_row(shared: &Shared) -> MemberRow {
@@ -58,44 +58,44 @@
 /// gateway writes its own row first and then reads the table again.
 pub async fn join(shared: &Arc<Shared>) {
     if shared.settings.starts_with_all {
-        return join_with_all(shared).await;
+        return join_with_fleet(shared).await;
     }
-    if look(shared).await > 0 {
+    if read_members(shared).await > 0 {
         return;
     }
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
-    write_own(shared).await;
-    sleep(SECOND_LOOK.mul_f64(0.5 + rand::random::<f64>())).await;
-    look(shared).await;
+    write_own_row(shared).await;
+    sleep(SECOND_READ_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
+    read_members(shared).await;
 }
 
 /// Writes this gateway's row and waits until most of the gateways that start together have written
 /// theirs.
-async fn join_with_all(shared: &Arc<Shared>) {
+async fn join_with_fleet(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
-    write_own(shared).await;
+    write_own_row(shared).await;
     let mut joining = Joining::default();
-    let mut pause = FIRST_LOOK;
+    let mut pause = FIRST_READ_DELAY;
     loop {
         sleep(pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
-        if joining.has_settled(look(shared).await) {
+        if joining.has_settled(read_members(shared).await) {
             return;
         }
-        pause = LOOK_PAUSE;
+        pause = READ_PAUSE;
     }
 }
 
 /// Reads the table of members and returns the number of other gateways.
-async fn look(shared: &Arc<Shared>) -> usize {
+async fn read_members(shared: &Arc<Shared>) -> usize {
     let table = shared.platform.tables().members;
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     loop {
-        let asked = shared.clock.since_boot();
+        let requested_at = shared.clock.since_boot();
         match shared.table().read(table).await {
             Ok(snapshot) => {
                 shared
                     .feed
-                    .cache(|cache| cache.replace(table, &snapshot, asked));
+                    .cache(|cache| cache.replace(table, &snapshot, requested_at));
                 let mut follower = MemberFollower::new(shared.clone());
                 let key = own_key(shared);
                 let others = snapshot.rows.iter().filter(|row| row.key != key).count();
@@ -108,13 +108,13 @@
 }
 
 /// Writes this gateway's row unless it exists.
-async fn write_own(shared: &Arc<Shared>) {
+async fn write_own_row(shared: &Arc<Shared>) {
     let row = own_row(shared);
     let Ok(value) = serde_json::to_string(&row) else {
         return;
     };
     let key = own_key(shared);
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     let known = known_row(shared);
     if known.as_ref().is_some_and(|known| known.value == value) {
         return;
@@ -145,17 +145,17 @@
 }
 
 /// Writes this gateway's row again whenever it is missing, until the process stops.
-pub async fn keep(shared: Arc<Shared>) {
+pub async fn maintain_own_row(shared: Arc<Shared>) {
     let mut pause = WRITE_SPREAD.mul_f64(rand::random::<f64>());
     while !shared.is_stopping() {
         sleep(pause).await;
-        write_own(&shared).await;
-        pause = KEEP_PAUSE.mul_f64(0.5 + rand::random::<f64>());
+        write_own_row(&shared).await;
+        pause = CHECK_INTERVAL.mul_f64(0.5 + rand::random::<f64>());
     }
 }
 
 /// Removes this gateway's row, so that other gateways need not detect its absence.
-pub async fn leave(shared: Arc<Shared>) {
+pub async fn remove_own_row(shared: Arc<Shared>) {
     let Some(row) = known_row(&shared) else {
         return;
     };
@@ -183,7 +183,7 @@
         }
     }
 
-    fn take(&mut self, row: &TableRow) {
+    fn apply(&mut self, row: &TableRow) {
         match serde_json::from_str(&row.value) {
             Ok(member) => {
                 self.rows.insert(row_name(&row.key).to_owned(), member);
@@ -192,7 +192,7 @@
         }
     }
 
-    fn tell(&self) {
+    fn update_members(&self) {
         let members = self.rows.iter().filter_map(|(name, row)| {
             Some(Member {
                 name: name.clone(),
@@ -207,13 +207,13 @@
 impl Follower for MemberFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
         self.rows.clear();
-        rows.iter().for_each(|row| self.take(row));
-        self.tell();
+        rows.iter().for_each(|row| self.apply(row));
+        self.update_members();
     }
 
     fn change(&mut self, change: RowChange) {
         match change {
-            RowChange::Put(row) => self.take(&row),
+            RowChange::Put(row) => self.apply(&row),
             RowChange::Removed { key, .. } => {
                 self.rows.remove(row_name(&key));
             }
@@ -222,7 +222,7 @@
 
     /// Computing tree positions needs all gateways, and a start of hundreds of gateways causes
     /// hundreds of changes. The positions are therefore computed once for each batch of changes.
-    fn settle(&mut self) {
-        self.tell();
+    fn finish_batch(&mut self) {
+        self.update_members();
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -16,7 +16,7 @@
 
 /// Maximum number of tenants with time series of their own: the first ones that send requests. Each
 /// tenant adds a dozen time series, and there may be thousands of tenants.
-const MOST_TENANTS: usize = 32;
+const MAX_TENANTS: usize = 32;
 /// Label of all other tenants together.
 const OTHER_TENANTS: &str = "other";
 
@@ -51,11 +51,11 @@
     /// Number of back ends with a known stated limit.
     pub stated_limits: IntGauge,
     /// Dropped log lines.
-    pub lines_left_out: IntGauge,
-    queue: Histogram,
-    connect: Histogram,
-    first_byte: Histogram,
-    whole: Histogram,
+    pub dropped_lines: IntGauge,
+    queue_time: Histogram,
+    connect_time: Histogram,
+    first_byte_time: Histogram,
+    response_time: Histogram,
 }
 
 impl Metrics {
@@ -63,39 +63,81 @@
     pub fn new() -> eyre::Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
-            requests: counters("gateway_requests_total", "Requests by outcome", "outcome")?,
+            requests: counters(
+                "gateway_requests_total",
+                "Completed requests, by outcome",
+                "outcome",
+            )?,
             tenant_requests: IntCounterVec::new(
-                Opts::new("gateway_tenant_requests_total", "Requests by tenant"),
+                Opts::new(
+                    "gateway_tenant_requests_total",
+                    "Completed requests of tenants, by tenant and outcome",
+                ),
                 &["tenant", "outcome"],
             )?,
             tenants: Mutex::default(),
-            attempts: counters("gateway_attempts_total", "Sends by result", "result")?,
+            attempts: counters(
+                "gateway_attempts_total",
+                "Attempts at back ends, by result",
+                "result",
+            )?,
             reservations: counters(
                 "gateway_reservations_total",
-                "Questions for times at limited back ends",
+                "Requests for send times at back ends that state a limit, by result",
                 "result",
             )?,
             back_end_statements: counters(
                 "gateway_back_end_statements_total",
-                "Answers in which back ends say that they leave or ask for a pause",
+                "Responses in which back ends announce a drain or request a pause, by kind",
                 "kind",
             )?,
-            orders: counters("gateway_orders_total", "Orders by result", "result")?,
-            table_calls: counters("gateway_table_calls_total", "Table calls", "result")?,
-            refused_rows: counters("gateway_refused_rows_total", "Refused rows", "reason")?,
+            orders: counters(
+                "gateway_orders_total",
+                "Orders to engines, by result",
+                "result",
+            )?,
+            table_calls: counters(
+                "gateway_table_calls_total",
+                "Table calls, by result",
+                "result",
+            )?,
+            refused_rows: counters(
+                "gateway_refused_rows_total",
+                "Table rows that could not be parsed, by reason",
+                "reason",
+            )?,
             quarantine_row: counters(
                 "gateway_quarantine_row_total",
-                "Reads and writes of the row that keeps quarantine verdicts",
+                "Reads and writes of the quarantine row, by result",
                 "result",
             )?,
-            lease_changes: counters("gateway_lease_changes_total", "Lease changes", "kind")?,
-            open_requests: IntGauge::new("gateway_open_requests", "Requests being served")?,
-            stated_limits: IntGauge::new("gateway_stated_limits", "Back ends that state a limit")?,
-            lines_left_out: IntGauge::new("gateway_lines_left_out", "Log lines left out")?,
-            queue: latency("gateway_queue_seconds", "Wait for a back end")?,
-            connect: latency("gateway_connect_seconds", "Time to connect to a back end")?,
-            first_byte: latency("gateway_first_byte_seconds", "Send to first byte")?,
-            whole: latency("gateway_whole_seconds", "Arrival to end of answer")?,
+            lease_changes: counters(
+                "gateway_lease_changes_total",
+                "Changes of the placement lease, by kind",
+                "kind",
+            )?,
+            open_requests: IntGauge::new("gateway_open_requests", "Requests in progress")?,
+            stated_limits: IntGauge::new(
+                "gateway_stated_limits",
+                "Back ends with a known stated limit",
+            )?,
+            dropped_lines: IntGauge::new("gateway_lines_left_out", "Dropped log lines")?,
+            queue_time: latency(
+                "gateway_queue_seconds",
+                "Time that requests waited for a back end",
+            )?,
+            connect_time: latency(
+                "gateway_connect_seconds",
+                "Time to establish a connection to a back end",
+            )?,
+            first_byte_time: latency(
+                "gateway_first_byte_seconds",
+                "Time from a send to the first byte of the response",
+            )?,
+            response_time: latency(
+                "gateway_whole_seconds",
+                "Time from the arrival of a request to the end of its response",
+            )?,
             registry,
         };
         metrics.register()?;
@@ -121,12 +163,17 @@
         let gauges = [
             &self.open_requests,
             &self.stated_limits,
-            &self.lines_left_out,
+            &self.dropped_lines,
         ];
         for gauge in gauges {
             self.registry.register(Box::new(gauge.clone()))?;
         }
-        for histogram in [&self.queue, &self.connect, &self.first_byte, &self.whole] {
+        for histogram in [
+            &self.queue_time,
+            &self.connect_time,
+            &self.first_byte_time,
+            &self.response_time,
+        ] {
             self.registry.register(Box::new(histogram.clone()))?;
         }
         Ok(())
@@ -134,30 +181,30 @@
 
     /// Records the time that a request waited for a back end.
     pub fn queued(&self, time: Duration) {
-        self.queue.observe(time.as_secs_f64());
+        self.queue_time.observe(time.as_secs_f64());
     }
 
     /// Records the time to establish a connection to a back end, including failed attempts.
     pub fn connected(&self, time: Duration) {
-        self.connect.observe(time.as_secs_f64());
+        self.connect_time.observe(time.as_secs_f64());
     }
 
     /// Records the time from a send to the first byte of the back end's response.
     pub fn answered(&self, time: Duration) {
-        self.first_byte.observe(time.as_secs_f64());
+        self.first_byte_time.observe(time.as_secs_f64());
     }
 
     /// Counts a completed request and records the time since its arrival.
     pub fn ended(&self, outcome: &str, time: Duration) {
         self.requests.with_label_values(&[outcome]).inc();
-        self.whole.observe(time.as_secs_f64());
+        self.response_time.observe(time.as_secs_f64());
     }
 
     /// Counts a request of a tenant that has been completed or refused.
     pub fn tenant_ended(&self, tenant: &str, outcome: &str) {
         let mut tenants = self.tenants.lock();
         let has_own = tenants.contains(tenant)
-            || tenants.len() < MOST_TENANTS && tenants.insert(tenant.to_owned());
+            || tenants.len() < MAX_TENANTS && tenants.insert(tenant.to_owned());
         drop(tenants);
         let label = if has_own { tenant } else { OTHER_TENANTS };
         self.tenant_requests
@@ -167,8 +214,8 @@
 
     /// Encodes the metrics for the collector.
     pub fn text(&self) -> eyre::Result<Vec<u8>> {
-        let left_out = i64::try_from(crate::lines::left_out())?;
-        self.lines_left_out.set(left_out);
+        let dropped = i64::try_from(crate::lines::left_out())?;
+        self.dropped_lines.set(dropped);
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -124,19 +124,21 @@
 pub enum TableError {
     /// The table does not keep changes since the given version any more; the whole table must be
     /// read.
-    #[error("history is gone")]
+    #[error("the table no longer keeps the changes since this version")]
     HistoryGone,
     /// The table rejected the call because of too many calls; the call had no effect.
-    #[error("too many calls")]
+    #[error("the table rejected the call because of too many calls")]
     Throttled,
     /// The table reported an error status; the call had no effect.
-    #[error("unavailable: status {0}")]
+    #[error("table unavailable: status {0}")]
     Unavailable(u16),
     /// The call timed out, or the connection was lost.
-    #[error("no answer: {0}")]
+    #[error("no response from the table: {0}")]
+    #[serde(rename = "Lost")]
     Lost(String),
     /// The response could not be parsed.
-    #[error("answer is not understood: {0}")]
+    #[error("invalid response from the table: {0}")]
+    #[serde(rename = "Content")]
     Content(String),
 }
 
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -30,8 +30,8 @@
 pub struct Gateway {
     shared: Arc<Shared>,
     connections: Connections,
-    callers: SocketAddr,
-    readiness: SocketAddr,
+    caller_address: SocketAddr,
+    readiness_address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
 }
 
@@ -50,18 +50,18 @@
         mut settings: GatewaySettings,
         platform: Arc<dyn Platform>,
     ) -> eyre::Result<Self> {
-        let callers = listen(settings.listen_callers).await?;
-        let readiness = listen(settings.listen_readiness).await?;
-        let figures = match &settings.metrics {
-            Some(address) => listen_beside(address.listen, "figures").await,
+        let caller_listener = listen(settings.listen_callers).await?;
+        let readiness_listener = listen(settings.listen_readiness).await?;
+        let metrics_listener = match &settings.metrics {
+            Some(address) => listen_optional(address.listen, "figures").await,
             None => None,
         };
-        let relay = match settings.relay {
-            Some(address) => listen_beside(address, "relay").await,
+        let relay_listener = match settings.relay {
+            Some(address) => listen_optional(address, "relay").await,
             None => None,
         };
         // Other gateways receive the address that is actually bound, or none.
-        settings.relay = relay.as_ref().and_then(|it| it.local_addr().ok());
+        settings.relay = relay_listener.as_ref().and_then(|it| it.local_addr().ok());
         let fields = format_args!(
             "node={} zone={} callers={}",
             settings.node, settings.zone, settings.listen_callers
@@ -70,39 +70,44 @@
         let shared = Arc::new(Shared::new(clock, settings, platform)?);
         let mut gateway = Gateway {
             connections: Connections::default(),
-            callers: callers.local_addr()?,
-            readiness: readiness.local_addr()?,
+            caller_address: caller_listener.local_addr()?,
+            readiness_address: readiness_listener.local_addr()?,
             tasks: watch::start(&shared),
             shared,
         };
-        gateway.spawn(callers, readiness);
-        gateway.spawn_beside(figures, relay);
+        gateway.spawn_tasks(caller_listener, readiness_listener);
+        gateway.spawn_optional_servers(metrics_listener, relay_listener);
         Ok(gateway)
     }
 
-    fn spawn(&mut self, callers: TcpListener, readiness: TcpListener) {
+    fn spawn_tasks(&mut self, caller_listener: TcpListener, readiness_listener: TcpListener) {
         let shared = &self.shared;
         let connections = self.connections.clone();
-        let serving = server::serve_callers(shared.clone(), callers, connections);
+        let serving = server::serve_callers(shared.clone(), caller_listener, connections);
         self.tasks.push(tokio::spawn(serving));
         self.tasks
-            .push(tokio::spawn(suspension::watch(shared.clone())));
-        let measuring = lateness::measure(shared.lateness_measured());
+            .push(tokio::spawn(suspension::detect_suspensions(shared.clone())));
+        let measuring = lateness::measure(shared.timer_lag_average());
         self.tasks.push(tokio::spawn(measuring));
-        self.tasks.push(tokio::spawn(take_part(shared.clone())));
+        self.tasks
+            .push(tokio::spawn(run_shared_tasks(shared.clone())));
         let initial_read_timeout = quarantine_row::enforce_initial_read_timeout(shared.clone());
         self.tasks.push(tokio::spawn(initial_read_timeout));
-        self.tasks.push(serve_readiness(shared, readiness));
+        self.tasks.push(serve_readiness(shared, readiness_listener));
     }
 
     /// Starts the servers that callers do not depend on.
-    fn spawn_beside(&mut self, figures: Option<TcpListener>, relay: Option<TcpListener>) {
+    fn spawn_optional_servers(
+        &mut self,
+        metrics_listener: Option<TcpListener>,
+        relay_listener: Option<TcpListener>,
+    ) {
         let shared = &self.shared;
-        if let (Some(listener), Some(address)) = (figures, &shared.settings.metrics) {
+        if let (Some(listener), Some(address)) = (metrics_listener, &shared.settings.metrics) {
             let path = address.path.clone();
-            self.tasks.push(serve_figures(shared, listener, path));
+            self.tasks.push(serve_metrics(shared, listener, path));
         }
-        if let Some(listener) = relay {
+        if let Some(listener) = relay_listener {
             let serving = relay::serve(listener, shared.clone());
             self.tasks.push(tokio::spawn(serving));
         }
@@ -110,12 +115,12 @@
 
     /// Address for callers.
     pub fn callers(&self) -> SocketAddr {
-        self.callers
+        self.caller_address
     }
 
     /// Address of the readiness endpoint.
     pub fn readiness(&self) -> SocketAddr {
-        self.readiness
+        self.readiness_address
     }
 
     /// Address at which this gateway relays table calls for other gateways.
@@ -128,7 +133,7 @@
     pub async fn drain(&self) {
         lines::write(Rank::Decision, "stop", format_args!("phase=begun"));
         self.shared.stop();
-        tokio::spawn(members::leave(self.shared.clone()));
+        tokio::spawn(members::remove_own_row(self.shared.clone()));
         let grace = self.shared.settings.bounds.grace;
         self.connections.drain(grace, DRAIN_POLL).await;
         lines::write(Rank::Decision, "stop", format_args!("phase=drained"));
@@ -153,20 +158,20 @@
 
 /// Registers this gateway as a member, then runs the tasks that gateways share, until the future is
 /// dropped.
-async fn take_part(shared: Arc<Shared>) {
+async fn run_shared_tasks(shared: Arc<Shared>) {
     members::join(&shared).await;
-    let duties = [
+    let tasks = [
         tokio::spawn(feed::filler::run(shared.clone())),
         tokio::spawn(demand_teller::run(shared.clone())),
-        tokio::spawn(quarantine::hand_up(shared.clone())),
-        tokio::spawn(quarantine_row::write_local_verdicts(shared.clone())),
+        tokio::spawn(quarantine::send_to_parents(shared.clone())),
+        tokio::spawn(quarantine_row::write_local_entries(shared.clone())),
         tokio::spawn(holder::run(shared.clone())),
         tokio::spawn(seats::run(shared.clone())),
-        tokio::spawn(members::keep(shared)),
+        tokio::spawn(members::maintain_own_row(shared)),
     ]
     .map(AbortOnDrop);
     std::future::pending::<()>().await;
-    drop(duties);
+    drop(tasks);
 }
 
 async fn listen(address: SocketAddr) -> eyre::Result<TcpListener> {
@@ -177,7 +182,7 @@
 
 /// Binds a listener that callers do not depend on. A failure is logged, and the gateway serves
 /// requests without the listener.
-async fn listen_beside(address: SocketAddr, what: &str) -> Option<TcpListener> {
+async fn listen_optional(address: SocketAddr, what: &str) -> Option<TcpListener> {
     match listen(address).await {
         Ok(listener) => Some(listener),
         Err(error) => {
@@ -191,18 +196,18 @@
 fn serve_readiness(shared: &Arc<Shared>, listener: TcpListener) -> JoinHandle<()> {
     let shared = shared.clone();
     let path = shared.platform.readiness_path();
-    let page = move |asked: &str| match (asked == path, shared.is_ready()) {
+    let respond = move |requested_path: &str| match (requested_path == path, shared.is_ready()) {
         (false, _) => (StatusCode::NOT_FOUND, Vec::new()),
         (true, true) => (StatusCode::OK, b"ready\n".to_vec()),
         (true, false) => (StatusCode::SERVICE_UNAVAILABLE, b"not ready\n".to_vec()),
     };
-    tokio::spawn(server::serve_pages(listener, page))
+    tokio::spawn(server::serve_pages(listener, respond))
 }
 
-fn serve_figures(shared: &Arc<Shared>, listener: TcpListener, path: String) -> JoinHandle<()> {
+fn serve_metrics(shared: &Arc<Shared>, listener: TcpListener, path: String) -> JoinHandle<()> {
     let shared = shared.clone();
-    let page = move |asked: &str| {
-        if asked != path {
+    let respond = move |requested_path: &str| {
+        if requested_path != path {
             return (StatusCode::NOT_FOUND, Vec::new());
         }
         match shared.metrics.text() {
@@ -210,7 +215,7 @@
             Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Vec::new()),
         }
     };
-    tokio::spawn(server::serve_pages(listener, page))
+    tokio::spawn(server::serve_pages(listener, respond))
 }
 
 /// Returns on SIGTERM or SIGINT. SIGHUP is only logged: everything that can change at run time
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -33,11 +33,11 @@
 
 /// Pause before notices are sent to parents again after no parent accepted them: a fifteenth of the
 /// 3 s within which users expect all gateways to have them.
-const HAND_UP_PAUSE: Duration = Duration::from_millis(200);
+const SEND_PAUSE: Duration = Duration::from_millis(200);
 /// Time within which a parent must accept notices before the next parent is tried.
-const HAND_UP_TIMEOUT: Duration = Duration::from_millis(300);
+const SEND_TIMEOUT: Duration = Duration::from_millis(300);
 /// Interval at which a gateway without new notices checks for them.
-const IDLE: Duration = Duration::from_secs(5);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// An update of outcomes for a gateway that requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,11 +52,11 @@
 pub struct SharedQuarantine {
     known: Mutex<Quarantine>,
     /// Notifies its receivers when there are new outcomes to send.
-    grown: watch::Sender<()>,
+    updates: watch::Sender<()>,
     /// Notified when a crash of a back end under a request of this gateway changes the quarantine
     /// entries.
-    local_verdict_change: Notify,
-    heard: Mutex<HashMap<SocketAddr, Position>>,
+    local_entry_change: Notify,
+    positions: Mutex<HashMap<SocketAddr, Position>>,
     /// See [`SharedQuarantine::is_initialized`].
     is_initialized: AtomicBool,
 }
@@ -65,9 +65,9 @@
     fn default() -> Self {
         SharedQuarantine {
             known: Mutex::new(Quarantine::new(rand::random())),
-            grown: watch::Sender::new(()),
-            local_verdict_change: Notify::new(),
-            heard: Mutex::default(),
+            updates: watch::Sender::new(()),
+            local_entry_change: Notify::new(),
+            positions: Mutex::default(),
             is_initialized: AtomicBool::new(false),
         }
     }
@@ -82,10 +82,15 @@
 
     /// Records that a back end crashed while it ran a request of this gateway. Returns whether the
     /// quarantine entries changed.
-    pub fn note_end(&self, now: Timestamp, request: Fingerprint, back_end: BackEndHash) -> bool {
-        let has_changed = self.change(|known| known.note_end(now, request, back_end));
+    pub fn record_crash(
+        &self,
+        now: Timestamp,
+        request: Fingerprint,
+        back_end: BackEndHash,
+    ) -> bool {
+        let has_changed = self.apply(|known| known.note_end(now, request, back_end));
         if has_changed {
-            self.local_verdict_change.notify_one();
+            self.local_entry_change.notify_one();
         }
         has_changed
     }
@@ -93,28 +98,33 @@
     /// Waits until a crash of a back end under a request of this gateway changes the quarantine
     /// entries. Returns at once if that has happened since the last call; several changes count as
     /// one.
-    pub async fn local_verdict_change(&self) {
-        self.local_verdict_change.notified().await;
+    pub async fn local_entry_change(&self) {
+        self.local_entry_change.notified().await;
     }
 
     /// Records a complete response to a request of this gateway. Returns whether the quarantine
     /// entries changed.
-    pub fn note_served(&self, now: Timestamp, request: Fingerprint) -> bool {
-        self.change(|known| known.note_served(now, request))
+    pub fn record_served(&self, now: Timestamp, request: Fingerprint) -> bool {
+        self.apply(|known| known.note_served(now, request))
     }
 
     /// Merges outcome notices of another gateway. Returns whether the quarantine entries changed.
-    pub fn take(&self, now: Timestamp, told: &[ToldOutcome], source: Source) -> bool {
-        self.change(|known| {
-            known.take(now, told, source);
+    pub fn merge(&self, now: Timestamp, notices: &[ToldOutcome], source: Source) -> bool {
+        self.apply(|known| {
+            known.take(now, notices, source);
         })
     }
 
     /// Merges an update with which the gateway at `address` has responded. Returns whether the
     /// quarantine entries changed.
-    pub fn take_news(&self, now: Timestamp, address: SocketAddr, news: &QuarantineNews) -> bool {
-        self.heard.lock().insert(address, news.position);
-        self.take(now, &news.events, Source::Beside)
+    pub fn merge_update(
+        &self,
+        now: Timestamp,
+        address: SocketAddr,
+        update: &QuarantineNews,
+    ) -> bool {
+        self.positions.lock().insert(address, update.position);
+        self.merge(now, &update.events, Source::Beside)
     }
 
     /// Whether the quarantine entries from before the start of this gateway are known or the wait
@@ -125,17 +135,17 @@
 
     /// Marks the quarantine as initialized and notifies subscribers. Returns true on the first call
     /// only.
-    pub fn note_initialized(&self) -> bool {
+    pub fn mark_initialized(&self) -> bool {
         let is_first = !self.is_initialized.swap(true, Ordering::AcqRel);
         if is_first {
-            self.grown.send_replace(());
+            self.updates.send_replace(());
         }
         is_first
     }
 
     /// This gateway's position in the outcomes of the gateway at `address`.
     pub fn heard(&self, address: SocketAddr) -> Option<Position> {
-        self.heard.lock().get(&address).copied()
+        self.positions.lock().get(&address).copied()
     }
 
     /// Returns the update for a gateway at this position. Returns `None` until this gateway is
@@ -152,12 +162,12 @@
     }
 
     /// The crashes that current quarantine entries depend on.
-    pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
+    pub fn entry_notices(&self, now: Timestamp) -> Vec<ToldOutcome> {
         self.known.lock().verdict_events(now)
     }
 
     /// Number of changes of the quarantine entries so far.
-    pub fn verdict_changes(&self) -> u64 {
+    pub fn changes(&self) -> u64 {
         self.known.lock().verdict_changes()
     }
 
@@ -169,19 +179,19 @@
 
     /// Notifies its receiver when there are new outcomes to send.
     pub fn subscribe(&self) -> watch::Receiver<()> {
-        self.grown.subscribe()
+        self.updates.subscribe()
     }
 
-    fn change(&self, act: impl FnOnce(&mut Quarantine)) -> bool {
+    fn apply(&self, act: impl FnOnce(&mut Quarantine)) -> bool {
         let mut known = self.known.lock();
         let (changes, position) = (known.verdict_changes(), known.position());
         act(&mut known);
         let has_changed = known.verdict_changes() != changes;
-        let has_grown = known.position() != position;
+        let has_new_outcomes = known.position() != position;
         let count = known.verdict_count();
         drop(known);
-        if has_grown {
-            self.grown.send_replace(());
+        if has_new_outcomes {
+            self.updates.send_replace(());
         }
         if has_changed {
             let fields = format_args!("requests={count}");
@@ -191,7 +201,7 @@
     }
 
     /// Outcomes that this gateway and its children have observed since a position.
-    fn seen_below(&self, now: Timestamp, position: Option<Position>) -> QuarantineNews {
+    fn subtree_notices(&self, now: Timestamp, position: Option<Position>) -> QuarantineNews {
         let known = self.known.lock();
         QuarantineNews {
             position: known.position(),
@@ -201,27 +211,27 @@
 }
 
 /// Sends new outcomes to a parent, until the future is dropped.
-pub async fn hand_up(shared: Arc<Shared>) {
-    let mut grown = shared.quarantine.subscribe();
-    let mut handed: Option<Position> = None;
+pub async fn send_to_parents(shared: Arc<Shared>) {
+    let mut updates = shared.quarantine.subscribe();
+    let mut sent: Option<Position> = None;
     loop {
-        grown.mark_unchanged();
-        let news = shared.quarantine.seen_below(shared.now(), handed);
-        if news.events.is_empty() {
-            handed = Some(news.position);
+        updates.mark_unchanged();
+        let update = shared.quarantine.subtree_notices(shared.now(), sent);
+        if update.events.is_empty() {
+            sent = Some(update.position);
             // After the timeout or a notification, the next iteration checks for outcomes.
-            let _ = timeout(IDLE, grown.changed()).await;
-        } else if hand_to_any(&shared, news.events).await {
-            handed = Some(news.position);
+            let _ = timeout(IDLE_CHECK_INTERVAL, updates.changed()).await;
+        } else if send_to_any_parent(&shared, update.events).await {
+            sent = Some(update.position);
         } else {
-            sleep(HAND_UP_PAUSE).await;
+            sleep(SEND_PAUSE).await;
         }
     }
 }
 
 /// Sends outcomes to the first parent that accepts them, and returns whether one did. Roots have no
 /// parent; other roots request the outcomes from them.
-async fn hand_to_any(shared: &Shared, events: Vec<ToldOutcome>) -> bool {
+async fn send_to_any_parent(shared: &Shared, events: Vec<ToldOutcome>) -> bool {
     let (is_root, candidates) = {
         let parents = shared.feed.parents.lock();
         (parents.is_root(), parents.candidates())
@@ -232,7 +242,7 @@
     let request = RelayRequest::Quarantine(events);
     for parent in candidates {
         let client = shared.table().client();
-        let answer = client.call(parent.address, &request, HAND_UP_TIMEOUT).await;
+        let answer = client.call(parent.address, &request, SEND_TIMEOUT).await;
         if matches!(answer, Some(RelayAnswer::Noted)) {
             return true;
         }
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -25,14 +25,14 @@
 use crate::shared::Shared;
 
 /// Initial pause after a failed table call; doubled after each further failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const MIN_PAUSE: Duration = Duration::from_millis(100);
 /// Upper limit of that pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 /// Minimum pause between two writes. Crashes occur in groups, and all gateways already know the
 /// outcomes that are not written yet.
 const WRITE_PAUSE: Duration = Duration::from_millis(250);
 /// Interval at which the placement holder checks the row without a notification.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
 /// Time for which a gateway that has read the back ends waits for the quarantine entries before it
 /// serves requests without them, so that an unavailable table does not block it.
@@ -52,40 +52,40 @@
 
 /// Reads the row and merges its outcomes. Retries until a read succeeds.
 pub async fn recall(shared: &Shared) -> RowSnapshot {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     let table = shared.platform.tables().loads;
     loop {
         match shared.table().read(table).await {
             Ok(snapshot) => {
                 let key = key(shared);
                 let row = snapshot.rows.iter().find(|row| row.key == key);
-                let told = row.map(|row| take_in(shared, row)).unwrap_or_default();
+                let outcomes = row.map(|row| merge_row(shared, row)).unwrap_or_default();
                 let version = row.map_or(0, |row| row.modified);
-                note_success(shared, "read", &told, version);
-                shared.note_quarantine_initialized();
+                record_success(shared, "read", &outcomes, version);
+                shared.mark_quarantine_initialized();
                 return RowSnapshot {
                     version,
-                    requests: distinct_requests(&told),
+                    requests: distinct_requests(&outcomes),
                 };
             }
             Err(error) => {
-                note_read_failure(shared, &error);
+                record_read_failure(shared, &error);
                 backoff.wait().await;
             }
         }
     }
 }
 
-fn distinct_requests(told: &[ToldOutcome]) -> BTreeSet<Fingerprint> {
-    told.iter().map(|outcome| outcome.fingerprint).collect()
+fn distinct_requests(outcomes: &[ToldOutcome]) -> BTreeSet<Fingerprint> {
+    outcomes.iter().map(|outcome| outcome.fingerprint).collect()
 }
 
 /// Merges the outcomes in the row and returns them; returns none if the row cannot be parsed.
-fn take_in(shared: &Shared, row: &TableRow) -> Vec<ToldOutcome> {
+fn merge_row(shared: &Shared, row: &TableRow) -> Vec<ToldOutcome> {
     match serde_json::from_str::<Vec<ToldOutcome>>(&row.value) {
-        Ok(told) => {
-            shared.recall_outcomes(&told);
-            told
+        Ok(outcomes) => {
+            shared.merge_stored_outcomes(&outcomes);
+            outcomes
         }
         Err(error) => {
             shared.refuse_row(row, &error);
@@ -95,23 +95,23 @@
 }
 
 /// Counts and logs a successful read or write of the row.
-fn note_success(shared: &Shared, result: &str, told: &[ToldOutcome], version: u64) {
+fn record_success(shared: &Shared, result: &str, outcomes: &[ToldOutcome], version: u64) {
     count_result(shared, result);
     let fields = format_args!(
         "result={result} requests={} ends={} version={version}",
-        distinct_requests(told).len(),
-        told.len()
+        distinct_requests(outcomes).len(),
+        outcomes.len()
     );
     lines::write(Rank::Decision, "quarantine_row", fields);
 }
 
-fn note_read_failure(shared: &Shared, error: &TableError) {
+fn record_read_failure(shared: &Shared, error: &TableError) {
     count_result(shared, "read_failed");
     let fields = format_args!("result=read_failed error=\"{error}\"");
     lines::write(Rank::Decision, "quarantine_row", fields);
 }
 
-fn note_write_failure(shared: &Shared, answer: &str) {
+fn record_write_failure(shared: &Shared, answer: &str) {
     count_result(shared, answer);
     let fields = format_args!("result=write_failed answer={answer}");
     lines::write(Rank::Decision, "quarantine_row", fields);
@@ -132,7 +132,7 @@
         }
     }
     sleep(INITIAL_READ_TIMEOUT).await;
-    if shared.note_quarantine_initialized() {
+    if shared.mark_quarantine_initialized() {
         count_result(&shared, "read_timed_out");
         let fields = format_args!(
             "result=read_timed_out waited_ms={}",
@@ -145,13 +145,13 @@
 /// Keeps the row up to date while this gateway is the placement holder, until the future is
 /// dropped.
 pub async fn keep(shared: Arc<Shared>) {
-    let mut grown = shared.quarantine.subscribe();
+    let mut updates = shared.quarantine.subscribe();
     loop {
-        let changes = shared.quarantine.verdict_changes();
+        let changes = shared.quarantine.changes();
         update_row(&shared).await;
-        while shared.quarantine.verdict_changes() == changes {
+        while shared.quarantine.changes() == changes {
             // After the timeout or a notification, the loop checks the entries again.
-            let _ = timeout(IDLE, grown.changed()).await;
+            let _ = timeout(IDLE_CHECK_INTERVAL, updates.changed()).await;
             sleep(WRITE_PAUSE).await;
         }
     }
@@ -160,9 +160,9 @@
 /// Updates the row when a crash of a back end under a request of this gateway changes the
 /// quarantine entries, until the future is dropped. Does not require the placement lease: all
 /// gateways may be lost while none holds it.
-pub async fn write_local_verdicts(shared: Arc<Shared>) {
+pub async fn write_local_entries(shared: Arc<Shared>) {
     loop {
-        shared.quarantine.local_verdict_change().await;
+        shared.quarantine.local_entry_change().await;
         update_row(&shared).await;
     }
 }
@@ -173,38 +173,38 @@
 /// The comparison with the stored row covers entries that existed before the placement lease was
 /// acquired.
 async fn update_row(shared: &Shared) {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     loop {
         let row = recall(shared).await;
-        let told = shared.quarantine.verdict_events(shared.now());
-        if distinct_requests(&told) == row.requests {
+        let outcomes = shared.quarantine.entry_notices(shared.now());
+        if distinct_requests(&outcomes) == row.requests {
             return;
         }
-        match write(shared, row.version, &told).await {
+        match write(shared, row.version, &outcomes).await {
             TableAnswer::Committed { revision, .. } => {
-                note_success(shared, "written", &told, revision);
+                record_success(shared, "written", &outcomes, revision);
                 return;
             }
-            TableAnswer::Conflict { .. } => note_write_failure(shared, "conflict"),
+            TableAnswer::Conflict { .. } => record_write_failure(shared, "conflict"),
             TableAnswer::Refused { .. } => {
-                note_write_failure(shared, "refused");
+                record_write_failure(shared, "refused");
                 backoff.wait().await;
             }
             // The write may have taken effect, or may do so later.
             TableAnswer::Unknown => {
-                note_write_failure(shared, "unknown");
+                record_write_failure(shared, "unknown");
                 backoff.wait().await;
             }
         }
     }
 }
 
-async fn write(shared: &Shared, version: u64, told: &[ToldOutcome]) -> TableAnswer {
-    match serde_json::to_string(told) {
+async fn write(shared: &Shared, version: u64, outcomes: &[ToldOutcome]) -> TableAnswer {
+    match serde_json::to_string(outcomes) {
         Ok(value) => {
             let transaction = Transaction::put_if(key(shared), version, value);
             shared.table().transact(transaction).await
         }
-        Err(error) => unreachable!("hashes and numbers are JSON: {error}"),
+        Err(error) => unreachable!("outcome notices always serialize to JSON: {error}"),
     }
 }
--- a/crates/gateway/src/reading_rows.rs
+++ b/crates/gateway/src/reading_rows.rs
@@ -19,72 +19,73 @@
 use crate::watch::{Follower, LOST_PAUSE, row_name};
 
 /// Minimum pause between two evaluations of the demand of gateways.
-const PAUSE: Duration = Duration::from_millis(1_000);
+const EVALUATION_PAUSE: Duration = Duration::from_millis(1_000);
 /// Maximum rate at which all gateways together read these rows, in bytes per second.
-const BYTES_PER_SECOND: f64 = 200_000.0;
+const MAX_READ_BYTES_PER_SECOND: f64 = 200_000.0;
 
 /// Follower of the table of prefill speeds.
-pub struct ReadingFollower(pub Arc<Shared>);
+pub struct PrefillSpeedFollower(pub Arc<Shared>);
 
-impl ReadingFollower {
-    fn take(&self, row: &TableRow) {
+impl PrefillSpeedFollower {
+    fn apply(&self, row: &TableRow) {
         match serde_json::from_str::<ReadingRow>(&row.value) {
-            Ok(told) => {
+            Ok(prefill_speeds) => {
                 let service = ServiceId::from(row_name(&row.key));
-                self.0.reading(&service, |known| known.adopt(told));
+                self.0
+                    .reading(&service, |known| known.adopt(prefill_speeds));
             }
             Err(error) => self.0.refuse_row(row, &error),
         }
     }
 }
 
-impl Follower for ReadingFollower {
+impl Follower for PrefillSpeedFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
-        rows.iter().for_each(|row| self.take(row));
+        rows.iter().for_each(|row| self.apply(row));
     }
 
     fn change(&mut self, change: RowChange) {
         if let RowChange::Put(row) = change {
-            self.take(&row);
+            self.apply(&row);
         }
     }
 }
 
 /// Writes the merged engine speeds to the table, until the future is dropped.
 pub async fn tell(shared: Arc<Shared>) {
-    let mut teller = Teller {
+    let mut writer = RowWriter {
         shared,
-        told: BTreeMap::new(),
-        bytes_told: 0,
+        written: BTreeMap::new(),
+        last_row_bytes: 0,
     };
-    teller.read().await;
+    writer.read_rows().await;
     loop {
-        sleep(PAUSE.max(teller.read_time())).await;
-        let now = teller.shared.now();
-        for (service, row) in teller.shared.demand_rows.merged_reading(now) {
-            teller.tell(service, row).await;
+        sleep(EVALUATION_PAUSE.max(writer.min_write_interval())).await;
+        let now = writer.shared.now();
+        for (service, row) in writer.shared.demand_rows.merged_reading(now) {
+            writer.write(service, row).await;
         }
     }
 }
 
-struct Teller {
+struct RowWriter {
     shared: Arc<Shared>,
     /// The rows in the table, with their versions.
-    told: BTreeMap<ServiceId, (ReadingRow, u64)>,
+    written: BTreeMap<ServiceId, (ReadingRow, u64)>,
     /// Size of the last written row in bytes.
-    bytes_told: usize,
+    last_row_bytes: usize,
 }
 
-impl Teller {
+impl RowWriter {
     /// Minimum time between two writes that keeps the read rate of all gateways within
-    /// `BYTES_PER_SECOND`.
-    fn read_time(&self) -> Duration {
-        let bytes = self.bytes_told * self.shared.possible_gateways();
-        Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND)
+    /// `MAX_READ_BYTES_PER_SECOND`.
+    fn min_write_interval(&self) -> Duration {
+        let bytes = self.last_row_bytes * self.shared.possible_gateways();
+        Duration::from_secs_f64(bytes as f64 / MAX_READ_BYTES_PER_SECOND)
     }
 
     /// Reads the rows that a previous placement holder has written.
-    async fn read(&mut self) {
+    async fn read_rows(&mut self) {
         let table = self.shared.platform.tables().reading;
         let snapshot = loop {
             match self.shared.table().read(table).await {
@@ -93,36 +94,36 @@
             }
         };
         let rows = snapshot.rows.into_iter();
-        self.told = rows
+        self.written = rows
             .map(|row| {
-                let told = serde_json::from_str(&row.value).unwrap_or_default();
-                (ServiceId::from(row_name(&row.key)), (told, row.modified))
+                let written = serde_json::from_str(&row.value).unwrap_or_default();
+                (ServiceId::from(row_name(&row.key)), (written, row.modified))
             })
             .collect();
     }
 
-    async fn tell(&mut self, service: ServiceId, mut row: ReadingRow) {
-        let (told, version) = self.told.get(&service).cloned().unwrap_or_default();
-        row.keep(&told, |id: &BackEndId| {
+    async fn write(&mut self, service: ServiceId, mut row: ReadingRow) {
+        let (written, version) = self.written.get(&service).cloned().unwrap_or_default();
+        row.keep(&written, |id: &BackEndId| {
             let is_there = |directory: &Directory| directory.back_end(id).is_some();
             self.shared.directory(is_there)
         });
-        if !row.is_news(&told) {
+        if !row.is_news(&written) {
             return;
         }
         let Ok(value) = serde_json::to_string(&row) else {
             return;
         };
-        self.bytes_told = value.len();
+        self.last_row_bytes = value.len();
         let key = format!("{}/{service}", self.shared.platform.tables().reading);
         let transaction = Transaction::put_if(key, version, value);
         match self.shared.table().transact(transaction).await {
             TableAnswer::Committed { revision, .. } => {
-                self.told.insert(service, (row, revision));
+                self.written.insert(service, (row, revision));
             }
             // The row was written by another placement holder, or by an earlier write of this
             // gateway that took effect late.
-            TableAnswer::Conflict { .. } | TableAnswer::Unknown => self.read().await,
+            TableAnswer::Conflict { .. } | TableAnswer::Unknown => self.read_rows().await,
             // The refused write had no effect; the next iteration writes the values known by then.
             TableAnswer::Refused { .. } => {}
         }
--- a/crates/gateway/src/refused_rows.rs
+++ b/crates/gateway/src/refused_rows.rs
@@ -15,36 +15,36 @@
 
 /// Maximum number of refused rows that are remembered to avoid repeated log lines. Each takes a few
 /// hundred bytes.
-const MOST_KNOWN: usize = 256;
+const MAX_REMEMBERED: usize = 256;
 
 /// Rows that could not be parsed.
 pub struct RefusedRows {
-    count: IntCounterVec,
+    counter: IntCounterVec,
     /// Version at which each row was last refused.
-    known: Mutex<HashMap<String, u64>>,
+    versions: Mutex<HashMap<String, u64>>,
 }
 
 impl RefusedRows {
     /// Creates an empty record. `count` counts refused rows by reason.
-    pub fn new(count: IntCounterVec) -> Self {
+    pub fn new(counter: IntCounterVec) -> Self {
         RefusedRows {
-            count,
-            known: Mutex::default(),
+            counter,
+            versions: Mutex::default(),
         }
     }
 
     /// Records that the row at this version could not be parsed.
-    pub fn refuse(&self, key: &str, version: u64, fault: RowFault, error: &dyn std::fmt::Display) {
-        let mut known = self.known.lock();
-        if known.get(key) == Some(&version) {
+    pub fn record(&self, key: &str, version: u64, fault: RowFault, error: &dyn std::fmt::Display) {
+        let mut versions = self.versions.lock();
+        if versions.get(key) == Some(&version) {
             return;
         }
-        if known.len() < MOST_KNOWN || known.contains_key(key) {
-            known.insert(key.to_owned(), version);
+        if versions.len() < MAX_REMEMBERED || versions.contains_key(key) {
+            versions.insert(key.to_owned(), version);
         }
-        drop(known);
+        drop(versions);
         let reason = fault.as_str();
-        self.count.with_label_values(&[reason]).inc();
+        self.counter.with_label_values(&[reason]).inc();
         let error = error.to_string();
         let fields = format_args!("row={key:?} version={version} reason={reason} error={error:?}");
         lines::write(Rank::Decision, "row_refused", fields);
@@ -52,9 +52,9 @@
 
     /// Records that the row was removed or can be parsed again.
     pub fn forget(&self, key: &str) {
-        let mut known = self.known.lock();
-        if !known.is_empty() {
-            known.remove(key);
+        let mut versions = self.versions.lock();
+        if !versions.is_empty() {
+            versions.remove(key);
         }
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -81,7 +81,7 @@
     metrics: Option<&MetricsAddress>,
 ) -> Option<SocketAddr> {
     let (first, last) = ports?;
-    let taken = metrics.map(|metrics| metrics.listen.port());
-    let port = (first..=last).find(|port| Some(*port) != taken)?;
+    let metrics_port = metrics.map(|metrics| metrics.listen.port());
+    let port = (first..=last).find(|port| Some(*port) != metrics_port)?;
     Some(SocketAddr::new(address, port))
 }
--- a/crates/gateway/src/shared/answers.rs
+++ b/crates/gateway/src/shared/answers.rs
@@ -15,14 +15,14 @@
 
 impl Shared {
     /// Records the metadata of a back end's response to a request that was sent at `sent`.
-    pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, marks: &AnswerMarks) {
-        self.note_statement(back_end, sent.elapsed(), marks.limit);
-        if marks.is_leaving {
+    pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, metadata: &AnswerMarks) {
+        self.record_stated_limit(back_end, sent.elapsed(), metadata.limit);
+        if metadata.is_leaving {
             self.note_departure(back_end);
         }
-        match marks.pause {
+        match metadata.pause {
             RequestedPause::None => {}
-            RequestedPause::For(pause) => self.note_pause(back_end, pause),
+            RequestedPause::For(pause) => self.record_pause(back_end, pause),
             RequestedPause::Unreadable => {
                 let fields = format_args!("back_end={} reason=no_number", back_end.id);
                 lines::write(Rank::Decision, "back_end_pause_refused", fields);
@@ -30,12 +30,12 @@
         }
     }
 
-    fn note_pause(&self, back_end: &BackEnd, pause: Duration) {
+    fn record_pause(&self, back_end: &BackEnd, pause: Duration) {
         self.count_statement("pause");
         let mut paused = self.paused.lock();
-        let is_news = paused.note(self.now(), back_end.life_hash, pause);
+        let is_new = paused.note(self.now(), back_end.life_hash, pause);
         drop(paused);
-        if is_news {
+        if is_new {
             let fields = format_args!(
                 "back_end={} pause_ms={} in_flight={}",
                 back_end.id,
@@ -77,27 +77,27 @@
     /// unavailable.
     pub fn note_departure(&self, back_end: &BackEnd) {
         self.count_statement("leaving");
-        if self.directory(|directory| directory.has_departed(back_end)) {
+        if self.directory(|directory| directory.is_draining(back_end)) {
             return;
         }
         let now = self.now();
-        let mut is_news = false;
-        self.change_directory(|directory| is_news = directory.note_departure(now, back_end));
-        if is_news {
-            log_departure(back_end, "answer");
+        let mut is_new = false;
+        self.change_directory(|directory| is_new = directory.note_departure(now, back_end));
+        if is_new {
+            log_drain(back_end, "answer");
         }
     }
 
     /// Merges drain notices from another gateway.
-    pub fn note_told_departures(&self, told: &[ToldDeparture]) {
-        if self.directory(|directory| directory.knows_departures(told)) {
+    pub fn note_told_departures(&self, notices: &[ToldDeparture]) {
+        if self.directory(|directory| directory.knows_departures(notices)) {
             return;
         }
         let now = self.now();
-        let mut leaving = Vec::new();
-        self.change_directory(|directory| leaving = directory.take_departures(now, told));
-        let leaving = leaving.iter();
-        leaving.for_each(|back_end| log_departure(back_end, "gateway"));
+        let mut draining = Vec::new();
+        self.change_directory(|directory| draining = directory.take_departures(now, notices));
+        let draining = draining.iter();
+        draining.for_each(|back_end| log_drain(back_end, "gateway"));
     }
 
     /// Drain notices for other gateways.
@@ -112,7 +112,7 @@
     }
 }
 
-fn log_departure(back_end: &BackEnd, source: &str) {
+fn log_drain(back_end: &BackEnd, source: &str) {
     let fields = format_args!(
         "back_end={} source={source} in_flight={}",
         back_end.id,
--- a/crates/gateway/src/shared/back_end_limits.rs
+++ b/crates/gateway/src/shared/back_end_limits.rs
@@ -19,40 +19,46 @@
 impl Shared {
     /// Records the limit that a back end states in its response to a request. `since_sent` is the
     /// time since the request was sent.
-    pub fn note_statement(&self, back_end: &BackEnd, since_sent: Duration, statement: Statement) {
+    pub fn record_stated_limit(
+        &self,
+        back_end: &BackEnd,
+        since_sent: Duration,
+        statement: Statement,
+    ) {
         if matches!(statement, Statement::Unreadable) {
             let fields = format_args!("back_end={} reason=no_number", back_end.id);
             lines::write(Rank::Decision, "back_end_limit_refused", fields);
         }
         let now = self.now();
         let sent = now - since_sent.as_millis() as u64;
-        let life = back_end.life_hash;
-        let note =
-            |known: &mut gorsebank_fleet::StatedLimits| known.note(now, sent, life, statement);
-        if self.back_end_limits.known(note) {
-            self.note_limits_changed(&[life], "answer");
+        let incarnation = back_end.life_hash;
+        let record = |known: &mut gorsebank_fleet::StatedLimits| {
+            known.note(now, sent, incarnation, statement)
+        };
+        if self.back_end_limits.known(record) {
+            self.handle_limit_changes(&[incarnation], "answer");
         }
     }
 
     /// Merges limit notices from another gateway.
-    pub fn note_told_limits(&self, told: &[ToldLimit]) {
-        if told.is_empty() {
+    pub fn note_told_limits(&self, notices: &[ToldLimit]) {
+        if notices.is_empty() {
             return;
         }
         let now = self.now();
-        let changed = self.back_end_limits.known(|known| known.take(now, told));
+        let changed = self.back_end_limits.known(|known| known.take(now, notices));
         if !changed.is_empty() {
-            self.note_limits_changed(&changed, "gateway");
+            self.handle_limit_changes(&changed, "gateway");
         }
     }
 
     /// Stated limits of back ends, in requests per second.
     pub fn engine_limits(&self) -> BTreeMap<BackEndId, f64> {
-        let lives = self.back_end_limits.known(|known| known.in_force());
-        if lives.is_empty() {
+        let rates = self.back_end_limits.known(|known| known.in_force());
+        if rates.is_empty() {
             return BTreeMap::new();
         }
-        self.directory(|directory: &Directory| directory.by_name(&lives))
+        self.directory(|directory: &Directory| directory.rates_by_name(&rates))
     }
 
     /// Limit notices for other gateways.
@@ -64,18 +70,20 @@
     /// Requests a send time at a back end from the placement holder. `rate` is the stated limit in
     /// requests per second, `most_wait` the longest time that the request can wait.
     pub async fn reserve(&self, back_end: &BackEnd, rate: f64, most_wait: Duration) -> Reservation {
-        let ask = Ask::for_send_time(SendTimeAsk {
+        let request = Ask::for_send_time(SendTimeAsk {
             back_end: back_end.life_hash,
             rate,
             most_wait: most_wait.as_millis() as u64,
         });
-        let answer = match self.holder() {
-            Some(holder) => self.put(holder, ask).await,
+        let response = match self.holder() {
+            Some(holder) => self.send_quota_request(holder, request).await,
             None => None,
         };
-        let life = back_end.life_hash;
-        let reservation = self.back_end_limits.take_answer(self.now(), life, answer);
-        let result = match (reservation, answer) {
+        let incarnation = back_end.life_hash;
+        let reservation = self
+            .back_end_limits
+            .take_answer(self.now(), incarnation, response);
+        let result = match (reservation, response) {
             (Reservation::In(_), _) => "reserved",
             (Reservation::NoRoom, Some(_)) => "no_room",
             (Reservation::NoRoom, None) => "no_answer",
@@ -85,27 +93,28 @@
         reservation
     }
 
-    fn note_limits_changed(&self, changed: &[BackEndHash], source: &str) {
-        for life in changed {
-            let back_end = self.directory(|directory: &Directory| directory.by_life(*life));
+    fn handle_limit_changes(&self, changed: &[BackEndHash], source: &str) {
+        for incarnation in changed {
+            let back_end =
+                self.directory(|directory: &Directory| directory.by_incarnation(*incarnation));
             let fields = format_args!(
                 "back_end={} requests_per_second={} source={source} running={}",
                 back_end.as_ref().map_or("-", |it| it.id.as_str()),
-                OrNone(self.back_end_limits.rate(*life)),
+                RateOrDash(self.back_end_limits.rate(*incarnation)),
                 back_end.as_ref().map_or(0, |it| it.in_flight()),
             );
             lines::write(Rank::Decision, "back_end_limit", fields);
         }
         let count = self.back_end_limits.known(|known| known.count());
         self.metrics.stated_limits.set(count as i64);
-        self.changed();
+        self.notify_changed();
     }
 }
 
 /// Formats a rate for a log line, or a dash if there is none.
-struct OrNone(Option<f64>);
+struct RateOrDash(Option<f64>);
 
-impl fmt::Display for OrNone {
+impl fmt::Display for RateOrDash {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(rate) => write!(formatter, "{rate}"),
--- a/crates/gateway/src/shared/gateways.rs
+++ b/crates/gateway/src/shared/gateways.rs
@@ -12,7 +12,7 @@
 use crate::feed::Member;
 
 /// Assumed minimum number of gateways, as long as the table of members has not been read.
-pub(super) const LEAST_GATEWAYS: usize = 4;
+pub(super) const MIN_GATEWAYS: usize = 4;
 /// Assumed number of gateways that have joined but are not known yet.
 const UNKNOWN_GATEWAYS: usize = 2;
 
@@ -20,25 +20,25 @@
 #[derive(Debug, Default)]
 pub(super) struct Members {
     count: usize,
-    answering: Vec<Member>,
+    serving: Vec<Member>,
     /// The placement holder, according to the lease row.
     holder: Option<NodeId>,
 }
 
 impl Shared {
-    /// Sets the known gateways: `count` gateways have a row, and those in `answering` serve other
+    /// Sets the known gateways: `count` gateways have a row, and those in `serving` serve other
     /// gateways.
-    pub fn set_members(&self, count: usize, answering: Vec<Member>) {
+    pub fn set_members(&self, count: usize, serving: Vec<Member>) {
         self.gateways
-            .store(count.max(LEAST_GATEWAYS), Ordering::Relaxed);
+            .store(count.max(MIN_GATEWAYS), Ordering::Relaxed);
         let own = self.settings.node.as_str();
-        let others = answering.iter().filter(|member| member.name != own);
+        let others = serving.iter().filter(|member| member.name != own);
         self.table
             .set_peers(others.map(|member| member.address).collect());
         let mut members = self.members.lock();
         members.count = count;
-        members.answering = answering;
-        self.place_in_feed(&members);
+        members.serving = serving;
+        self.update_feed_position(&members);
     }
 
     /// Sets the placement holder according to the lease row.
@@ -47,19 +47,19 @@
         if members.holder == holder {
             return;
         }
-        let counts = holder.as_ref() == Some(&self.settings.node);
+        let is_holder = holder.as_ref() == Some(&self.settings.node);
         members.holder = holder;
-        self.place_in_feed(&members);
+        self.update_feed_position(&members);
         drop(members);
-        self.back_end_limits.set_counting(self.now(), counts);
+        self.back_end_limits.set_counting(self.now(), is_holder);
         self.new_holder.notify_one();
     }
 
-    fn place_in_feed(&self, members: &Members) {
+    fn update_feed_position(&self, members: &Members) {
         let own = self.settings.node.as_str();
         let holder = members.holder.as_ref().map(NodeId::as_str);
         let mut parents = self.feed.parents.lock();
-        if parents.set_members(own, &members.answering, holder) {
+        if parents.set_members(own, &members.serving, holder) {
             self.feed.moved.notify_one();
         }
     }
@@ -77,17 +77,13 @@
     /// Address at which a gateway serves other gateways; `None` if unknown.
     pub fn address_of(&self, name: &NodeId) -> Option<SocketAddr> {
         let members = self.members.lock();
-        let mut answering = members.answering.iter();
-        Some(
-            answering
-                .find(|member| member.name == name.as_str())?
-                .address,
-        )
+        let mut serving = members.serving.iter();
+        Some(serving.find(|member| member.name == name.as_str())?.address)
     }
 
     /// The gateways that serve other gateways.
     pub fn answering_members(&self) -> Vec<Member> {
-        self.members.lock().answering.clone()
+        self.members.lock().serving.clone()
     }
 
     /// Number of gateways that have a row.
@@ -100,22 +96,22 @@
     pub fn can_place(&self) -> bool {
         let own = self.settings.node.as_str();
         let members = self.members.lock();
-        let answers = members.answering.iter().any(|member| member.name == own);
-        answers || members.answering.is_empty()
+        let is_serving = members.serving.iter().any(|member| member.name == own);
+        is_serving || members.serving.is_empty()
     }
 
     /// CPU capacity of the strongest known machine, in thousandths of a core.
     pub fn strongest_millicores(&self) -> u32 {
         let members = self.members.lock();
-        let millicores = members.answering.iter().map(|member| member.row.millicores);
+        let millicores = members.serving.iter().map(|member| member.row.millicores);
         millicores.max().unwrap_or(0)
     }
 
     /// CPU capacity of a gateway's machine, in thousandths of a core.
     pub fn millicores_of(&self, name: &NodeId) -> Option<u32> {
         let members = self.members.lock();
-        let mut answering = members.answering.iter();
-        let member = answering.find(|member| member.name == name.as_str())?;
+        let mut serving = members.serving.iter();
+        let member = serving.find(|member| member.name == name.as_str())?;
         Some(member.row.millicores)
     }
 
--- a/crates/gateway/src/shared/limits.rs
+++ b/crates/gateway/src/shared/limits.rs
@@ -11,26 +11,30 @@
 
 /// Timeout of a quota request: a hundred times the usual response time, and less than the time
 /// limits of callers of application services.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(150);
 
 impl Shared {
     /// Charges a request to its tenant at a gateway that manages the tenant's quota, or reports
     /// that the quota is exceeded. Retries until `until` while no such gateway responds.
-    pub async fn count(&self, want: &Want, until: Instant) -> Obtained {
-        let put = |holder, ask| self.put(holder, ask);
-        self.allowance.obtain(want, until, put).await
+    pub async fn charge(&self, demand: &Want, until: Instant) -> Obtained {
+        let send = |holder, ask| self.send_quota_request(holder, ask);
+        self.allowance.obtain(demand, until, send).await
     }
 
     /// Sends a quota request to another gateway, or handles it locally if `holder` is this gateway.
     /// Returns `None` if there is no response in time.
-    pub(super) async fn put(&self, holder: NodeId, ask: Ask) -> Option<AskAnswer> {
+    pub(super) async fn send_quota_request(
+        &self,
+        holder: NodeId,
+        quota_request: Ask,
+    ) -> Option<AskAnswer> {
         if holder == self.settings.node {
-            return Some(self.answer_ask(&ask));
+            return Some(self.answer_ask(&quota_request));
         }
         let address = self.address_of(&holder)?;
-        let request = RelayRequest::Allowance(ask);
+        let request = RelayRequest::Allowance(quota_request);
         let client = self.table().client();
-        match client.call(address, &request, ANSWER_TIMEOUT).await? {
+        match client.call(address, &request, RESPONSE_TIMEOUT).await? {
             RelayAnswer::Allowance(answer) => Some(answer),
             _ => None,
         }
@@ -39,16 +43,18 @@
     /// Whether another gateway currently responds to quota requests. The probe charges nothing, and
     /// every gateway responds to it whether or not it holds a quota shard.
     pub async fn answers_for_limits(&self, gateway: &NodeId) -> bool {
-        self.put(gateway.clone(), Ask::nothing()).await.is_some()
+        self.send_quota_request(gateway.clone(), Ask::nothing())
+            .await
+            .is_some()
     }
 
     /// Handles a request for quota or for a send time at this gateway.
-    pub fn answer_ask(&self, ask: &Ask) -> AskAnswer {
-        if let Some(send_time) = &ask.send_time {
+    pub fn answer_ask(&self, request: &Ask) -> AskAnswer {
+        if let Some(send_time) = &request.send_time {
             return self.back_end_limits.answer(self.now(), send_time);
         }
         let configuration = self.configuration();
         self.allowance
-            .answer(self.now(), ask, configuration.as_deref())
+            .answer(self.now(), request, configuration.as_deref())
     }
 }
--- a/crates/gateway/src/shared/mod.rs
+++ b/crates/gateway/src/shared/mod.rs
@@ -1,7 +1,7 @@
 //! State that all requests of a process share. The modules below implement the operations on this
 //! state, grouped by topic.
 //!
-//! Lock order: `configuration`, `directory`, `demand`, `retries`, `reading`, `members`,
+//! Lock order: `configuration`, `directory`, `demand`, `retries`, `prefill_models`, `members`,
 //! `feed.parents`, then any other lock. No lock is held across an await point.
 
 mod answers;
@@ -28,8 +28,8 @@
 use parking_lot::{Mutex, RwLock};
 use tokio::sync::{Notify, watch};
 
-use gateways::{LEAST_GATEWAYS, Members};
-pub use shares::RetryGrant;
+use gateways::{MIN_GATEWAYS, Members};
+pub use shares::RetryPermit;
 
 use crate::allowance::Allowance;
 use crate::back_end_limits::BackEndLimits;
@@ -37,7 +37,7 @@
 use crate::demand_rows::DemandRows;
 use crate::directory::Directory;
 use crate::feed::Feed;
-use crate::lateness::Lateness;
+use crate::lateness::TimerLag;
 use crate::metrics::Metrics;
 use crate::orders;
 use crate::patience::Patience;
@@ -49,7 +49,7 @@
 
 /// A caller whose time limit is shorter than usual by more than this margin is considered to be
 /// retrying.
-const RETURNING_MARGIN: Duration = Duration::from_millis(100);
+const RETRY_MARGIN: Duration = Duration::from_millis(100);
 
 /// State of a process.
 pub struct Shared {
@@ -85,10 +85,10 @@
     directory: RwLock<Directory>,
     retries: Mutex<HashMap<ServiceId, RetryWindow>>,
     split: Mutex<Split>,
-    reading: Mutex<HashMap<ServiceId, ReadingModel>>,
+    prefill_models: Mutex<HashMap<ServiceId, ReadingModel>>,
     usual_deadlines: Mutex<HashMap<Arc<str>, Duration>>,
     changes: watch::Sender<u64>,
-    awakenings: watch::Sender<u64>,
+    resumes: watch::Sender<u64>,
     gateways: AtomicUsize,
     stopping: AtomicBool,
     stopping_since: AtomicU64,
@@ -96,7 +96,7 @@
     members: Mutex<Members>,
     placing: AtomicBool,
     store_records: Mutex<Option<StoreRecords>>,
-    lateness: Arc<Lateness>,
+    timer_lag: Arc<TimerLag>,
     table: Arc<RelayedTable>,
 }
 
@@ -109,7 +109,7 @@
     ) -> eyre::Result<Self> {
         let mut directory = Directory::new(settings.zone.clone());
         if settings.bounds.spares_cold {
-            directory.spare_cold();
+            directory.prefer_warm();
         }
         let metrics = Metrics::new()?;
         let calls = metrics.table_calls.clone();
@@ -133,18 +133,18 @@
             directory: RwLock::new(directory),
             retries: Mutex::default(),
             split: Mutex::new(Split::new(rand::random())),
-            reading: Mutex::default(),
+            prefill_models: Mutex::default(),
             usual_deadlines: Mutex::default(),
             changes: watch::channel(0).0,
-            awakenings: watch::channel(0).0,
-            gateways: AtomicUsize::new(LEAST_GATEWAYS),
+            resumes: watch::channel(0).0,
+            gateways: AtomicUsize::new(MIN_GATEWAYS),
             stopping: AtomicBool::new(false),
             stopping_since: AtomicU64::new(0),
             back_ends_read: AtomicBool::new(false),
             members: Mutex::default(),
             placing: AtomicBool::new(false),
             store_records: Mutex::new(None),
-            lateness: Arc::default(),
+            timer_lag: Arc::default(),
             table,
             metrics,
         })
@@ -182,12 +182,12 @@
 
     /// Mean delay with which timers of this process fire.
     pub fn lateness(&self) -> Duration {
-        self.lateness.average()
+        self.timer_lag.average()
     }
 
     /// The timer lag, for the task that measures it.
-    pub fn lateness_measured(&self) -> Arc<Lateness> {
-        self.lateness.clone()
+    pub fn timer_lag_average(&self) -> Arc<TimerLag> {
+        self.timer_lag.clone()
     }
 
     /// Monotonic time since the start of the process, including suspensions of the machine.
@@ -197,14 +197,14 @@
 
     /// Notifies all waiting tasks that the machine has resumed from a suspension, so that they
     /// check the time again.
-    pub fn wake(&self) {
-        self.awakenings.send_modify(|count| *count += 1);
-        self.changed();
+    pub fn notify_resumed(&self) {
+        self.resumes.send_modify(|count| *count += 1);
+        self.notify_changed();
     }
 
     /// Notifies its receiver when the machine has resumed from a suspension.
     pub fn awakenings(&self) -> watch::Receiver<u64> {
-        self.awakenings.subscribe()
+        self.resumes.subscribe()
     }
 
     /// The active configuration.
@@ -242,7 +242,7 @@
         }
         *current = Some(Arc::new(configuration));
         drop(current);
-        self.changed();
+        self.notify_changed();
         true
     }
 
@@ -254,7 +254,7 @@
             RowFault::Shape
         };
         let rows = &self.refused_rows;
-        rows.refuse(&row.key, row.modified, fault, error);
+        rows.record(&row.key, row.modified, fault, error);
     }
 
     /// Reads the directory.
@@ -265,11 +265,11 @@
     /// Changes the directory and notifies waiting requests.
     pub fn change_directory(&self, change: impl FnOnce(&mut Directory)) {
         change(&mut self.directory.write());
-        self.changed();
+        self.notify_changed();
     }
 
     /// Records that the table of back ends has been read.
-    pub fn note_back_ends_read(&self) {
+    pub fn record_back_ends_read(&self) {
         self.back_ends_read.store(true, Ordering::Release);
     }
 
@@ -301,15 +301,15 @@
         let mut usual = self.usual_deadlines.lock();
         let usual = usual.entry(route.clone()).or_insert(deadline);
         *usual = deadline.max(*usual);
-        deadline + RETURNING_MARGIN < *usual
+        deadline + RETRY_MARGIN < *usual
     }
 
     /// Runs `act` on the prefill model of a service.
     pub fn reading<T>(&self, service: &ServiceId, act: impl FnOnce(&mut ReadingModel) -> T) -> T {
-        let mut reading = self.reading.lock();
-        match reading.get_mut(service) {
+        let mut prefill_models = self.prefill_models.lock();
+        match prefill_models.get_mut(service) {
             Some(known) => act(known),
-            None => act(reading.entry(service.clone()).or_default()),
+            None => act(prefill_models.entry(service.clone()).or_default()),
         }
     }
 
@@ -317,8 +317,8 @@
     pub fn reading_samples(&self) -> BTreeMap<ServiceId, ReadingSample> {
         let now = self.now();
         let gateways = self.possible_gateways();
-        let mut reading = self.reading.lock();
-        let samples = reading
+        let mut prefill_models = self.prefill_models.lock();
+        let samples = prefill_models
             .iter_mut()
             .map(|(service, known)| (service.clone(), known.sample(now, gateways)));
         samples.filter(|(_, sample)| !sample.is_empty()).collect()
@@ -328,7 +328,7 @@
     pub fn stop(&self) {
         self.stopping_since.store(self.now().0, Ordering::Relaxed);
         self.stopping.store(true, Ordering::Relaxed);
-        self.changed();
+        self.notify_changed();
     }
 
     /// Whether a planned stop has started.
@@ -350,7 +350,7 @@
             && self.configuration.read().is_some()
     }
 
-    fn changed(&self) {
+    fn notify_changed(&self) {
         self.changes.send_modify(|count| *count += 1);
     }
 }
--- a/crates/gateway/src/shared/running.rs
+++ b/crates/gateway/src/shared/running.rs
@@ -26,10 +26,10 @@
     }
 
     /// Records the counts of another root.
-    pub fn note_root(&self, told: RootCounts) {
+    pub fn note_root(&self, root_counts: RootCounts) {
         let now = self.now();
         let mut running = self.feed.running.lock();
-        running.note_root(now, told.from.as_str(), told.counts);
+        running.note_root(now, root_counts.from.as_str(), root_counts.counts);
     }
 
     /// Requests of all gateways in flight at each back end; `None` if unknown.
--- a/crates/gateway/src/shared/shares.rs
+++ b/crates/gateway/src/shared/shares.rs
@@ -10,17 +10,17 @@
 use super::Shared;
 
 /// Number of tables that must be followed closely, because rules depend on their freshness.
-const TABLES_FOLLOWED: f64 = 3.0;
+const CLOSELY_FOLLOWED_TABLES: f64 = 3.0;
 /// Fraction of the table's call rate that is available for following tables. The rest is reserved
 /// for the placement holder.
-const TABLE_PART: f64 = 0.5;
+const FOLLOWING_FRACTION: f64 = 0.5;
 /// Divisor for idle connections: all gateways together keep at most one part in `IDLE_DIVISOR` of a
 /// back end's connections idle.
 const IDLE_DIVISOR: usize = 2;
 
 /// Result of a request for a retry.
 #[derive(Clone, Copy, Debug)]
-pub struct RetryGrant {
+pub struct RetryPermit {
     /// Whether the retry may be sent.
     pub granted: bool,
     /// Retries left in this gateway's share.
@@ -36,9 +36,9 @@
     }
 
     /// Takes one retry from this gateway's share, if any is left.
-    pub fn withdraw_retry(&self, service: &ServiceId) -> RetryGrant {
+    pub fn withdraw_retry(&self, service: &ServiceId) -> RetryPermit {
         let gateways = self.possible_gateways();
-        self.with_window(service, |window, now| RetryGrant {
+        self.with_window(service, |window, now| RetryPermit {
             granted: window.withdraw(now, gateways),
             left: window.left(now, gateways),
             gateways,
@@ -62,8 +62,8 @@
     /// Minimum time between two reads of one table by this gateway. It keeps all gateways together
     /// within the table's call rate even if all of them follow the table directly.
     pub fn read_pause(&self) -> Duration {
-        let calls = TABLES_FOLLOWED * self.possible_gateways() as f64;
-        Duration::from_secs_f64(calls / (self.settings.bounds.table_reads * TABLE_PART))
+        let calls = CLOSELY_FOLLOWED_TABLES * self.possible_gateways() as f64;
+        Duration::from_secs_f64(calls / (self.settings.bounds.table_reads * FOLLOWING_FRACTION))
     }
 
     /// Maximum number of idle connections that this gateway may keep to one back end of a service.
@@ -72,7 +72,7 @@
         let known = configuration
             .as_ref()
             .and_then(|known| known.service(service));
-        let most = known.map_or(0, |service| service.max_connections as usize);
-        (most / (IDLE_DIVISOR * self.possible_gateways())).max(1)
+        let max_connections = known.map_or(0, |service| service.max_connections as usize);
+        (max_connections / (IDLE_DIVISOR * self.possible_gateways())).max(1)
     }
 }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -14,13 +14,13 @@
 
 /// Interval of the check: a tenth of the 1 s within which users expect an expired request to be
 /// abandoned. It costs ten wake-ups per second.
-const PAUSE: Duration = Duration::from_millis(100);
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Checks for suspensions until the future is dropped.
-pub async fn watch(shared: Arc<Shared>) {
+pub async fn detect_suspensions(shared: Arc<Shared>) {
     let mut known = shared.clock.suspended();
     loop {
-        sleep(PAUSE).await;
+        sleep(CHECK_INTERVAL).await;
         if !shared.clock.was_suspended_since(known) {
             continue;
         }
@@ -29,6 +29,6 @@
         lines::write(Rank::Decision, "suspended", fields);
         known = total;
         shared.table().client().clear();
-        shared.wake();
+        shared.notify_resumed();
     }
 }
--- a/crates/gateway/src/sweeper.rs
+++ b/crates/gateway/src/sweeper.rs
@@ -20,30 +20,30 @@
 use crate::watch::row_name;
 
 /// Interval of the sweeps.
-const PAUSE: Duration = Duration::from_secs(15);
+const SWEEP_PAUSE: Duration = Duration::from_secs(15);
 /// Maximum age of the cached rows. The sweep skips a table with older rows.
-const FRESH: Duration = Duration::from_secs(4);
+const MAX_ROW_AGE: Duration = Duration::from_secs(4);
 /// Lifetime in milliseconds of a row about an engine that discovery no longer lists. No earlier
 /// order can be carried out after that time.
-const ENGINE_ROW_LIFETIME: u64 = 30_000;
+const ENGINE_ROW_LIFETIME_MS: u64 = 30_000;
 /// Time in milliseconds after which a gateway that has sent no demand is considered gone. Gateways
 /// send their demand to the placement holder every few seconds.
-const GATEWAY_ROW_LIFETIME: u64 = 120_000;
+const GATEWAY_ROW_LIFETIME_MS: u64 = 120_000;
 
 /// Sweeps periodically until the future is dropped.
 pub async fn run(shared: Arc<Shared>) {
-    let mut engines = Sweep::new(ENGINE_ROW_LIFETIME);
-    let mut gateways = Sweep::new(GATEWAY_ROW_LIFETIME);
+    let mut engines = Sweep::new(ENGINE_ROW_LIFETIME_MS);
+    let mut gateways = Sweep::new(GATEWAY_ROW_LIFETIME_MS);
     let tables = shared.platform.tables();
     loop {
-        sleep(PAUSE).await;
+        sleep(SWEEP_PAUSE).await;
         let is_gone = |key: &str| {
             let id = BackEndId::from(row_name(key));
             shared.directory(|directory: &Directory| directory.back_end(&id).is_none())
         };
         sweep(&shared, tables.placed, &mut engines, is_gone).await;
-        let heard = shared.demand_rows.heard(shared.now());
-        let is_silent = |key: &str| !heard.iter().any(|name| name.as_str() == row_name(key));
+        let senders = shared.demand_rows.heard(shared.now());
+        let is_silent = |key: &str| !senders.iter().any(|name| name.as_str() == row_name(key));
         sweep(&shared, tables.members, &mut gateways, is_silent).await;
     }
 }
@@ -52,14 +52,14 @@
     shared: &Shared,
     table: &'static str,
     sweep: &mut Sweep,
-    may_go: impl Fn(&str) -> bool,
+    is_gone: impl Fn(&str) -> bool,
 ) {
-    let Some(rows) = shared.feed.rows(table, FRESH) else {
+    let Some(rows) = shared.feed.rows(table, MAX_ROW_AGE) else {
         return;
     };
     let rows: Vec<(String, u64)> = rows
         .into_iter()
-        .filter(|row| may_go(&row.key))
+        .filter(|row| is_gone(&row.key))
         .map(|row| (row.key, row.modified))
         .collect();
     for (key, version) in sweep.observe(shared.now(), &rows) {
--- a/crates/gateway/src/tenancy.rs
+++ b/crates/gateway/src/tenancy.rs
@@ -25,15 +25,15 @@
 /// Retry delay for callers that are rejected because this gateway cannot verify whether their API
 /// key is still valid. A gateway without contact to the table or to its parent has found another
 /// parent by then.
-const UNPROVED_PAUSE: Duration = Duration::from_millis(500);
+const UNVERIFIED_KEY_PAUSE: Duration = Duration::from_millis(500);
 /// Fraction of the route's objective for which a request waits for a gateway that can charge it.
 /// After a planned stop another gateway takes over the quota shard within 0.6 s.
-const COUNT_WAIT_PART: f64 = 0.25;
+const CHARGE_WAIT_FRACTION: f64 = 0.25;
 /// Retry delay for callers whose request no gateway could charge.
-const UNCOUNTED_PAUSE: Duration = Duration::from_millis(400);
+const UNCHARGED_PAUSE: Duration = Duration::from_millis(400);
 /// Minimum retry delay for callers that exceed their tenant's quota. Capacity that becomes free
 /// sooner goes to requests that arrive in the meantime.
-const LEAST_LIMIT_PAUSE: Duration = Duration::from_millis(100);
+const MIN_QUOTA_PAUSE: Duration = Duration::from_millis(100);
 
 /// Why a request was rejected before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -55,13 +55,13 @@
 }
 
 impl SentAway {
-    fn by_key(denial: Denial) -> Self {
+    fn from_denial(denial: Denial) -> Self {
         let reason = denial.reason();
         match denial {
             Denial::NoKey | Denial::UnknownKey => SentAway::Unauthorized { reason },
             Denial::OldKnowledge => SentAway::Unknown {
                 reason,
-                retry_after: UNPROVED_PAUSE,
+                retry_after: UNVERIFIED_KEY_PAUSE,
             },
         }
     }
@@ -105,7 +105,7 @@
             configuration.version,
         );
         lines::write(Rank::Decision, "access_denied", fields);
-        SentAway::by_key(denial)
+        SentAway::from_denial(denial)
     })
 }
 
@@ -123,28 +123,28 @@
     let Some((tenant, limit)) = limited else {
         return Ok(None);
     };
-    let want = Want {
+    let demand = Want {
         tenant: tenant.id.clone(),
         cost: limit.cost(caller.ticket.tokens),
     };
-    let until = caller.arrived + caller.route.objective.mul_f64(COUNT_WAIT_PART);
-    let (reason, retry_after) = match shared.count(&want, until).await {
+    let until = caller.arrived + caller.route.objective.mul_f64(CHARGE_WAIT_FRACTION);
+    let (reason, retry_after) = match shared.charge(&demand, until).await {
         Obtained::Granted(grant) => return Ok(Some(grant)),
-        Obtained::Beyond(wait) => (BEYOND_LIMIT, wait.max(LEAST_LIMIT_PAUSE)),
-        Obtained::Unknown => (LIMIT_NOT_KNOWN, UNCOUNTED_PAUSE),
+        Obtained::Beyond(wait) => (BEYOND_LIMIT, wait.max(MIN_QUOTA_PAUSE)),
+        Obtained::Unknown => (LIMIT_NOT_KNOWN, UNCHARGED_PAUSE),
     };
     let fields = format_args!(
         "request={} reason={reason} tenant={} cost={} rate={} burst={} waited_ms={} retry_after_ms={}",
         caller.ticket.id,
-        want.tenant,
-        want.cost,
+        demand.tenant,
+        demand.cost,
         limit.rate,
         limit.burst,
         caller.arrived.elapsed().as_millis(),
         retry_after.as_millis(),
     );
     lines::write(Rank::Decision, "limited", fields);
-    shared.metrics.tenant_ended(want.tenant.as_str(), reason);
+    shared.metrics.tenant_ended(demand.tenant.as_str(), reason);
     Err(if reason == BEYOND_LIMIT {
         SentAway::BeyondLimit { retry_after }
     } else {
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -21,7 +21,7 @@
 use crate::lines::{self, Rank};
 use crate::members::MemberFollower;
 use crate::ports::{ContentError, RowChange};
-use crate::reading_rows::ReadingFollower;
+use crate::reading_rows::PrefillSpeedFollower;
 use crate::shared::Shared;
 
 /// Pause after a table call without a response, before the next call of a lease or of the placement
@@ -35,11 +35,11 @@
     /// Applies the change of one row.
     fn change(&mut self, change: RowChange);
     /// Called after a batch of changes has been applied.
-    fn settle(&mut self) {}
+    fn finish_batch(&mut self) {}
 }
 
 /// Interval at which rows of back ends whose clock may have been set back are retried.
-const SETTLE_PAUSE: Duration = Duration::from_secs(1);
+const DEFERRED_ROW_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Starts the tasks that follow the tables until the process ends.
 pub fn start(shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
@@ -51,67 +51,74 @@
         ),
         (tables.back_ends, Box::new(BackEndFollower(shared.clone()))),
         (tables.placed, Box::new(PlacedFollower(shared.clone()))),
-        (tables.reading, Box::new(ReadingFollower(shared.clone()))),
+        (
+            tables.reading,
+            Box::new(PrefillSpeedFollower(shared.clone())),
+        ),
         (
             tables.members,
             Box::new(MemberFollower::new(shared.clone())),
         ),
         (tables.lease, Box::new(LeaseFollower(shared.clone()))),
     ];
-    let mut tasks = vec![tokio::spawn(settle_back_ends(shared.clone()))];
-    for rhythm in rhythms(&tables) {
+    let mut tasks = vec![tokio::spawn(retry_deferred_rows(shared.clone()))];
+    for sync_policy in rhythms(&tables) {
         let index = followers
             .iter()
-            .position(|(table, _)| *table == rhythm.table);
+            .position(|(table, _)| *table == sync_policy.table);
         let Some(index) = index else { continue };
         let (_, follower) = followers.swap_remove(index);
-        tasks.push(tokio::spawn(follow_fed(shared.clone(), rhythm, follower)));
+        tasks.push(tokio::spawn(follow_table(
+            shared.clone(),
+            sync_policy,
+            follower,
+        )));
     }
     tasks
 }
 
 /// Applies rows of back ends that seemed outdated, once nothing has contradicted them for long
 /// enough.
-async fn settle_back_ends(shared: Arc<Shared>) {
+async fn retry_deferred_rows(shared: Arc<Shared>) {
     loop {
-        sleep(SETTLE_PAUSE).await;
+        sleep(DEFERRED_ROW_RETRY_INTERVAL).await;
         if shared.directory(Directory::is_unsettled) {
             let now = shared.now();
             shared.change_directory(|directory| directory.settle(now));
-            shared.note_gone_back_ends();
+            shared.evaluate_removed_back_ends();
         }
     }
 }
 
 /// Passes updates of one table to its follower, until the future is dropped.
-async fn follow_fed(shared: Arc<Shared>, rhythm: Rhythm, mut follower: Box<dyn Follower>) {
-    let mut newest = shared.feed.subscribe(rhythm.table);
+async fn follow_table(shared: Arc<Shared>, sync_policy: Rhythm, mut follower: Box<dyn Follower>) {
+    let mut updates = shared.feed.subscribe(sync_policy.table);
     let mut position = TablePosition {
-        table: rhythm.table.to_owned(),
+        table: sync_policy.table.to_owned(),
         version: None,
-        newest_only: rhythm.newest_only,
+        newest_only: sync_policy.newest_only,
         most_age: u64::MAX,
         page: None,
     };
     loop {
-        newest.mark_unchanged();
+        updates.mark_unchanged();
         match shared.feed.told(&mut position) {
             Some(Told::Rows(rows)) => follower.replace(rows),
             Some(Told::Changes(changes)) => {
                 changes
                     .into_iter()
                     .for_each(|change| follower.change(change));
-                follower.settle();
+                follower.finish_batch();
             }
             None => {
-                if newest.changed().await.is_err() {
+                if updates.changed().await.is_err() {
                     return;
                 }
                 continue;
             }
         }
         if let Some(version) = position.version {
-            shared.feed.note_taken(rhythm.table, version);
+            shared.feed.note_taken(sync_policy.table, version);
         }
     }
 }
@@ -130,7 +137,7 @@
         }
     }
 
-    fn take(&mut self, row: &TableRow) {
+    fn apply(&mut self, row: &TableRow) {
         if let Some(zone) = self.shared.platform.evacuated_zone(&row.key) {
             self.evacuated.insert(zone);
             return;
@@ -140,8 +147,8 @@
             Ok(Some(configuration)) => {
                 let version = configuration.version;
                 let routes = configuration.route_count();
-                let news = self.shared.set_configuration(configuration);
-                let fields = format_args!("version={version} routes={routes} news={news}");
+                let was_activated = self.shared.set_configuration(configuration);
+                let fields = format_args!("version={version} routes={routes} news={was_activated}");
                 lines::write(Rank::Decision, "configuration", fields);
             }
             Err(error) => {
@@ -151,12 +158,12 @@
         }
     }
 
-    fn tell_evacuated(&self) {
+    fn apply_evacuated(&self) {
         let zones = self.evacuated.clone();
-        let mut is_news = false;
+        let mut has_changed = false;
         self.shared
-            .change_directory(|directory| is_news = directory.set_evacuated(zones));
-        if is_news {
+            .change_directory(|directory| has_changed = directory.set_evacuated(zones));
+        if has_changed {
             let fields = format_args!("zones={:?}", self.evacuated);
             lines::write(Rank::Decision, "evacuated", fields);
         }
@@ -166,13 +173,13 @@
 impl Follower for ConfigurationFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
         self.evacuated.clear();
-        rows.iter().for_each(|row| self.take(row));
-        self.tell_evacuated();
+        rows.iter().for_each(|row| self.apply(row));
+        self.apply_evacuated();
     }
 
     fn change(&mut self, change: RowChange) {
         match change {
-            RowChange::Put(row) => self.take(&row),
+            RowChange::Put(row) => self.apply(&row),
             RowChange::Removed { key, .. } => {
                 let zone = self.shared.platform.evacuated_zone(&key);
                 zone.inspect(|zone| _ = self.evacuated.remove(zone));
@@ -180,8 +187,8 @@
         }
     }
 
-    fn settle(&mut self) {
-        self.tell_evacuated();
+    fn finish_batch(&mut self) {
+        self.apply_evacuated();
     }
 }
 
@@ -191,16 +198,18 @@
     /// Gateways that follow the table directly log every change. All other gateways log only back
     /// ends that are new or draining, because hundreds of gateways would otherwise log the same
     /// changes.
-    fn is_worth_a_line(&self, report: &BackEndReport) -> bool {
-        let is_news = |directory: &Directory| !directory.is_active(&report.id);
-        report.draining || self.0.feed.parents.lock().follows_table() || self.0.directory(is_news)
+    fn should_log(&self, report: &BackEndReport) -> bool {
+        let is_inactive = |directory: &Directory| !directory.is_active(&report.id);
+        report.draining
+            || self.0.feed.parents.lock().follows_table()
+            || self.0.directory(is_inactive)
     }
 }
 
 impl BackEndFollower {
-    fn refuse(&self, row: &TableRow, error: &ContentError) {
+    fn record_refused_row(&self, row: &TableRow, error: &ContentError) {
         let rows = &self.0.refused_rows;
-        rows.refuse(&row.key, row.modified, error.fault, error);
+        rows.record(&row.key, row.modified, error.fault, error);
     }
 }
 
@@ -219,7 +228,7 @@
             match self.0.platform.back_end(&row) {
                 Ok(report) => reports.push((report, row.modified)),
                 Err(error) => {
-                    self.refuse(&row, &error);
+                    self.record_refused_row(&row, &error);
                     unreadable.push((BackEndId::from(row_name(&row.key)), row.modified));
                 }
             }
@@ -228,10 +237,10 @@
         let now = self.0.now();
         // This precedes the change of the directory, so that requests to these back ends wait for
         // the quarantine.
-        self.0.note_back_ends_read();
+        self.0.record_back_ends_read();
         self.0
             .change_directory(|directory| directory.replace(now, reports, unreadable));
-        self.0.note_gone_back_ends();
+        self.0.evaluate_removed_back_ends();
         lines::write(
             Rank::Decision,
             "back_ends_read",
@@ -244,7 +253,7 @@
             RowChange::Put(row) => match self.0.platform.back_end(&row) {
                 Ok(report) => {
                     self.0.refused_rows.forget(&row.key);
-                    if self.is_worth_a_line(&report) {
+                    if self.should_log(&report) {
                         log_back_end(&report, row.modified);
                     }
                     let now = self.0.now();
@@ -252,10 +261,10 @@
                         directory.put(now, report, row.modified);
                     });
                     // The row may belong to a new incarnation.
-                    self.0.note_gone_back_ends();
+                    self.0.evaluate_removed_back_ends();
                 }
                 Err(error) => {
-                    self.refuse(&row, &error);
+                    self.record_refused_row(&row, &error);
                     let id = BackEndId::from(row_name(&row.key));
                     self.0.change_directory(|directory| {
                         directory.put_unreadable(&id, row.modified);
@@ -268,7 +277,7 @@
                 let fields = format_args!("back_end={id} version={version}");
                 lines::write(Rank::Decision, "back_end_gone", fields);
                 self.0.change_directory(|directory| directory.remove(&id));
-                self.0.note_gone_back_ends();
+                self.0.evaluate_removed_back_ends();
             }
         }
     }
@@ -277,7 +286,7 @@
 struct PlacedFollower(Arc<Shared>);
 
 impl PlacedFollower {
-    fn take(&self, row: &TableRow) {
+    fn apply(&self, row: &TableRow) {
         let id = BackEndId::from(row_name(&row.key));
         match serde_json::from_str::<PlacedRow>(&row.value) {
             Ok(placed) => {
@@ -293,12 +302,12 @@
 
 impl Follower for PlacedFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
-        rows.iter().for_each(|row| self.take(row));
+        rows.iter().for_each(|row| self.apply(row));
     }
 
     fn change(&mut self, change: RowChange) {
         match change {
-            RowChange::Put(row) => self.take(&row),
+            RowChange::Put(row) => self.apply(&row),
             RowChange::Removed { key, .. } => {
                 let id = BackEndId::from(row_name(&key));
                 self.0
@@ -313,14 +322,14 @@
 struct LeaseFollower(Arc<Shared>);
 
 impl LeaseFollower {
-    fn take(&self, row: &TableRow) {
+    fn apply(&self, row: &TableRow) {
         match serde_json::from_str::<LeaseRow>(&row.value) {
-            Ok(lease) => self.take_lease(row_name(&row.key), lease),
+            Ok(lease) => self.apply_lease(row_name(&row.key), lease),
             Err(error) => self.0.refuse_row(row, &error),
         }
     }
 
-    fn take_lease(&self, name: &str, lease: LeaseRow) {
+    fn apply_lease(&self, name: &str, lease: LeaseRow) {
         if name == holder::LEASE_NAME {
             self.0.set_holder(lease.holder);
         } else if let Some(seat) = seat_of_lease(name) {
@@ -331,12 +340,12 @@
 
 impl Follower for LeaseFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
-        rows.iter().for_each(|row| self.take(row));
+        rows.iter().for_each(|row| self.apply(row));
     }
 
     fn change(&mut self, change: RowChange) {
         if let RowChange::Put(row) = change {
-            self.take(&row);
+            self.apply(&row);
         }
     }
 }
