--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -486,7 +486,7 @@
         }
     }
 
-    /// Back ends of a service that may receive new requests. The row of a crashed process remains
+    /// Back ends of a service that may receive new requests. The row of an exited process remains
     /// for several heartbeats, in which requests to its back end would only lose time.
     fn active(&self, now: Timestamp, service: &ServiceId) -> impl Iterator<Item = &Entry> {
         let service_back_ends = self.services.get(service).into_iter().flatten();
--- a/crates/gateway/src/lease_seat.rs
+++ b/crates/gateway/src/lease_seat.rs
@@ -62,7 +62,8 @@
     }
 
     /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
-    /// lease. The row that `extra_put` returns is written in the same transaction as the lease's row.
+    /// lease. The row that `extra_put` returns is written in the same transaction as the lease's
+    /// row.
     pub async fn step(&mut self, offer: Offer, extra_put: impl FnOnce() -> Option<Put>) -> Stepped {
         let now = self.shared.now();
         let step = self.keeper.lock().step(now, offer);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! - [`server`] manages connections of callers.
 //! - [`request`] reads one request and finds its route.
-//! - `tenancy` identifies the tenant and charges the request to the tenant's quota in [`allowance`].
+//! - `tenancy` identifies the tenant and charges the request to its quota in [`allowance`].
 //! - [`admission`] queues the request until a back end is available, or refuses it.
 //! - [`candidates`] chooses between several back ends.
 //! - [`back_end_limits`] enforces the limits that overloaded back ends state.
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -1,4 +1,4 @@
-//! Log of events: one `key=value` line for each decision, on standard output.
+//! Log of events: one line of `key=value` fields for each event, on standard output.
 //!
 //! Input: events, through [`write`]. Output: log lines, which a dedicated thread writes so that a
 //! blocked reader cannot delay the gateway. If the queue is full, log lines are dropped and
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -58,7 +58,7 @@
 /// gateway writes its own row first and then reads the table again.
 pub async fn join(shared: &Arc<Shared>) {
     if shared.settings.starts_with_all {
-        return join_with_fleet(shared).await;
+        return join_at_initial_start(shared).await;
     }
     if read_members(shared).await > 0 {
         return;
@@ -71,7 +71,7 @@
 
 /// Writes this gateway's row and waits until most of the gateways that start together have written
 /// theirs.
-async fn join_with_fleet(shared: &Arc<Shared>) {
+async fn join_at_initial_start(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
     write_own_row(shared).await;
     let mut joining = Joining::default();
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -90,7 +90,7 @@
         let measuring = lateness::measure(shared.timer_lag_average());
         self.tasks.push(tokio::spawn(measuring));
         self.tasks
-            .push(tokio::spawn(run_shared_tasks(shared.clone())));
+            .push(tokio::spawn(run_member_tasks(shared.clone())));
         let initial_read_timeout = quarantine_row::enforce_initial_read_timeout(shared.clone());
         self.tasks.push(tokio::spawn(initial_read_timeout));
         self.tasks.push(serve_readiness(shared, readiness_listener));
@@ -156,9 +156,9 @@
     Ok(())
 }
 
-/// Registers this gateway as a member, then runs the tasks that gateways share, until the future is
-/// dropped.
-async fn run_shared_tasks(shared: Arc<Shared>) {
+/// Registers this gateway as a member, then runs the tasks in which gateways cooperate, until the
+/// future is dropped.
+async fn run_member_tasks(shared: Arc<Shared>) {
     members::join(&shared).await;
     let tasks = [
         tokio::spawn(feed::filler::run(shared.clone())),
--- a/crates/gateway/src/reading_rows.rs
+++ b/crates/gateway/src/reading_rows.rs
@@ -2,7 +2,7 @@
 //! gateways into rows that every gateway follows.
 //!
 //! Input: demand of gateways. Output: one row for each service, written when its content has
-//! changed. A lost or outdated row only makes some waits longer; no request is lost.
+//! changed. A lost or outdated row only causes longer gaps in some streams; no response is lost.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/gateway/src/refused_rows.rs
+++ b/crates/gateway/src/refused_rows.rs
@@ -25,7 +25,7 @@
 }
 
 impl RefusedRows {
-    /// Creates an empty record. `count` counts refused rows by reason.
+    /// Creates an empty record. `counter` counts refused rows by reason.
     pub fn new(counter: IntCounterVec) -> Self {
         RefusedRows {
             counter,
--- a/crates/gateway/src/shared/answers.rs
+++ b/crates/gateway/src/shared/answers.rs
@@ -52,8 +52,8 @@
         self.paused.lock().left(now, back_end.life_hash)
     }
 
-    /// Returns the back ends that have requested no pause. If all of them are paused, returns the
-    /// time until the first pause ends as an error.
+    /// Returns the back ends that have requested no pause. If all of them are paused, the error is
+    /// the time until the first pause ends.
     pub fn without_paused(
         &self,
         now: Timestamp,
--- a/crates/gateway/src/shared/back_end_limits.rs
+++ b/crates/gateway/src/shared/back_end_limits.rs
@@ -68,12 +68,12 @@
     }
 
     /// Requests a send time at a back end from the placement holder. `rate` is the stated limit in
-    /// requests per second, `most_wait` the longest time that the request can wait.
-    pub async fn reserve(&self, back_end: &BackEnd, rate: f64, most_wait: Duration) -> Reservation {
+    /// requests per second, `max_wait` the longest time that the request can wait.
+    pub async fn reserve(&self, back_end: &BackEnd, rate: f64, max_wait: Duration) -> Reservation {
         let request = Ask::for_send_time(SendTimeAsk {
             back_end: back_end.life_hash,
             rate,
-            most_wait: most_wait.as_millis() as u64,
+            most_wait: max_wait.as_millis() as u64,
         });
         let response = match self.holder() {
             Some(holder) => self.send_quota_request(holder, request).await,
--- a/crates/gateway/src/shared/limits.rs
+++ b/crates/gateway/src/shared/limits.rs
@@ -17,7 +17,7 @@
     /// Charges a request to its tenant at a gateway that manages the tenant's quota, or reports
     /// that the quota is exceeded. Retries until `until` while no such gateway responds.
     pub async fn charge(&self, demand: &Want, until: Instant) -> Obtained {
-        let send = |holder, ask| self.send_quota_request(holder, ask);
+        let send = |holder, quota_request| self.send_quota_request(holder, quota_request);
         self.allowance.obtain(demand, until, send).await
     }
 
