--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -21,7 +21,7 @@
 
 /// Initial pause after a failed table call; doubled after each further failure.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// Upper limit of that pause.
+/// Maximum pause after a failed table call.
 const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 /// Mean pause before a gateway that found no other gateway at its start reads the table again.
 /// Gateways that started at the same time have written their rows by then.
@@ -30,7 +30,8 @@
 /// start together. All rows written at the same moment are readable by then, unless there are
 /// hundreds.
 const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
-/// Mean pause between two such reads. The table accepts about 300 rows in this time.
+/// Mean pause between two reads of the table of members by a gateway that starts together with all
+/// others. The table accepts about 300 rows in this time.
 const READ_PAUSE: Duration = Duration::from_millis(1_500);
 /// Gateways that start together spread their writes over this time, because the table serializes
 /// the writes to one partition.
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -26,7 +26,7 @@
 
 /// Initial pause after a failed table call; doubled after each further failure.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
-/// Upper limit of that pause.
+/// Maximum pause after a failed table call.
 const MAX_PAUSE: Duration = Duration::from_millis(1_600);
 /// Minimum pause between two writes. Crashes occur in groups, and all gateways already know the
 /// outcomes that are not written yet.
--- a/crates/gateway/src/shared/mod.rs
+++ b/crates/gateway/src/shared/mod.rs
@@ -292,8 +292,8 @@
         self.split.lock().next(services).cloned()
     }
 
-    /// Whether the caller's time limit is shorter than the usual one of the route, which shows that
-    /// the caller is retrying.
+    /// Whether the caller's time limit is shorter than the usual one of the route, which indicates
+    /// that the caller is retrying.
     pub fn is_returning(&self, route: &Arc<str>, deadline: Option<Duration>) -> bool {
         let Some(deadline) = deadline else {
             return false;
--- a/crates/gateway/src/shared/outcomes.rs
+++ b/crates/gateway/src/shared/outcomes.rs
@@ -77,8 +77,9 @@
         }
     }
 
-    /// Evaluates removed rows of back ends. Such a removal shows that the back end had crashed when
-    /// requests lost their connection to it, even if no other gateway has reported the crash.
+    /// Evaluates removed rows of back ends that announced no drain. Such a removal shows that the
+    /// back end crashed under the requests that lost their connection to it shortly before, even if
+    /// no other gateway has reported the crash.
     pub fn evaluate_removed_back_ends(&self) {
         let mut removed = Vec::new();
         self.change_directory(|directory| removed = directory.take_gone_unsaid());
--- a/crates/gateway/src/shared/running.rs
+++ b/crates/gateway/src/shared/running.rs
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Records the sums that this gateway has computed as a root.
+    /// Computes the sums over all gateways at a root, and records them.
     pub fn sum_up_running(&self) {
         let own = self.own_running();
         let now = self.now();
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -24,7 +24,7 @@
 use crate::reading_rows::PrefillSpeedFollower;
 use crate::shared::Shared;
 
-/// Pause after a table call without a response, before the next call of a lease or of the placement
+/// Pause after a failed table call in the tasks that maintain leases and in those of the placement
 /// holder.
 pub const LOST_PAUSE: Duration = Duration::from_millis(200);
 
