--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -1,6 +1,6 @@
 //! Log of events: one line of `key=value` fields for each event, on standard output.
 //!
-//! Input: events, through [`write`]. Output: log lines, which a dedicated thread writes so that a
+//! Input: events, through [`write()`]. Output: log lines, which a dedicated thread writes so that a
 //! blocked reader cannot delay the gateway. If the queue is full, log lines are dropped and
 //! counted. Each priority has its own limit of lines per second, so that lines of served requests
 //! cannot displace lines of failures.
