--- a/crates/gateway/src/lease_seat.rs
+++ b/crates/gateway/src/lease_seat.rs
@@ -1,7 +1,7 @@
-//! One lease as a row of the table, and this process's part in keeping it.
+//! A lease that is stored as one row of the table, and this process's participation in it.
 //!
-//! In: the row, as other gateways or the table tell it. Out: writes of that row under the
-//! condition that nobody else wrote it meanwhile.
+//! Input: the row, as received from other gateways or from the table. Output: conditional writes of
+//! the row, which succeed only if no other gateway has written it meanwhile.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,34 +14,36 @@
 use crate::shared::Shared;
 use crate::watch::LOST_PAUSE;
 
-/// What was confirmed longer ago than this shows nothing of a lease.
-const FRESH: Duration = Duration::from_millis(1_600);
+/// Maximum age of the cached lease row. An older row does not show who holds the lease.
+const MAX_ROW_AGE: Duration = Duration::from_millis(1_600);
 
-/// What came of a step.
+/// Result of [`LeaseSeat::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stepped {
-    /// Nothing is due for so long.
+    /// Nothing is due for this time.
     Idle(Duration),
-    /// The row was read, or somebody else has written it.
+    /// The row was read, or another gateway has written it.
     Done,
-    /// The row was written, and what belongs beside it.
+    /// The row was written, together with the row that `extra_put` returned.
     Written,
 }
 
-/// A lease, and whether this process holds it.
+/// A lease and its state at this process.
 pub struct LeaseSeat {
-    /// What this process knows of the lease.
+    /// State of the lease, as known to this process.
     pub keeper: Arc<Mutex<LeaseKeeper>>,
     shared: Arc<Shared>,
     key: String,
-    /// A write was refused or had no answer: the row is read from the table itself.
-    in_doubt: bool,
-    /// The newest version of the row that this process saw or wrote.
-    newest: u64,
+    /// The last write was refused or had no response. The next read bypasses the cache and reads
+    /// the table.
+    must_read_table: bool,
+    /// The newest version of the row that this process has read or written.
+    newest_version: u64,
 }
 
 impl LeaseSeat {
-    /// The lease of this name, of this length; nothing is known of it yet.
+    /// Creates the state for the lease `name` of the duration `lease`; nothing is known of the
+    /// lease yet.
     pub fn new(shared: &Arc<Shared>, name: &str, lease: Duration) -> Self {
         let node = shared.settings.node.clone();
         let keeper = LeaseKeeper::new(node, rand::random(), lease.as_millis() as u64);
@@ -49,68 +51,70 @@
             keeper: Arc::new(Mutex::new(keeper)),
             key: format!("{}/{name}", shared.platform.tables().lease),
             shared: shared.clone(),
-            in_doubt: false,
-            newest: 0,
+            must_read_table: false,
+            newest_version: 0,
         }
     }
 
-    /// Whether this process took the lease and has not lost it since.
+    /// Whether this process has acquired the lease and has not lost it since.
     pub fn is_held(&self) -> bool {
         self.keeper.lock().is_holder()
     }
 
-    /// Does what is due, on a gateway that offers itself so. `beside` is written with the
-    /// lease's row.
-    pub async fn step(&mut self, offer: Offer, beside: impl FnOnce() -> Option<Put>) -> Stepped {
+    /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
+    /// lease. The row that `extra_put` returns is written in the same transaction as the lease's
+    /// row.
+    pub async fn step(&mut self, offer: Offer, extra_put: impl FnOnce() -> Option<Put>) -> Stepped {
         let now = self.shared.now();
         let step = self.keeper.lock().step(now, offer);
         match step {
             LeaseStep::Wait(until) => Stepped::Idle(Duration::from_millis(until.since(now))),
             LeaseStep::Read => self.read().await,
-            LeaseStep::Write { expected, row } => self.write(expected, row, beside()).await,
+            LeaseStep::Write { expected, row } => self.write(expected, row, extra_put()).await,
         }
     }
 
     async fn read(&mut self) -> Stepped {
         let shared = &self.shared;
         let table = shared.platform.tables().lease;
-        let rows = if self.in_doubt {
+        let rows = if self.must_read_table {
             let read = shared.table().read(table).await;
             read.ok().map(|snapshot| snapshot.rows)
         } else {
-            shared.feed.rows(table, FRESH)
+            shared.feed.rows(table, MAX_ROW_AGE)
         };
         let Some(rows) = rows else {
             return Stepped::Idle(LOST_PAUSE);
         };
-        self.in_doubt = false;
+        self.must_read_table = false;
         let row = rows.iter().find(|row| row.key == self.key);
         let version = row.map_or(0, |row| row.modified);
-        if version < self.newest {
-            // What other gateways tell is behind what this one knows.
+        if version < self.newest_version {
+            // The row in the cache is older than the version that this process has already read or
+            // written.
             return Stepped::Idle(LOST_PAUSE);
         }
-        self.newest = version;
+        self.newest_version = version;
         let lease = row.and_then(|row| serde_json::from_str::<LeaseRow>(&row.value).ok());
         let now = shared.now();
         self.keeper.lock().read(now, version, lease.as_ref());
         Stepped::Done
     }
 
-    async fn write(&mut self, expected: u64, row: LeaseRow, beside: Option<Put>) -> Stepped {
+    async fn write(&mut self, expected: u64, row: LeaseRow, extra_put: Option<Put>) -> Stepped {
         let shared = &self.shared;
         let Ok(value) = serde_json::to_string(&row) else {
             return Stepped::Idle(LOST_PAUSE);
         };
         let mut transaction = Transaction::put_if(self.key.clone(), expected, value);
-        transaction.puts.extend(beside);
+        transaction.puts.extend(extra_put);
         let answer = shared.table().transact(transaction).await;
-        self.in_doubt = !matches!(answer, TableAnswer::Committed { .. });
+        self.must_read_table = !matches!(answer, TableAnswer::Committed { .. });
         let now = self.shared.now();
         let mut keeper = self.keeper.lock();
         match answer {
             TableAnswer::Committed { revision, .. } => {
-                self.newest = revision;
+                self.newest_version = revision;
                 keeper.written(now, revision, &row);
                 Stepped::Written
             }
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/lines.rs
@@ -1,9 +1,9 @@
-//! Log lines: one `key=value` line for each decision, to standard output.
+//! Log of events: one line of `key=value` fields for each event, on standard output.
 //!
-//! In: typed lines through [`write`]. Out: lines that a thread of its own
-//! writes, so that a reader that has stopped reading holds nothing up: when
-//! the queue is full, lines are dropped and counted. Volume is bounded by a
-//! budget a second for each rank, and lines of failures have a budget apart.
+//! Input: events, through [`write()`]. Output: log lines, which a dedicated thread writes so that a
+//! blocked reader cannot delay the gateway. If the queue is full, log lines are dropped and
+//! counted. Each priority has its own limit of lines per second, so that lines of served requests
+//! cannot displace lines of failures.
 
 use std::fmt;
 use std::io::Write;
@@ -18,45 +18,46 @@
 use logforth::{Diagnostic, Error};
 use parking_lot::Mutex;
 
-/// Lines that wait for the writer at most.
-const QUEUE_LINES: usize = 2_048;
-/// Lines about served requests a second.
-const SERVED_PER_SECOND: u32 = 40;
-/// Lines about anything else a second.
-const OTHER_PER_SECOND: u32 = 300;
+/// Maximum number of log lines in the queue.
+const MAX_QUEUED_LINES: usize = 2_048;
+/// Maximum number of log lines about served requests per second.
+const MAX_SERVED_PER_SECOND: u32 = 40;
+/// Maximum number of all other log lines per second.
+const MAX_OTHER_PER_SECOND: u32 = 300;
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
-static LIMITS: OnceLock<Mutex<LineBudget>> = OnceLock::new();
+static DROPPED: AtomicU64 = AtomicU64::new(0);
+static BUDGET: OnceLock<Mutex<LineBudget>> = OnceLock::new();
 
-/// How much a line matters when there are too many.
+/// Priority of a log line when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rank {
-    /// A request that was served.
+    /// A served request.
     Served,
-    /// A failed request, or a change of what the process believes.
+    /// A failed request, or a change of state.
     Decision,
 }
 
 #[derive(Debug)]
 struct LineBudget {
-    second: Instant,
+    window_start: Instant,
     served: u32,
     other: u32,
 }
 
-/// Starts the log to standard output. `node` stands in every line.
+/// Starts the log on standard output. Every log line contains `node`.
 pub fn start(node: &str) -> eyre::Result<()> {
     start_to(node, std::io::stdout())
 }
 
-/// Starts the log to `output`, which may block for ever.
+/// Starts the log on `output`, whose writes may block indefinitely.
 pub fn start_to(node: &str, mut output: impl Write + Send + 'static) -> eyre::Result<()> {
-    let (sender, receiver) = sync_channel::<String>(QUEUE_LINES);
+    let (sender, receiver) = sync_channel::<String>(MAX_QUEUED_LINES);
     std::thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || {
             for line in receiver {
-                // A reader that went away is no reason to stop serving.
+                // A write error is ignored, because the gateway must keep serving requests without
+                // a reader of its log.
                 let _ = output.write_all(line.as_bytes());
             }
         })?;
@@ -67,46 +68,46 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.append(append))
         .try_apply()
-        .map_err(|error| eyre!("logs cannot be started: {error}"))
+        .map_err(|error| eyre!("cannot start the log: {error}"))
 }
 
-/// Writes a line: what it is about, then its fields.
-pub fn write(rank: Rank, event: &str, fields: fmt::Arguments<'_>) {
-    if !allowed(rank) {
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+/// Writes a log line that consists of the event's name and its fields.
+pub fn write(priority: Rank, event: &str, fields: fmt::Arguments<'_>) {
+    if !is_within_budget(priority) {
+        DROPPED.fetch_add(1, Ordering::Relaxed);
         return;
     }
-    match rank {
+    match priority {
         Rank::Served => log::info!("event={event} {fields}"),
         Rank::Decision => log::warn!("event={event} {fields}"),
     }
 }
 
-/// Lines that were left out since the start.
+/// Number of log lines dropped since the start.
 pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+    DROPPED.load(Ordering::Relaxed)
 }
 
-fn allowed(rank: Rank) -> bool {
-    let budget = LIMITS.get_or_init(|| {
+fn is_within_budget(priority: Rank) -> bool {
+    let budget = BUDGET.get_or_init(|| {
         Mutex::new(LineBudget {
-            second: Instant::now(),
+            window_start: Instant::now(),
             served: 0,
             other: 0,
         })
     });
     let mut budget = budget.lock();
-    if budget.second.elapsed().as_secs() >= 1 {
-        budget.second = Instant::now();
+    if budget.window_start.elapsed().as_secs() >= 1 {
+        budget.window_start = Instant::now();
         budget.served = 0;
         budget.other = 0;
     }
-    let (count, most) = match rank {
-        Rank::Served => (&mut budget.served, SERVED_PER_SECOND),
-        Rank::Decision => (&mut budget.other, OTHER_PER_SECOND),
+    let (count, max) = match priority {
+        Rank::Served => (&mut budget.served, MAX_SERVED_PER_SECOND),
+        Rank::Decision => (&mut budget.other, MAX_OTHER_PER_SECOND),
     };
     *count += 1;
-    *count <= most
+    *count <= max
 }
 
 #[derive(Debug)]
@@ -129,7 +130,7 @@
             record.payload()
         );
         if let Err(TrySendError::Full(_)) = self.sender.try_send(line) {
-            LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            DROPPED.fetch_add(1, Ordering::Relaxed);
         }
         Ok(())
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,8 +1,8 @@
-//! Which gateways there are: each has one row, written at its start and removed at a
+//! Membership of gateways: each gateway has one row, which it writes at its start and removes at a
 //! planned stop.
 //!
-//! In: rows of the table of members. Out: this gateway's own row, the number of gateways
-//! (budgets are shared by it), and whom to ask for changes of the tables.
+//! Input: rows of the table of members. Output: this gateway's own row, the number of gateways, by
+//! which shared budgets are divided, and the gateways that may be parents in the feed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -19,25 +19,27 @@
 use crate::shared::Shared;
 use crate::watch::{Follower, row_name};
 
-/// Pause after a call of the table without an answer, doubled each time ...
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// ... up to this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
-/// A gateway that finds no other one at its start looks again after this time: those that
-/// start together have written their rows by then.
-const SECOND_LOOK: Duration = Duration::from_millis(500);
-/// Time from a gateway's own row to its first look at those that start with it: rows of all that
-/// wrote in the same moment stand by then, unless there are hundreds.
-const FIRST_LOOK: Duration = Duration::from_millis(700);
-/// Pause between two such looks: in this time the table takes some 300 rows.
-const LOOK_PAUSE: Duration = Duration::from_millis(1_500);
-/// Those that start together write within this time: the table makes the writes of one
-/// part one after the other.
+/// Initial pause after a failed table call; doubled after each further failure.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum pause after a failed table call.
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
+/// Mean pause before a gateway that found no other gateway at its start reads the table again.
+/// Gateways that started at the same time have written their rows by then.
+const SECOND_READ_DELAY: Duration = Duration::from_millis(500);
+/// Mean time from the write of a gateway's own row to its first read of the rows of gateways that
+/// start together. All rows written at the same moment are readable by then, unless there are
+/// hundreds.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(700);
+/// Mean pause between two reads of the table of members by a gateway that starts together with all
+/// others. The table accepts about 300 rows in this time.
+const READ_PAUSE: Duration = Duration::from_millis(1_500);
+/// Gateways that start together spread their writes over this time, because the table serializes
+/// the writes to one partition.
 const WRITE_SPREAD: Duration = Duration::from_millis(1_500);
-/// How often a gateway looks whether its row still stands.
-const KEEP_PAUSE: Duration = Duration::from_secs(3);
+/// Mean interval at which a gateway checks whether its row still exists.
+const CHECK_INTERVAL: Duration = Duration::from_secs(3);
 
-/// The row of this gateway.
+/// Contents of this gateway's row.
 fn own_row(shared: &Shared) -> MemberRow {
     MemberRow {
         address: shared.settings.relay,
@@ -52,48 +54,49 @@
     format!("{table}/{}", shared.settings.node)
 }
 
-/// Learns which other gateways there are, before anything else asks the table: most
-/// gateways then ask others, and not the table. One that finds none makes itself known
-/// first, and looks again.
+/// Reads which other gateways exist, before any other task uses the table, so that most gateways
+/// request updates from other gateways and not from the table. A gateway that finds no other
+/// gateway writes its own row first and then reads the table again.
 pub async fn join(shared: &Arc<Shared>) {
     if shared.settings.starts_with_all {
-        return join_with_all(shared).await;
+        return join_at_initial_start(shared).await;
     }
-    if look(shared).await > 0 {
+    if read_members(shared).await > 0 {
         return;
     }
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
-    write_own(shared).await;
-    sleep(SECOND_LOOK.mul_f64(0.5 + rand::random::<f64>())).await;
-    look(shared).await;
+    write_own_row(shared).await;
+    sleep(SECOND_READ_DELAY.mul_f64(0.5 + rand::random::<f64>())).await;
+    read_members(shared).await;
 }
 
-/// Makes this gateway known, and waits until most of those that start with it are.
-async fn join_with_all(shared: &Arc<Shared>) {
+/// Writes this gateway's row and waits until most of the gateways that start together have written
+/// theirs.
+async fn join_at_initial_start(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
-    write_own(shared).await;
+    write_own_row(shared).await;
     let mut joining = Joining::default();
-    let mut pause = FIRST_LOOK;
+    let mut pause = FIRST_READ_DELAY;
     loop {
         sleep(pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
-        if joining.has_settled(look(shared).await) {
+        if joining.has_settled(read_members(shared).await) {
             return;
         }
-        pause = LOOK_PAUSE;
+        pause = READ_PAUSE;
     }
 }
 
-/// Reads the table of members. Out: how many other gateways there are.
-async fn look(shared: &Arc<Shared>) -> usize {
+/// Reads the table of members and returns the number of other gateways.
+async fn read_members(shared: &Arc<Shared>) -> usize {
     let table = shared.platform.tables().members;
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     loop {
-        let asked = shared.clock.since_boot();
+        let requested_at = shared.clock.since_boot();
         match shared.table().read(table).await {
             Ok(snapshot) => {
                 shared
                     .feed
-                    .cache(|cache| cache.replace(table, &snapshot, asked));
+                    .cache(|cache| cache.replace(table, &snapshot, requested_at));
                 let mut follower = MemberFollower::new(shared.clone());
                 let key = own_key(shared);
                 let others = snapshot.rows.iter().filter(|row| row.key != key).count();
@@ -105,14 +108,14 @@
     }
 }
 
-/// Writes this gateway's row, unless it stands.
-async fn write_own(shared: &Arc<Shared>) {
+/// Writes this gateway's row unless it exists.
+async fn write_own_row(shared: &Arc<Shared>) {
     let row = own_row(shared);
     let Ok(value) = serde_json::to_string(&row) else {
         return;
     };
     let key = own_key(shared);
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     let known = known_row(shared);
     if known.as_ref().is_some_and(|known| known.value == value) {
         return;
@@ -134,7 +137,7 @@
     }
 }
 
-/// This gateway's row as it was last seen.
+/// This gateway's row, as last received.
 fn known_row(shared: &Shared) -> Option<TableRow> {
     let table = shared.platform.tables().members;
     let rows = shared.feed.rows(table, Duration::MAX)?;
@@ -142,18 +145,18 @@
     rows.into_iter().find(|row| row.key == key)
 }
 
-/// Writes this gateway's row when it is not there, until the process stops.
-pub async fn keep(shared: Arc<Shared>) {
+/// Writes this gateway's row again whenever it is missing, until the process stops.
+pub async fn maintain_own_row(shared: Arc<Shared>) {
     let mut pause = WRITE_SPREAD.mul_f64(rand::random::<f64>());
     while !shared.is_stopping() {
         sleep(pause).await;
-        write_own(&shared).await;
-        pause = KEEP_PAUSE.mul_f64(0.5 + rand::random::<f64>());
+        write_own_row(&shared).await;
+        pause = CHECK_INTERVAL.mul_f64(0.5 + rand::random::<f64>());
     }
 }
 
-/// Removes this gateway's row: others need not find out that it is gone.
-pub async fn leave(shared: Arc<Shared>) {
+/// Removes this gateway's row, so that other gateways need not detect its absence.
+pub async fn remove_own_row(shared: Arc<Shared>) {
     let Some(row) = known_row(&shared) else {
         return;
     };
@@ -166,14 +169,14 @@
     );
 }
 
-/// Takes in which gateways there are.
+/// Follower of the table of members.
 pub struct MemberFollower {
     shared: Arc<Shared>,
     rows: BTreeMap<String, MemberRow>,
 }
 
 impl MemberFollower {
-    /// Knows no gateway yet.
+    /// Creates a follower that knows no gateway yet.
     pub fn new(shared: Arc<Shared>) -> Self {
         MemberFollower {
             shared,
@@ -181,7 +184,7 @@
         }
     }
 
-    fn take(&mut self, row: &TableRow) {
+    fn apply(&mut self, row: &TableRow) {
         match serde_json::from_str(&row.value) {
             Ok(member) => {
                 self.rows.insert(row_name(&row.key).to_owned(), member);
@@ -190,7 +193,7 @@
         }
     }
 
-    fn tell(&self) {
+    fn update_members(&self) {
         let members = self.rows.iter().filter_map(|(name, row)| {
             Some(Member {
                 name: name.clone(),
@@ -205,22 +208,22 @@
 impl Follower for MemberFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
         self.rows.clear();
-        rows.iter().for_each(|row| self.take(row));
-        self.tell();
+        rows.iter().for_each(|row| self.apply(row));
+        self.update_members();
     }
 
     fn change(&mut self, change: RowChange) {
         match change {
-            RowChange::Put(row) => self.take(&row),
+            RowChange::Put(row) => self.apply(&row),
             RowChange::Removed { key, .. } => {
                 self.rows.remove(row_name(&key));
             }
         }
     }
 
-    /// Places in the tree are worked out from all gateways: once for all changes that came
-    /// together, since at a start of hundreds each has as many.
-    fn settle(&mut self) {
-        self.tell();
+    /// Computing tree positions needs all gateways, and a start of hundreds of gateways causes
+    /// hundreds of changes. The positions are therefore computed once for each batch of changes.
+    fn finish_batch(&mut self) {
+        self.update_members();
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -9,93 +9,135 @@
     Encoder, Histogram, HistogramOpts, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Bounds of latency histograms, in seconds.
+/// Bucket bounds of latency histograms, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0, 30.0,
 ];
 
-/// Tenants that have figures of their own, those that came first; of thousands each would
-/// make a dozen series.
-const MOST_TENANTS: usize = 32;
-/// All other tenants together.
+/// Maximum number of tenants with time series of their own: the first ones that send requests. Each
+/// tenant adds a dozen time series, and there may be thousands of tenants.
+const MAX_TENANTS: usize = 32;
+/// Label of all other tenants together.
 const OTHER_TENANTS: &str = "other";
 
-/// All figures.
+/// All metrics of a gateway.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    /// Requests that ended, by outcome.
+    /// Completed requests, by outcome.
     pub requests: IntCounterVec,
-    /// Requests of tenants that ended, by tenant and outcome.
+    /// Completed requests of tenants, by tenant and outcome.
     tenant_requests: IntCounterVec,
-    /// Tenants with figures of their own.
+    /// Tenants with time series of their own.
     tenants: Mutex<BTreeSet<String>>,
-    /// Sends to back ends, by result.
+    /// Attempts at back ends, by result.
     pub attempts: IntCounterVec,
-    /// Questions for times at back ends that state a limit, by result.
+    /// Requests for send times at back ends that state a limit, by result.
     pub reservations: IntCounterVec,
-    /// Answers in which back ends say that they leave or ask for a pause, by kind.
+    /// Responses in which back ends announce a drain or request a pause, by kind.
     pub back_end_statements: IntCounterVec,
     /// Orders to engines, by result.
     pub orders: IntCounterVec,
-    /// Calls of the table, by result.
+    /// Table calls, by result.
     pub table_calls: IntCounterVec,
-    /// Rows of tables that could not be used, by reason.
+    /// Table rows that could not be parsed, by reason.
     pub refused_rows: IntCounterVec,
     /// Reads and writes of the quarantine row, by result.
     pub quarantine_row: IntCounterVec,
-    /// Changes of the lease as this process saw them, by kind.
+    /// Changes of the placement lease as observed by this process, by kind.
     pub lease_changes: IntCounterVec,
-    /// Requests that are being served.
+    /// Requests in progress.
     pub open_requests: IntGauge,
-    /// Back ends that state a limit, as this gateway knows.
+    /// Number of back ends with a known stated limit.
     pub stated_limits: IntGauge,
-    /// Log lines that were left out.
-    pub lines_left_out: IntGauge,
-    queue: Histogram,
-    connect: Histogram,
-    first_byte: Histogram,
-    whole: Histogram,
+    /// Dropped log lines.
+    pub dropped_lines: IntGauge,
+    queue_time: Histogram,
+    connect_time: Histogram,
+    first_byte_time: Histogram,
+    response_time: Histogram,
 }
 
 impl Metrics {
-    /// All figures at zero.
+    /// Creates all metrics with the value zero.
     pub fn new() -> eyre::Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
-            requests: counters("gateway_requests_total", "Requests by outcome", "outcome")?,
+            requests: counters(
+                "gateway_requests_total",
+                "Completed requests, by outcome",
+                "outcome",
+            )?,
             tenant_requests: IntCounterVec::new(
-                Opts::new("gateway_tenant_requests_total", "Requests by tenant"),
+                Opts::new(
+                    "gateway_tenant_requests_total",
+                    "Completed requests of tenants, by tenant and outcome",
+                ),
                 &["tenant", "outcome"],
             )?,
             tenants: Mutex::default(),
-            attempts: counters("gateway_attempts_total", "Sends by result", "result")?,
+            attempts: counters(
+                "gateway_attempts_total",
+                "Attempts at back ends, by result",
+                "result",
+            )?,
             reservations: counters(
                 "gateway_reservations_total",
-                "Questions for times at limited back ends",
+                "Requests for send times at back ends that state a limit, by result",
                 "result",
             )?,
             back_end_statements: counters(
                 "gateway_back_end_statements_total",
-                "Answers in which back ends say that they leave or ask for a pause",
+                "Responses in which back ends announce a drain or request a pause, by kind",
                 "kind",
             )?,
-            orders: counters("gateway_orders_total", "Orders by result", "result")?,
-            table_calls: counters("gateway_table_calls_total", "Table calls", "result")?,
-            refused_rows: counters("gateway_refused_rows_total", "Refused rows", "reason")?,
+            orders: counters(
+                "gateway_orders_total",
+                "Orders to engines, by result",
+                "result",
+            )?,
+            table_calls: counters(
+                "gateway_table_calls_total",
+                "Table calls, by result",
+                "result",
+            )?,
+            refused_rows: counters(
+                "gateway_refused_rows_total",
+                "Table rows that could not be parsed, by reason",
+                "reason",
+            )?,
             quarantine_row: counters(
                 "gateway_quarantine_row_total",
-                "Reads and writes of the row that keeps quarantine verdicts",
+                "Reads and writes of the quarantine row, by result",
                 "result",
             )?,
-            lease_changes: counters("gateway_lease_changes_total", "Lease changes", "kind")?,
-            open_requests: IntGauge::new("gateway_open_requests", "Requests being served")?,
-            stated_limits: IntGauge::new("gateway_stated_limits", "Back ends that state a limit")?,
-            lines_left_out: IntGauge::new("gateway_lines_left_out", "Log lines left out")?,
-            queue: latency("gateway_queue_seconds", "Wait for a back end")?,
-            connect: latency("gateway_connect_seconds", "Time to connect to a back end")?,
-            first_byte: latency("gateway_first_byte_seconds", "Send to first byte")?,
-            whole: latency("gateway_whole_seconds", "Arrival to end of answer")?,
+            lease_changes: counters(
+                "gateway_lease_changes_total",
+                "Changes of the placement lease, by kind",
+                "kind",
+            )?,
+            open_requests: IntGauge::new("gateway_open_requests", "Requests in progress")?,
+            stated_limits: IntGauge::new(
+                "gateway_stated_limits",
+                "Back ends with a known stated limit",
+            )?,
+            dropped_lines: IntGauge::new("gateway_lines_left_out", "Dropped log lines")?,
+            queue_time: latency(
+                "gateway_queue_seconds",
+                "Time that requests waited for a back end",
+            )?,
+            connect_time: latency(
+                "gateway_connect_seconds",
+                "Time to establish a connection to a back end",
+            )?,
+            first_byte_time: latency(
+                "gateway_first_byte_seconds",
+                "Time from a send to the first byte of the response",
+            )?,
+            response_time: latency(
+                "gateway_whole_seconds",
+                "Time from the arrival of a request to the end of its response",
+            )?,
             registry,
         };
         metrics.register()?;
@@ -121,43 +163,48 @@
         let gauges = [
             &self.open_requests,
             &self.stated_limits,
-            &self.lines_left_out,
+            &self.dropped_lines,
         ];
         for gauge in gauges {
             self.registry.register(Box::new(gauge.clone()))?;
         }
-        for histogram in [&self.queue, &self.connect, &self.first_byte, &self.whole] {
+        for histogram in [
+            &self.queue_time,
+            &self.connect_time,
+            &self.first_byte_time,
+            &self.response_time,
+        ] {
             self.registry.register(Box::new(histogram.clone()))?;
         }
         Ok(())
     }
 
-    /// A request waited so long for a back end.
+    /// Records the time that a request waited for a back end.
     pub fn queued(&self, time: Duration) {
-        self.queue.observe(time.as_secs_f64());
+        self.queue_time.observe(time.as_secs_f64());
     }
 
-    /// A new connection to a back end took so long, whether it came about or not.
+    /// Records the time to establish a connection to a back end, including failed attempts.
     pub fn connected(&self, time: Duration) {
-        self.connect.observe(time.as_secs_f64());
+        self.connect_time.observe(time.as_secs_f64());
     }
 
-    /// A back end's answer began so long after the send.
+    /// Records the time from a send to the first byte of the back end's response.
     pub fn answered(&self, time: Duration) {
-        self.first_byte.observe(time.as_secs_f64());
+        self.first_byte_time.observe(time.as_secs_f64());
     }
 
-    /// A request ended so long after its arrival.
+    /// Counts a completed request and records the time since its arrival.
     pub fn ended(&self, outcome: &str, time: Duration) {
         self.requests.with_label_values(&[outcome]).inc();
-        self.whole.observe(time.as_secs_f64());
+        self.response_time.observe(time.as_secs_f64());
     }
 
-    /// A request of a tenant ended, or was refused before anything was done for it.
+    /// Counts a request of a tenant that has been completed or refused.
     pub fn tenant_ended(&self, tenant: &str, outcome: &str) {
         let mut tenants = self.tenants.lock();
         let has_own = tenants.contains(tenant)
-            || tenants.len() < MOST_TENANTS && tenants.insert(tenant.to_owned());
+            || tenants.len() < MAX_TENANTS && tenants.insert(tenant.to_owned());
         drop(tenants);
         let label = if has_own { tenant } else { OTHER_TENANTS };
         self.tenant_requests
@@ -165,10 +212,10 @@
             .inc();
     }
 
-    /// The text that a collector reads.
+    /// Encodes the metrics for the collector.
     pub fn text(&self) -> eyre::Result<Vec<u8>> {
-        let left_out = i64::try_from(crate::lines::left_out())?;
-        self.lines_left_out.set(left_out);
+        let dropped = i64::try_from(crate::lines::left_out())?;
+        self.dropped_lines.set(dropped);
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
         Ok(text)
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -1,12 +1,14 @@
-//! The verdicts that outlast all gateways: one row of the table.
+//! Stores quarantine entries in one row of the table, so that they survive the loss of all
+//! gateways.
 //!
 //! Gateways keep no state that outlives their process, and all machines may lose power at once.
-//! Verdicts are therefore stored in the table: a gateway writes them when the end of a back end
-//! under one of its requests changes them, and the placement holder writes them when they change.
-//! Gateways that follow the table read them once after their start and pass them on to the others.
+//! Quarantine entries are therefore stored in the table: a gateway writes them when a crash of a
+//! back end under one of its requests changes them, and the placement holder writes them whenever
+//! they change. Gateways that follow the table read the row once after their start and forward the
+//! entries to the others.
 //!
-//! Invariant: the row only adds to what gateways know. Ages in it are those of its last write,
-//! so a verdict may stand for longer than it should, never shorter.
+//! Invariant: the row only adds to the outcomes that gateways know. Ages in the row are as of its
+//! last write, so an entry may last longer than intended but never shorter.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -22,18 +24,18 @@
 use crate::ports::{TableError, WatchedTable};
 use crate::shared::Shared;
 
-/// Pause after a call of the table without an answer, doubled each time ...
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// ... up to this.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_600);
-/// Least pause between two writes: ends come in groups, and what is not written yet is known
-/// to all gateways.
+/// Initial pause after a failed table call; doubled after each further failure.
+const MIN_PAUSE: Duration = Duration::from_millis(100);
+/// Maximum pause after a failed table call.
+const MAX_PAUSE: Duration = Duration::from_millis(1_600);
+/// Minimum pause between two writes. Crashes occur in groups, and all gateways already know the
+/// outcomes that are not written yet.
 const WRITE_PAUSE: Duration = Duration::from_millis(250);
-/// Without news the holder looks again after so long.
-const IDLE: Duration = Duration::from_secs(30);
+/// Interval at which the placement holder checks the row without a notification.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(30);
 
-/// How long a gateway that has read the back ends waits for the verdicts before it serves without
-/// them, so that an unavailable table does not block it.
+/// Time for which a gateway that has read the back ends waits for the quarantine entries before it
+/// serves requests without them, so that an unavailable table does not block it.
 const INITIAL_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn key(shared: &Shared) -> String {
@@ -50,40 +52,40 @@
 
 /// Reads the row and merges its outcomes. Retries until a read succeeds.
 pub async fn recall(shared: &Shared) -> RowSnapshot {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     let table = shared.platform.tables().loads;
     loop {
         match shared.table().read(table).await {
             Ok(snapshot) => {
                 let key = key(shared);
                 let row = snapshot.rows.iter().find(|row| row.key == key);
-                let told = row.map(|row| take_in(shared, row)).unwrap_or_default();
+                let outcomes = row.map(|row| merge_row(shared, row)).unwrap_or_default();
                 let version = row.map_or(0, |row| row.modified);
-                note_success(shared, "read", &told, version);
-                shared.note_quarantine_initialized();
+                record_success(shared, "read", &outcomes, version);
+                shared.mark_quarantine_initialized();
                 return RowSnapshot {
                     version,
-                    requests: distinct_requests(&told),
+                    requests: distinct_requests(&outcomes),
                 };
             }
             Err(error) => {
-                note_read_failure(shared, &error);
+                record_read_failure(shared, &error);
                 backoff.wait().await;
             }
         }
     }
 }
 
-fn distinct_requests(told: &[ToldOutcome]) -> BTreeSet<Fingerprint> {
-    told.iter().map(|outcome| outcome.fingerprint).collect()
+fn distinct_requests(outcomes: &[ToldOutcome]) -> BTreeSet<Fingerprint> {
+    outcomes.iter().map(|outcome| outcome.fingerprint).collect()
 }
 
 /// Merges the outcomes in the row and returns them; returns none if the row cannot be parsed.
-fn take_in(shared: &Shared, row: &TableRow) -> Vec<ToldOutcome> {
+fn merge_row(shared: &Shared, row: &TableRow) -> Vec<ToldOutcome> {
     match serde_json::from_str::<Vec<ToldOutcome>>(&row.value) {
-        Ok(told) => {
-            shared.recall_outcomes(&told);
-            told
+        Ok(outcomes) => {
+            shared.merge_stored_outcomes(&outcomes);
+            outcomes
         }
         Err(error) => {
             shared.refuse_row(row, &error);
@@ -93,23 +95,23 @@
 }
 
 /// Counts and logs a successful read or write of the row.
-fn note_success(shared: &Shared, result: &str, told: &[ToldOutcome], version: u64) {
+fn record_success(shared: &Shared, result: &str, outcomes: &[ToldOutcome], version: u64) {
     count_result(shared, result);
     let fields = format_args!(
         "result={result} requests={} ends={} version={version}",
-        distinct_requests(told).len(),
-        told.len()
+        distinct_requests(outcomes).len(),
+        outcomes.len()
     );
     lines::write(Rank::Decision, "quarantine_row", fields);
 }
 
-fn note_read_failure(shared: &Shared, error: &TableError) {
+fn record_read_failure(shared: &Shared, error: &TableError) {
     count_result(shared, "read_failed");
     let fields = format_args!("result=read_failed error=\"{error}\"");
     lines::write(Rank::Decision, "quarantine_row", fields);
 }
 
-fn note_write_failure(shared: &Shared, answer: &str) {
+fn record_write_failure(shared: &Shared, answer: &str) {
     count_result(shared, answer);
     let fields = format_args!("result=write_failed answer={answer}");
     lines::write(Rank::Decision, "quarantine_row", fields);
@@ -121,7 +123,7 @@
 }
 
 /// Marks the quarantine as initialized [`INITIAL_READ_TIMEOUT`] after the back ends were read, and
-/// logs and counts the timeout if the verdicts are still unknown.
+/// logs and counts the timeout if the quarantine entries are still unknown.
 pub async fn enforce_initial_read_timeout(shared: Arc<Shared>) {
     let mut changes = shared.subscribe();
     while !shared.has_read_back_ends() {
@@ -130,7 +132,7 @@
         }
     }
     sleep(INITIAL_READ_TIMEOUT).await;
-    if shared.note_quarantine_initialized() {
+    if shared.mark_quarantine_initialized() {
         count_result(&shared, "read_timed_out");
         let fields = format_args!(
             "result=read_timed_out waited_ms={}",
@@ -140,67 +142,69 @@
     }
 }
 
-/// Keeps the row while this gateway places models, until it is dropped.
+/// Keeps the row up to date while this gateway is the placement holder, until the future is
+/// dropped.
 pub async fn keep(shared: Arc<Shared>) {
-    let mut grown = shared.quarantine.subscribe();
+    let mut updates = shared.quarantine.subscribe();
     loop {
-        let changes = shared.quarantine.verdict_changes();
+        let changes = shared.quarantine.changes();
         update_row(&shared).await;
-        while shared.quarantine.verdict_changes() == changes {
-            // Time is up or there is more to tell: the next turn looks.
-            let _ = timeout(IDLE, grown.changed()).await;
+        while shared.quarantine.changes() == changes {
+            // After the timeout or a notification, the loop checks the entries again.
+            let _ = timeout(IDLE_CHECK_INTERVAL, updates.changed()).await;
             sleep(WRITE_PAUSE).await;
         }
     }
 }
 
-/// Updates the row when the end of a back end under a request of this gateway changes the verdicts,
-/// until it is dropped. Does not require the placement lease: all gateways may be lost while none
-/// holds it.
-pub async fn write_local_verdicts(shared: Arc<Shared>) {
+/// Updates the row when a crash of a back end under a request of this gateway changes the
+/// quarantine entries, until the future is dropped. Does not require the placement lease: all
+/// gateways may be lost while none holds it.
+pub async fn write_local_entries(shared: Arc<Shared>) {
     loop {
-        shared.quarantine.local_verdict_change().await;
+        shared.quarantine.local_entry_change().await;
         update_row(&shared).await;
     }
 }
 
-/// Writes the known verdicts unless the row already names the same requests. Retries until the
-/// row is up to date.
+/// Writes the current quarantine entries unless the row already names the same requests. Retries
+/// until the row is up to date.
 ///
-/// Comparing with the stored row covers verdicts that were known before the lease was taken.
+/// The comparison with the stored row covers entries that existed before the placement lease was
+/// acquired.
 async fn update_row(shared: &Shared) {
-    let mut backoff = Backoff::new(FIRST_PAUSE, LONGEST_PAUSE);
+    let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     loop {
         let row = recall(shared).await;
-        let told = shared.quarantine.verdict_events(shared.now());
-        if distinct_requests(&told) == row.requests {
+        let outcomes = shared.quarantine.entry_notices(shared.now());
+        if distinct_requests(&outcomes) == row.requests {
             return;
         }
-        match write(shared, row.version, &told).await {
+        match write(shared, row.version, &outcomes).await {
             TableAnswer::Committed { revision, .. } => {
-                note_success(shared, "written", &told, revision);
+                record_success(shared, "written", &outcomes, revision);
                 return;
             }
-            TableAnswer::Conflict { .. } => note_write_failure(shared, "conflict"),
+            TableAnswer::Conflict { .. } => record_write_failure(shared, "conflict"),
             TableAnswer::Refused { .. } => {
-                note_write_failure(shared, "refused");
+                record_write_failure(shared, "refused");
                 backoff.wait().await;
             }
-            // It may stand, or may do so later.
+            // The write may have taken effect, or may do so later.
             TableAnswer::Unknown => {
-                note_write_failure(shared, "unknown");
+                record_write_failure(shared, "unknown");
                 backoff.wait().await;
             }
         }
     }
 }
 
-async fn write(shared: &Shared, version: u64, told: &[ToldOutcome]) -> TableAnswer {
-    match serde_json::to_string(told) {
+async fn write(shared: &Shared, version: u64, outcomes: &[ToldOutcome]) -> TableAnswer {
+    match serde_json::to_string(outcomes) {
         Ok(value) => {
             let transaction = Transaction::put_if(key(shared), version, value);
             shared.table().transact(transaction).await
         }
-        Err(error) => unreachable!("hashes and numbers are JSON: {error}"),
+        Err(error) => unreachable!("outcome notices always serialize to JSON: {error}"),
     }
 }
--- a/crates/gateway/src/refused_rows.rs
+++ b/crates/gateway/src/refused_rows.rs
@@ -1,8 +1,9 @@
-//! Rows of tables that say nothing this gateway can use: another writer made them, or they
-//! were spoiled.
+//! Records table rows that could not be parsed, because another writer made them or because they
+//! were corrupted.
 //!
-//! In: rows that could not be read, and why; rows that can be again. Out: one line for each
-//! row, however often it is seen, and counters by reason. All other rows hold.
+//! Input: rows that could not be parsed, with the reason, and rows that can be parsed again.
+//! Output: one log line for each version of such a row, however often the gateway reads it, and
+//! counters by reason. All other rows remain in use.
 
 use std::collections::HashMap;
 
@@ -12,47 +13,48 @@
 use crate::lines::{self, Rank};
 use crate::ports::RowFault;
 
-/// Rows that are remembered as refused, so that each has one line: some hundred bytes each.
-const MOST_KNOWN: usize = 256;
+/// Maximum number of refused rows that are remembered to avoid repeated log lines. Each takes a few
+/// hundred bytes.
+const MAX_REMEMBERED: usize = 256;
 
-/// What is known of rows that were refused.
+/// Rows that could not be parsed.
 pub struct RefusedRows {
-    count: IntCounterVec,
-    /// Version at which each was refused last.
-    known: Mutex<HashMap<String, u64>>,
+    counter: IntCounterVec,
+    /// Version at which each row was last refused.
+    versions: Mutex<HashMap<String, u64>>,
 }
 
 impl RefusedRows {
-    /// Nothing was refused yet. `count` counts rows by reason.
-    pub fn new(count: IntCounterVec) -> Self {
+    /// Creates an empty record. `counter` counts refused rows by reason.
+    pub fn new(counter: IntCounterVec) -> Self {
         RefusedRows {
-            count,
-            known: Mutex::default(),
+            counter,
+            versions: Mutex::default(),
         }
     }
 
-    /// A row at this version says nothing that could be used.
-    pub fn refuse(&self, key: &str, version: u64, fault: RowFault, error: &dyn std::fmt::Display) {
-        let mut known = self.known.lock();
-        if known.get(key) == Some(&version) {
+    /// Records that the row at this version could not be parsed.
+    pub fn record(&self, key: &str, version: u64, fault: RowFault, error: &dyn std::fmt::Display) {
+        let mut versions = self.versions.lock();
+        if versions.get(key) == Some(&version) {
             return;
         }
-        if known.len() < MOST_KNOWN || known.contains_key(key) {
-            known.insert(key.to_owned(), version);
+        if versions.len() < MAX_REMEMBERED || versions.contains_key(key) {
+            versions.insert(key.to_owned(), version);
         }
-        drop(known);
+        drop(versions);
         let reason = fault.as_str();
-        self.count.with_label_values(&[reason]).inc();
+        self.counter.with_label_values(&[reason]).inc();
         let error = error.to_string();
         let fields = format_args!("row={key:?} version={version} reason={reason} error={error:?}");
         lines::write(Rank::Decision, "row_refused", fields);
     }
 
-    /// A row is gone, or can be read again.
+    /// Records that the row was removed or can be parsed again.
     pub fn forget(&self, key: &str) {
-        let mut known = self.known.lock();
-        if !known.is_empty() {
-            known.remove(key);
+        let mut versions = self.versions.lock();
+        if !versions.is_empty() {
+            versions.remove(key);
         }
     }
 }
--- a/crates/gateway/src/shared/answers.rs
+++ b/crates/gateway/src/shared/answers.rs
@@ -1,4 +1,5 @@
-//! What answers say of the back ends that give them, beside answering a request.
+//! Records what back ends state about themselves in the headers of their responses: limits, pauses
+//! and drains.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,15 +14,15 @@
 use crate::ports::AnswerMarks;
 
 impl Shared {
-    /// A back end's answer to a request that was sent at `sent` says this.
-    pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, marks: &AnswerMarks) {
-        self.note_statement(back_end, sent.elapsed(), marks.limit);
-        if marks.is_leaving {
+    /// Records the metadata of a back end's response to a request that was sent at `sent`.
+    pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, metadata: &AnswerMarks) {
+        self.record_stated_limit(back_end, sent.elapsed(), metadata.limit);
+        if metadata.is_leaving {
             self.note_departure(back_end);
         }
-        match marks.pause {
+        match metadata.pause {
             RequestedPause::None => {}
-            RequestedPause::For(pause) => self.note_pause(back_end, pause),
+            RequestedPause::For(pause) => self.record_pause(back_end, pause),
             RequestedPause::Unreadable => {
                 let fields = format_args!("back_end={} reason=no_number", back_end.id);
                 lines::write(Rank::Decision, "back_end_pause_refused", fields);
@@ -29,12 +30,12 @@
         }
     }
 
-    fn note_pause(&self, back_end: &BackEnd, pause: Duration) {
+    fn record_pause(&self, back_end: &BackEnd, pause: Duration) {
         self.count_statement("pause");
         let mut paused = self.paused.lock();
-        let is_news = paused.note(self.now(), back_end.life_hash, pause);
+        let is_new = paused.note(self.now(), back_end.life_hash, pause);
         drop(paused);
-        if is_news {
+        if is_new {
             let fields = format_args!(
                 "back_end={} pause_ms={} in_flight={}",
                 back_end.id,
@@ -45,13 +46,14 @@
         }
     }
 
-    /// How much longer a back end wants no requests from this gateway; none if it takes them.
+    /// Remaining time of the pause that a back end has requested from this gateway; `None` if there
+    /// is no pause.
     pub fn pause_left(&self, now: Timestamp, back_end: &BackEnd) -> Option<Duration> {
         self.paused.lock().left(now, back_end.life_hash)
     }
 
-    /// Those of the back ends that want no pause, or, if there are none, the time until one of
-    /// them takes requests again.
+    /// Returns the back ends that have requested no pause. If all of them are paused, the error is
+    /// the time until the first pause ends.
     pub fn without_paused(
         &self,
         now: Timestamp,
@@ -70,34 +72,35 @@
         }
     }
 
-    /// A back end says in an answer that it leaves. Its row may come much later, if the table is
-    /// out of order, so what the answer says counts by itself.
+    /// Records a drain that a back end has announced in a response. The announcement takes effect
+    /// at once, because the back end's row may be updated much later while the table is
+    /// unavailable.
     pub fn note_departure(&self, back_end: &BackEnd) {
         self.count_statement("leaving");
-        if self.directory(|directory| directory.has_departed(back_end)) {
+        if self.directory(|directory| directory.is_draining(back_end)) {
             return;
         }
         let now = self.now();
-        let mut is_news = false;
-        self.change_directory(|directory| is_news = directory.note_departure(now, back_end));
-        if is_news {
-            log_departure(back_end, "answer");
+        let mut is_new = false;
+        self.change_directory(|directory| is_new = directory.note_departure(now, back_end));
+        if is_new {
+            log_drain(back_end, "answer");
         }
     }
 
-    /// Another gateway tells of back ends that leave.
-    pub fn note_told_departures(&self, told: &[ToldDeparture]) {
-        if self.directory(|directory| directory.knows_departures(told)) {
+    /// Merges drain notices from another gateway.
+    pub fn note_told_departures(&self, notices: &[ToldDeparture]) {
+        if self.directory(|directory| directory.knows_departures(notices)) {
             return;
         }
         let now = self.now();
-        let mut leaving = Vec::new();
-        self.change_directory(|directory| leaving = directory.take_departures(now, told));
-        let leaving = leaving.iter();
-        leaving.for_each(|back_end| log_departure(back_end, "gateway"));
+        let mut draining = Vec::new();
+        self.change_directory(|directory| draining = directory.take_departures(now, notices));
+        let draining = draining.iter();
+        draining.for_each(|back_end| log_drain(back_end, "gateway"));
     }
 
-    /// What other gateways should know of back ends that leave.
+    /// Drain notices for other gateways.
     pub fn told_departures(&self) -> Vec<ToldDeparture> {
         let now = self.now();
         self.directory(|directory| directory.told_departures(now))
@@ -109,7 +112,7 @@
     }
 }
 
-fn log_departure(back_end: &BackEnd, source: &str) {
+fn log_drain(back_end: &BackEnd, source: &str) {
     let fields = format_args!(
         "back_end={} source={source} in_flight={}",
         back_end.id,
--- a/crates/gateway/src/shared/outcomes.rs
+++ b/crates/gateway/src/shared/outcomes.rs
@@ -1,7 +1,8 @@
-//! What becomes of requests at back ends, as far as others have to know it.
+//! Records the outcomes of requests at back ends that other gateways need to know.
 //!
-//! In: ends and whole answers of this gateway's requests, and what others tell. Out: requests
-//! that are kept away from back ends, and back ends that have ended; whoever waits looks again.
+//! Input: crashes of back ends under requests of this gateway, complete responses, and outcome
+//! notices of other gateways. Output: quarantined requests and crashed back ends. Waiting requests
+//! are notified of each change.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -13,85 +14,88 @@
 use crate::quarantine::QuarantineNews;
 
 impl Shared {
-    /// Gateways that this one feeds told of requests under which back ends ended.
-    pub fn note_told_outcomes(&self, told: &[ToldOutcome]) {
-        self.note_told_ends(told);
-        if self.quarantine.take(self.now(), told, Source::Below) {
-            self.changed();
+    /// Merges outcome notices from child gateways.
+    pub fn note_told_outcomes(&self, notices: &[ToldOutcome]) {
+        self.record_reported_crashes(notices);
+        if self.quarantine.merge(self.now(), notices, Source::Below) {
+            self.notify_changed();
         }
     }
 
-    /// The gateway at `address` answered with news of such requests.
-    pub fn note_quarantine_news(&self, address: SocketAddr, news: &QuarantineNews) {
-        self.note_told_ends(&news.events);
-        if self.quarantine.take_news(self.now(), address, news) {
-            self.changed();
+    /// Merges a quarantine update with which the gateway at `address` has responded.
+    pub fn note_quarantine_news(&self, address: SocketAddr, update: &QuarantineNews) {
+        self.record_reported_crashes(&update.events);
+        if self.quarantine.merge_update(self.now(), address, update) {
+            self.notify_changed();
         }
-        // Gateways send news only after their own quarantine is initialized.
-        self.note_quarantine_initialized();
+        // Gateways send quarantine updates only after their own quarantine is initialized.
+        self.mark_quarantine_initialized();
     }
 
-    /// Whoever was at an engine when it ended tells all others before they send there.
-    fn note_told_ends(&self, told: &[ToldOutcome]) {
-        let ended = told.iter().filter_map(|event| match event.outcome {
+    /// Records crashed back ends. A gateway that had a request at a back end when it crashed
+    /// notifies all others, so that they stop sending requests there.
+    fn record_reported_crashes(&self, notices: &[ToldOutcome]) {
+        let crashed = notices.iter().filter_map(|event| match event.outcome {
             RunOutcome::Ended(back_end) => Some(back_end),
             RunOutcome::Served => None,
         });
-        let ended: HashSet<BackEndHash> = ended.collect();
-        if !ended.is_empty() {
+        let crashed: HashSet<BackEndHash> = crashed.collect();
+        if !crashed.is_empty() {
             let now = self.now();
-            self.directory(|directory| directory.note_ended(now, &ended));
-            self.changed();
+            self.directory(|directory| directory.note_ended(now, &crashed));
+            self.notify_changed();
         }
     }
 
-    /// A row told which requests were kept away before this process began.
-    pub fn recall_outcomes(&self, told: &[ToldOutcome]) {
-        if self.quarantine.take(self.now(), told, Source::Beside) {
-            self.changed();
+    /// Merges outcomes from the quarantine row, which were recorded before this process started.
+    pub fn merge_stored_outcomes(&self, notices: &[ToldOutcome]) {
+        if self.quarantine.merge(self.now(), notices, Source::Beside) {
+            self.notify_changed();
         }
     }
 
-    /// Marks the quarantine as initialized and wakes waiting requests. Returns true on the first
+    /// Marks the quarantine as initialized and notifies waiting requests. Returns true on the first
     /// call only.
-    pub fn note_quarantine_initialized(&self) -> bool {
-        let is_first = self.quarantine.note_initialized();
+    pub fn mark_quarantine_initialized(&self) -> bool {
+        let is_first = self.quarantine.mark_initialized();
         if is_first {
-            self.changed();
+            self.notify_changed();
         }
         is_first
     }
 
-    /// Whether requests have to wait for the verdicts from before the start. Before the back ends
-    /// are known, requests are refused for want of one.
+    /// Whether requests have to wait for quarantine entries from before the start. Until the back
+    /// ends are known, requests are refused because no back end is available.
     pub fn awaits_quarantine(&self) -> bool {
         self.has_read_back_ends() && !self.quarantine.is_initialized()
     }
 
-    /// A back end ended under a request of this gateway.
+    /// Records that a back end crashed while it ran a request of this gateway.
     pub fn note_end_under(&self, request: Fingerprint, back_end: BackEndHash) {
-        if self.quarantine.note_end(self.now(), request, back_end) {
-            self.changed();
+        if self.quarantine.record_crash(self.now(), request, back_end) {
+            self.notify_changed();
         }
     }
 
-    /// Rows of back ends went: whoever had lost a request there and was not told knows now
-    /// that the back end had ended.
-    pub fn note_gone_back_ends(&self) {
-        let mut gone = Vec::new();
-        self.change_directory(|directory| gone = directory.take_gone_unsaid());
+    /// Evaluates removed rows of back ends that announced no drain. Such a removal shows that the
+    /// back end crashed under the requests that lost their connection to it shortly before, even if
+    /// no other gateway has reported the crash.
+    pub fn evaluate_removed_back_ends(&self) {
+        let mut removed = Vec::new();
+        self.change_directory(|directory| removed = directory.take_gone_unsaid());
         let now = self.now();
-        for back_end in gone {
+        for back_end in removed {
             for request in back_end.lost_before(now) {
                 self.note_end_under(request, back_end.life_hash);
             }
         }
     }
 
-    /// A back end answered a request of this gateway whole, and lives.
+    /// Records that a back end sent a complete response to a request of this gateway and still
+    /// runs.
     pub fn note_whole_answer(&self, request: Fingerprint) {
-        if self.quarantine.note_served(self.now(), request) {
-            self.changed();
+        if self.quarantine.record_served(self.now(), request) {
+            self.notify_changed();
         }
     }
 }
--- a/crates/gateway/src/tenancy.rs
+++ b/crates/gateway/src/tenancy.rs
@@ -1,9 +1,9 @@
-//! Who calls, and whether that is within what the caller may use: what a request passes once,
-//! before it waits for a back end.
+//! Identifies the tenant of a request and charges the request to the tenant's quota, once per
+//! request and before the request waits for a back end.
 //!
-//! In: the request's head, its route, the configuration and the age of what is known of it.
-//! Out: its tenant and what it was counted for, or why it is sent away, with one line. A key
-//! stands in no line.
+//! Input: the request's headers, its route, the configuration and the configuration's age. Output:
+//! the tenant and the charge, or the reason of a rejection, which is logged. API keys are never
+//! logged.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,73 +17,71 @@
 use crate::ports::Ticket;
 use crate::shared::Shared;
 
-/// A word for logs and counters: the request is beyond its tenant's limit.
+/// Reason for log lines and metric labels: the request exceeds its tenant's quota.
 pub const BEYOND_LIMIT: &str = "beyond_limit";
-/// Nobody could tell whether it is.
+/// Reason for log lines and metric labels: no gateway could decide whether the request is within
+/// the quota.
 const LIMIT_NOT_KNOWN: &str = "limit_not_known";
-/// A caller that is sent away since nobody can tell whether its key still counts is asked to
-/// come back after this time: gateways that were cut off have asked others by then.
-const UNPROVED_PAUSE: Duration = Duration::from_millis(500);
-/// Part of the objective for which a request waits for somebody who counts for its tenant:
-/// another gateway takes that over within 0.6 s of a planned stop.
-const COUNT_WAIT_PART: f64 = 0.25;
-/// A caller whose request nobody could count is asked to come back after this time.
-const UNCOUNTED_PAUSE: Duration = Duration::from_millis(400);
-/// Least pause of a caller that is beyond its tenant's limit: whatever becomes free sooner goes
-/// to those that come by then.
-const LEAST_LIMIT_PAUSE: Duration = Duration::from_millis(100);
+/// Retry delay for callers that are rejected because this gateway cannot verify whether their API
+/// key is still valid. A gateway without contact to the table or to its parent has found another
+/// parent by then.
+const UNVERIFIED_KEY_PAUSE: Duration = Duration::from_millis(500);
+/// Fraction of the route's objective for which a request waits for a gateway that can charge it.
+/// After a planned stop another gateway takes over the quota shard within 0.6 s.
+const CHARGE_WAIT_FRACTION: f64 = 0.25;
+/// Retry delay for callers whose request no gateway could charge.
+const UNCHARGED_PAUSE: Duration = Duration::from_millis(400);
+/// Minimum retry delay for callers that exceed their tenant's quota. Capacity that becomes free
+/// sooner goes to requests that arrive in the meantime.
+const MIN_QUOTA_PAUSE: Duration = Duration::from_millis(100);
 
-/// Why a request is sent away; it has not run.
+/// Why a request was rejected before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SentAway {
-    /// Its key does not open the route.
-    Unauthorized {
-        /// Why.
-        reason: &'static str,
-    },
-    /// It is beyond its tenant's limit.
+    /// The API key does not permit use of the route.
+    Unauthorized { reason: &'static str },
+    /// The request exceeds its tenant's quota.
     BeyondLimit {
-        /// When there is room for it.
+        /// Time until the quota has capacity for the request.
         retry_after: Duration,
     },
-    /// This gateway cannot tell.
+    /// This gateway cannot decide whether the request may run.
     Unknown {
-        /// What.
+        /// What is unknown.
         reason: &'static str,
-        /// When it makes sense to come back.
+        /// Recommended delay before a retry.
         retry_after: Duration,
     },
 }
 
 impl SentAway {
-    fn by_key(denial: Denial) -> Self {
+    fn from_denial(denial: Denial) -> Self {
         let reason = denial.reason();
         match denial {
             Denial::NoKey | Denial::UnknownKey => SentAway::Unauthorized { reason },
             Denial::OldKnowledge => SentAway::Unknown {
                 reason,
-                retry_after: UNPROVED_PAUSE,
+                retry_after: UNVERIFIED_KEY_PAUSE,
             },
         }
     }
 }
 
-/// A request, as far as its tenant is concerned.
+/// The parts of a request that determine its tenant and its charge.
 pub struct Caller<'a> {
-    /// What its head says.
+    /// Metadata from the request's headers.
     pub ticket: &'a Ticket,
-    /// Its route.
     pub route: &'a Route,
-    /// When its head was read.
+    /// Time at which the request's headers were read.
     pub arrived: Instant,
 }
 
-/// Takes the key out of the head, where callers need one, and finds its tenant. `age` is the
-/// time since the moment for which the table has confirmed the configuration.
+/// Removes the API key from the headers, where callers need one, and identifies its tenant. `age`
+/// is the time since the moment for which the table has confirmed the configuration.
 ///
 /// # Errors
 ///
-/// If the caller is sent away.
+/// Returns an error if the request is rejected.
 pub fn tenant_of(
     shared: &Shared,
     caller: &Caller<'_>,
@@ -107,15 +105,15 @@
             configuration.version,
         );
         lines::write(Rank::Decision, "access_denied", fields);
-        SentAway::by_key(denial)
+        SentAway::from_denial(denial)
     })
 }
 
-/// Counts a request for its tenant; none if that has no limit.
+/// Charges a request to its tenant's quota. Returns `None` if the tenant has no quota.
 ///
 /// # Errors
 ///
-/// If it is beyond the limit, or if nobody could tell in time.
+/// Returns an error if the request exceeds the quota, or if no gateway could decide in time.
 pub async fn count(
     shared: &Shared,
     caller: &Caller<'_>,
@@ -125,28 +123,28 @@
     let Some((tenant, limit)) = limited else {
         return Ok(None);
     };
-    let want = Want {
+    let demand = Want {
         tenant: tenant.id.clone(),
         cost: limit.cost(caller.ticket.tokens),
     };
-    let until = caller.arrived + caller.route.objective.mul_f64(COUNT_WAIT_PART);
-    let (reason, retry_after) = match shared.count(&want, until).await {
+    let until = caller.arrived + caller.route.objective.mul_f64(CHARGE_WAIT_FRACTION);
+    let (reason, retry_after) = match shared.charge(&demand, until).await {
         Obtained::Granted(grant) => return Ok(Some(grant)),
-        Obtained::Beyond(wait) => (BEYOND_LIMIT, wait.max(LEAST_LIMIT_PAUSE)),
-        Obtained::Unknown => (LIMIT_NOT_KNOWN, UNCOUNTED_PAUSE),
+        Obtained::Beyond(wait) => (BEYOND_LIMIT, wait.max(MIN_QUOTA_PAUSE)),
+        Obtained::Unknown => (LIMIT_NOT_KNOWN, UNCHARGED_PAUSE),
     };
     let fields = format_args!(
         "request={} reason={reason} tenant={} cost={} rate={} burst={} waited_ms={} retry_after_ms={}",
         caller.ticket.id,
-        want.tenant,
-        want.cost,
+        demand.tenant,
+        demand.cost,
         limit.rate,
         limit.burst,
         caller.arrived.elapsed().as_millis(),
         retry_after.as_millis(),
     );
     lines::write(Rank::Decision, "limited", fields);
-    shared.metrics.tenant_ended(want.tenant.as_str(), reason);
+    shared.metrics.tenant_ended(demand.tenant.as_str(), reason);
     Err(if reason == BEYOND_LIMIT {
         SentAway::BeyondLimit { retry_after }
     } else {
