--- a/crates/fleet/src/access.rs
+++ b/crates/fleet/src/access.rs
@@ -1,10 +1,13 @@
-//! Whether a caller may use a route: by its key, and by how old what is known of keys is.
+//! Decides whether a caller may use a route, from its API key and from the age of the known keys.
 //!
-//! A key that was taken away must not be used once the deployment's bound on that has passed,
-//! at any gateway, also at one that has heard nothing for a while. So what is known of keys
-//! has an age: the time since the moment for which the table has confirmed it. Younger than
-//! the bound, a key that stands there was not taken away so long ago, whatever has happened
-//! since; older, nobody knows, and the request is refused as not run.
+//! A revoked key must not be usable at any gateway once the deployment's revocation bound has
+//! passed, even at a gateway that has received no updates for a while. The known keys therefore
+//! have an age: the time since the moment for which the table has confirmed them. If the age is
+//! below the bound, a listed key was either not revoked or revoked less than the bound ago. If it
+//! is above the bound, the request is rejected as not executed.
+//!
+//! Input: the configuration, the route, the caller's key and the age. Output: the tenant, or the
+//! reason for the rejection.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +15,37 @@
 use crate::configuration::{Configuration, Route};
 use crate::tenant::{ApiKey, Tenant};
 
-/// Part of the bound on keys that were taken away up to which knowledge is used: what is
-/// left is for the request's own way to the gateway and for the grain of clocks.
-const KEY_AGE_PART: f64 = 0.92;
-/// Part of the bound on news up to which a key that does not stand there is said to be
-/// unknown: a caller that hears so does not come back, so a gateway that may only not have
-/// heard of a new key says that it does not know.
-const UNKNOWN_AGE_PART: f64 = 0.8;
+/// Fraction of the revocation bound up to which the known keys are used. The rest covers the
+/// request's transit to the gateway and the granularity of clocks.
+const REVOCATION_AGE_FRACTION: f64 = 0.92;
+/// Fraction of the bound on new keys up to which a key that is not listed is reported as unknown.
+/// Callers do not retry after that error, so a gateway that may only have missed the update about
+/// a new key reports instead that it cannot confirm the key.
+const UNKNOWN_KEY_AGE_FRACTION: f64 = 0.8;
 
-/// Bounds of the deployment on what is known of keys.
+/// The deployment's bounds on how long changes of keys take to apply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyBounds {
-    /// So long after the operator has taken a key away nothing runs under it any more; none
-    /// where only gateways in touch with the table are bound.
+    /// Time after which nothing runs any more under a key that the operator has revoked; `None` if
+    /// only gateways that are connected to the table are bound.
     pub taken_away: Option<Duration>,
-    /// So long after the operator has given a key it is known.
+    /// Time after which a key that the operator has issued is accepted.
     pub given: Duration,
 }
 
-/// Why a caller may not use a route.
+/// Reason why a caller may not use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// It bears no key.
+    /// The request has no key.
     NoKey,
-    /// Nobody holds its key.
+    /// No tenant has the key.
     UnknownKey,
-    /// What is known of keys is too old to tell.
+    /// The known keys are too old for a decision.
     OldKnowledge,
 }
 
 impl Denial {
-    /// A word for logs and counters.
+    /// The reason as it appears in logs and metrics.
     pub fn reason(self) -> &'static str {
         match self {
             Denial::NoKey => "no_key",
@@ -52,12 +55,13 @@
     }
 }
 
-/// Who calls, on a route of this configuration; none where no key is needed and none is known.
-/// `age` is that of what is known of keys; none if the table has confirmed nothing yet.
+/// Identifies the caller on a route of this configuration. Returns `None` if no key is needed and
+/// none is known. `age` is the age of the known keys; `None` if the table has not yet confirmed
+/// any.
 ///
 /// # Errors
 ///
-/// Why the caller may not use the route.
+/// The reason why the caller may not use the route.
 pub fn identify(
     configuration: &Configuration,
     route: &Route,
@@ -68,16 +72,18 @@
     let Some(tenants) = &configuration.tenants else {
         return Ok(None);
     };
-    let is_within = |most: Duration| age.is_some_and(|age| age <= most);
-    let is_proved = bounds
+    let is_within = |max_age: Duration| age.is_some_and(|age| age <= max_age);
+    let is_verified = bounds
         .taken_away
-        .is_none_or(|bound| is_within(bound.mul_f64(KEY_AGE_PART)));
+        .is_none_or(|bound| is_within(bound.mul_f64(REVOCATION_AGE_FRACTION)));
     let holder = key.and_then(|key| tenants.holder(key));
     match (key, holder) {
-        (Some(_), _) if !is_proved => Err(Denial::OldKnowledge),
+        (Some(_), _) if !is_verified => Err(Denial::OldKnowledge),
         (Some(_), Some(tenant)) => Ok(Some(tenant.clone())),
         _ if route.is_public => Ok(None),
-        _ if !is_within(bounds.given.mul_f64(UNKNOWN_AGE_PART)) => Err(Denial::OldKnowledge),
+        _ if !is_within(bounds.given.mul_f64(UNKNOWN_KEY_AGE_FRACTION)) => {
+            Err(Denial::OldKnowledge)
+        }
         (Some(_), None) => Err(Denial::UnknownKey),
         (None, _) => Err(Denial::NoKey),
     }
--- a/crates/fleet/src/back_end.rs
+++ b/crates/fleet/src/back_end.rs
@@ -1,5 +1,5 @@
-//! What is known of a back end: its own report, and what the placement holder
-//! says that it ordered there.
+//! State of a back end as gateways know it: the back end's own report, and the placement holder's
+//! row on the models that it has ordered the back end to hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,10 +12,10 @@
 /// Models with their adapters.
 pub type Holdings = BTreeMap<ModelId, BTreeSet<AdapterId>>;
 
-/// Where a load of a model would take its weights from, the slowest first.
+/// Source from which a model's weights would be loaded, slowest first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CopyTier {
-    /// The weight store, whose rate all engines share.
+    /// The weight store, whose bandwidth all engines share.
     #[default]
     WeightStore,
     /// The engine's disk.
@@ -24,36 +24,36 @@
     Memory,
 }
 
-/// What a back end says of itself through discovery.
+/// A back end's own announcement, as received through service discovery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BackEndReport {
-    /// Its name.
+    /// The back end's name.
     pub id: BackEndId,
-    /// When it started; none if it does not say so, and then it has another name after each
-    /// start.
+    /// Start time of the back end's process; `None` if the back end does not announce it, in which
+    /// case it has a different name after each start.
     pub born: Option<Born>,
-    /// The service it belongs to.
+    /// The service to which the back end belongs.
     pub service: ServiceId,
-    /// Where it listens.
+    /// Address on which the back end listens.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The back end's zone.
     pub zone: ZoneId,
-    /// Requests that it runs at once.
+    /// Requests that the back end runs concurrently.
     pub slots: u32,
-    /// How much longer it is cold, from when this was written, in milliseconds.
+    /// Remaining warm-up time when the report was written, in milliseconds.
     pub cold_left: u64,
-    /// Whether it says that it is about to leave.
+    /// Whether the back end announces that it is about to shut down.
     pub draining: bool,
-    /// Models and adapters that it holds.
+    /// Models and adapters that are loaded.
     pub holdings: Holdings,
-    /// Models of which it keeps a copy in host memory.
+    /// Models with a copy of the weights in host memory.
     pub in_memory: BTreeSet<ModelId>,
-    /// Models of which it keeps a copy on disk.
+    /// Models with a copy of the weights on disk.
     pub on_disk: BTreeSet<ModelId>,
 }
 
 impl BackEndReport {
-    /// Where a load of the model here would take its weights from.
+    /// Source from which this back end would load the model's weights.
     pub fn nearest_copy(&self, model: &ModelId) -> CopyTier {
         if self.in_memory.contains(model) {
             CopyTier::Memory
@@ -65,22 +65,22 @@
     }
 }
 
-/// The answer of an engine to a question about its state, somewhat stale.
+/// An engine's response to a query of its state. It may be out of date when it is read.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// When it started, if it says so.
+    /// Start time of the engine's process, if the engine reports it.
     pub born: Option<Born>,
-    /// Models and adapters that it holds.
+    /// Models and adapters that are loaded.
     pub holdings: Holdings,
-    /// Adapters on their way, as model and adapter.
+    /// Adapters that are being loaded, as pairs of model and adapter.
     pub pending: BTreeSet<(ModelId, AdapterId)>,
-    /// Whether an order is under way.
+    /// Whether the engine is executing an order.
     pub busy: bool,
-    /// Orders that it has taken since its start.
+    /// Number of orders accepted since the engine's start.
     pub sequence: u64,
-    /// Models of which it keeps a copy in host memory.
+    /// Models with a copy of the weights in host memory.
     pub in_memory: BTreeSet<ModelId>,
-    /// Models of which it keeps a copy on disk.
+    /// Models with a copy of the weights on disk.
     pub on_disk: BTreeSet<ModelId>,
 }
 
@@ -89,31 +89,30 @@
 pub struct PlannedLoad {
     /// The model.
     pub model: ModelId,
-    /// Expected time until it can serve, in milliseconds from the row's writing.
+    /// Expected time until the model can serve, in milliseconds from when the row was written.
     pub ready_in: u64,
 }
 
-/// The placement holder's row on one back end. It is written before an unload
-/// is ordered and after a load was seen to be done, so that gateways need not
-/// wait for the back end's own report.
+/// The placement holder's row on one back end. The holder writes it before it orders an unload
+/// and after it has seen a load complete, so gateways need not wait for the back end's own report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacedRow {
-    /// The holder's generation.
+    /// Fencing token of the placement holder that wrote the row.
     pub fence: u64,
-    /// The start of the back end that it speaks of; none in rows of gateways that know nothing
-    /// of starts, or if the back end does not tell it.
+    /// Start time of the incarnation that the row describes; `None` in rows of gateways that
+    /// predate this field, or if the back end does not announce its start time.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub born: Option<Born>,
-    /// What the back end holds and goes on holding.
+    /// Models and adapters that are loaded and will stay loaded.
     pub holdings: Holdings,
-    /// A model that is about to be unloaded: nothing more is sent for it.
+    /// A model that is about to be unloaded: gateways send no more requests for it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unloading: Option<ModelId>,
-    /// A load under way or about to be ordered.
+    /// A load that is running or about to be ordered.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub loading: Option<PlannedLoad>,
-    /// Models whose load was ordered in a former life of the back end and may still begin: the
-    /// next holder leaves room for them.
+    /// Models whose load was ordered in a previous incarnation of the back end and may still
+    /// begin: the next holder reserves memory for them.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub left_over: Vec<ModelId>,
 }
--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -1,73 +1,79 @@
-//! Chooses one of several back ends that could run a request.
+//! Selects one of several back ends that could serve a request.
+//!
+//! Input: load, latency, failure rate and locality of each candidate. Output: the index of the
+//! candidate with the lowest expected cost.
 
 use rand::{Rng, RngExt};
 
-/// A back end in another zone must be this much less loaded.
+/// Cost factor of a back end in another zone: such a back end is chosen only if its load is lower
+/// by more than this factor.
 const OTHER_ZONE_FACTOR: f64 = 1.25;
-/// A back end to which a connection must be made first costs this much more: less than one in
-/// another zone, which costs more with each request, so an idle one in this zone is found again.
+/// Cost factor of a back end to which a new connection must be opened. It is lower than the factor
+/// of another zone, and another zone's cost grows with each request, so an idle back end of the
+/// gateway's own zone is selected again.
 const CONNECT_FACTOR: f64 = 1.2;
-/// Weight of a failed request against a served one.
+/// Weight of a failed request relative to a successful one.
 const FAILURE_WEIGHT: f64 = 8.0;
-/// A back end that has read the prompt's shared part before costs this much less.
-const WARM_PROMPT_FACTOR: f64 = 0.7;
-/// From this part of the pause objective on, a stall of running streams counts.
-const STALL_FROM: f64 = 0.75;
-/// Weight of a stall, for each pause objective over that.
+/// Cost factor of a back end that has the prompt's shared prefix in its cache.
+const CACHED_PREFIX_FACTOR: f64 = 0.7;
+/// Fraction of the gap objective above which a stall of running streams adds to the cost.
+const STALL_THRESHOLD: f64 = 0.75;
+/// Cost that is added for each multiple of the gap objective above [`STALL_THRESHOLD`].
 const STALL_WEIGHT: f64 = 20.0;
-/// A slower engine costs more by this power of how much slower it is.
-const PACE_POWER: i32 = 3;
-/// A back end without a free slot costs this much more: it queues, or turns away.
+/// Exponent with which an engine's relative gap between events enters the cost.
+const GAP_EXPONENT: i32 = 3;
+/// Cost factor of a back end without a free slot, which would queue or reject the request.
 const FULL_FACTOR: f64 = 3.0;
-/// From so many gateways on, each compares some back ends only: what they know of each
-/// other is half a second old, and all would choose the one that was idle then.
-const MANY_GATEWAYS: usize = 16;
-/// So many back ends are compared then.
-const COMPARED_BY_MANY: usize = 3;
+/// Number of gateways above which each gateway compares only a sample of the back ends. The
+/// gateways' load figures of each other are half a second old, so without sampling all of them
+/// would choose the back end that was idle then.
+const SAMPLING_THRESHOLD: usize = 16;
+/// Number of back ends that are compared when the candidates are sampled.
+const SAMPLE_SIZE: usize = 3;
 /// Width of the random factor that breaks ties.
-const JITTER: f64 = 0.1;
+const JITTER_WIDTH: f64 = 0.1;
 
-/// What counts for the choice.
+/// Properties of a back end that determine its cost.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate {
-    /// Requests that it runs, of all gateways as far as they are known.
+    /// Requests that the back end is running for all gateways, as far as they are known.
     pub running: u32,
-    /// Requests that it can run at once; 0 if that is not known.
+    /// Requests that the back end can run concurrently; 0 if unknown.
     pub slots: u32,
-    /// Whether it is in the gateway's zone.
+    /// Whether the back end is in the gateway's zone.
     pub same_zone: bool,
-    /// Share of failed requests of late, 0 to 1.
+    /// Recent fraction of failed requests, 0 to 1.
     pub failure_rate: f64,
-    /// Its time to answer against the mean of its peers.
+    /// Mean response time relative to the mean of the other candidates.
     pub relative_latency: f64,
-    /// Whether it has read the shared part of the prompt.
+    /// Whether the back end has the prompt's shared prefix in its cache.
     pub warm_prompt: bool,
-    /// Whether a kept connection to it is at hand.
+    /// Whether an idle keep-alive connection to the back end is available.
     pub connected: bool,
-    /// For how long its streams pause while it reads the prompt, as a part of
-    /// the pause objective; 0 if that is not known.
+    /// Duration for which the prefill of the prompt stalls the back end's running streams, as a
+    /// fraction of the gap objective; 0 if unknown.
     pub stall: f64,
-    /// Time between two events of its streams against the fastest candidate's; 1
-    /// if that is not known.
+    /// Time between two events of the back end's streams, relative to the fastest candidate's; 1
+    /// if unknown.
     pub relative_pace: f64,
 }
 
 impl Candidate {
-    /// Whether it has no free slot: it queues, or turns away.
+    /// Whether the back end has no free slot, so that it would queue or reject the request.
     pub fn is_full(&self) -> bool {
         self.slots > 0 && self.running >= self.slots
     }
 }
 
-/// The expected cost of one more request.
+/// The expected cost of sending one more request to the candidate.
 pub fn cost(candidate: &Candidate) -> f64 {
     let zone = if candidate.same_zone {
         1.0
     } else {
         OTHER_ZONE_FACTOR
     };
-    let prompt = if candidate.warm_prompt {
-        WARM_PROMPT_FACTOR
+    let prefix = if candidate.warm_prompt {
+        CACHED_PREFIX_FACTOR
     } else {
         1.0
     };
@@ -76,7 +82,7 @@
     } else {
         CONNECT_FACTOR
     };
-    let stall = 1.0 + STALL_WEIGHT * (candidate.stall - STALL_FROM).max(0.0);
+    let stall = 1.0 + STALL_WEIGHT * (candidate.stall - STALL_THRESHOLD).max(0.0);
     let failures = 1.0 + FAILURE_WEIGHT * candidate.failure_rate;
     let load = f64::from(candidate.running) + 1.0;
     let full = if candidate.is_full() {
@@ -84,35 +90,35 @@
     } else {
         1.0
     };
-    let pace = candidate.relative_pace.powi(PACE_POWER);
-    load * full * pace * zone * prompt * connect * stall * failures * candidate.relative_latency
+    let gap = candidate.relative_pace.powi(GAP_EXPONENT);
+    load * full * gap * zone * prefix * connect * stall * failures * candidate.relative_latency
 }
 
-/// How many back ends one of so many gateways compares.
+/// Number of back ends that one of `gateways` gateways compares.
 pub fn most_compared(gateways: usize) -> usize {
-    if gateways > MANY_GATEWAYS {
-        COMPARED_BY_MANY
+    if gateways > SAMPLING_THRESHOLD {
+        SAMPLE_SIZE
     } else {
         usize::MAX
     }
 }
 
-/// The index of the cheapest of `most` candidates that are drawn by chance.
+/// The index of the cheapest of up to `most` candidates, which are sampled at random.
 pub fn cheapest_of(most: usize, candidates: &[Candidate], random: &mut impl Rng) -> Option<usize> {
     if candidates.len() <= most {
         return cheapest(candidates, random);
     }
-    let drawn = rand::seq::index::sample(random, candidates.len(), most).into_vec();
-    let compared: Vec<Candidate> = drawn.iter().map(|index| candidates[*index]).collect();
+    let sampled = rand::seq::index::sample(random, candidates.len(), most).into_vec();
+    let compared: Vec<Candidate> = sampled.iter().map(|index| candidates[*index]).collect();
     let index = cheapest(&compared, random)?;
-    Some(drawn[index])
+    Some(sampled[index])
 }
 
-/// The index of the cheapest candidate; nearly equal ones are chosen by chance.
+/// The index of the cheapest candidate; nearly equal costs are decided at random.
 pub fn cheapest(candidates: &[Candidate], random: &mut impl Rng) -> Option<usize> {
     let mut best: Option<(usize, f64)> = None;
     for (index, candidate) in candidates.iter().enumerate() {
-        let jitter = 1.0 + JITTER * random.random::<f64>();
+        let jitter = 1.0 + JITTER_WIDTH * random.random::<f64>();
         let cost = cost(candidate) * jitter;
         if best.is_none_or(|(_, least)| cost < least) {
             best = Some((index, cost));
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -1,6 +1,6 @@
-//! The configuration as one immutable value: routes, services, limits.
+//! The configuration as an immutable value: routes, services, limits on clients and tenants.
 //!
-//! In: a version from the configuration source. Out: the route of a request.
+//! Input: a version from the configuration source. Output: look-ups of routes and services.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,22 +11,22 @@
 use crate::back_end::CopyTier;
 use crate::tenant::Tenants;
 
-/// How often a request may run, and how it is answered.
+/// How often a request may be executed, and how it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// May run more than once.
+    /// The request may be executed more than once.
     Idempotent,
-    /// Runs at most once.
+    /// The request is executed at most once.
     Mutating,
-    /// Answered by a series of events.
+    /// The response is a stream of events.
     Stream {
-        /// Whether another back end may continue it.
+        /// Whether another back end may continue an interrupted stream.
         resumable: bool,
     },
 }
 
 impl RequestKind {
-    /// Whether the request may be sent again after it may have run.
+    /// Whether the request may be retried after it may have been executed.
     pub fn may_repeat(self) -> bool {
         match self {
             RequestKind::Idempotent => true,
@@ -35,60 +35,60 @@
         }
     }
 
-    /// Whether it is answered by events.
+    /// Whether the response is a stream of events.
     pub fn is_stream(self) -> bool {
         matches!(self, RequestKind::Stream { .. })
     }
 }
 
-/// A route: which requests go to which services, and on what terms.
+/// A route: maps requests to services and states the terms under which they are served.
 #[derive(Clone, Debug)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The route's name, for logs.
     pub name: Arc<str>,
-    /// Lower-case host, without a port.
+    /// Host in lower case, without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may run.
+    /// How often a request may be executed, and how it is answered.
     pub kind: RequestKind,
-    /// Longest time that a request is held.
+    /// Longest time for which a request is kept open.
     pub timeout: Duration,
-    /// Time within which an answer is in time.
+    /// Objective for the response time.
     pub objective: Duration,
-    /// Longest pause between events that is in time.
+    /// Objective for the longest gap between two events of a stream.
     pub pause_objective: Option<Duration>,
-    /// Rank; 0 is the most urgent.
+    /// Priority rank; 0 is the most urgent.
     pub priority: u8,
-    /// Most back ends that one request is sent to.
+    /// Maximum number of back ends to which one request is sent.
     pub max_attempts: u32,
-    /// Services and their weights; never empty.
+    /// Services and their traffic weights; never empty.
     pub services: Vec<(ServiceId, u32)>,
-    /// Whether it may be used without a key.
+    /// Whether callers may use the route without an API key.
     pub is_public: bool,
 }
 
-/// A model that an engine service may hold.
+/// A model that the back ends of an engine service may load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ModelSpec {
-    /// Memory of its weights, in megabytes.
+    /// Memory of the model's weights, in megabytes.
     pub memory_mb: f64,
     /// Memory of one adapter, in megabytes.
     pub adapter_mb: f64,
-    /// Its place in the operator's list; 0 is the first.
+    /// Position in the operator's list of models; 0 is the first.
     pub rank: usize,
-    /// Its adapters.
+    /// The model's adapters.
     pub adapters: Vec<AdapterId>,
-    /// Time of a load from the weight store.
+    /// Duration of a load from the weight store.
     pub load: Duration,
-    /// Time of a load from the engine's host memory.
+    /// Duration of a load from the engine's host memory.
     pub load_from_memory: Duration,
-    /// Time of a load from the engine's disk.
+    /// Duration of a load from the engine's disk.
     pub load_from_disk: Duration,
 }
 
 impl ModelSpec {
-    /// Time of a load from there.
+    /// Duration of a load from the given tier.
     pub fn load_from(&self, copy: CopyTier) -> Duration {
         match copy {
             CopyTier::WeightStore => self.load,
@@ -98,63 +98,63 @@
     }
 }
 
-/// What a service of model engines offers.
+/// Capabilities of a service whose back ends are model engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
     /// Models by name.
     pub models: HashMap<ModelId, ModelSpec>,
-    /// Memory for weights and adapters of one back end, in megabytes.
+    /// Memory of one back end for weights and adapters, in megabytes.
     pub memory_mb: f64,
-    /// Adapters that one back end holds at most.
+    /// Maximum number of adapters that one back end holds.
     pub adapter_slots: usize,
-    /// Loads from the weight store a second, over all back ends.
+    /// Loads from the weight store per second, over all back ends.
     pub loads_per_second: f64,
-    /// Requests that one back end runs at once.
+    /// Requests that one back end runs concurrently.
     pub slots: u32,
 }
 
 /// A pool of interchangeable back ends.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub id: ServiceId,
-    /// Connections that a back end accepts from all callers.
+    /// Connections that a back end accepts from all callers together.
     pub max_connections: u32,
-    /// Requests a second that a back end of it bears while it is cold, of all gateways together;
-    /// none if cold ones are merely slow.
+    /// Requests per second that a back end sustains while it is warming up, from all gateways
+    /// together; `None` if a back end that is warming up is only slower.
     pub cold_rate: Option<f64>,
-    /// Set where the back ends are model engines.
+    /// Set if the back ends are model engines.
     pub engine: Option<Engine>,
 }
 
-/// What a client may send, and how long it may rest.
+/// Limits on the size of clients' requests and on idle connections.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Largest request head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest request body, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time to send a head.
+    /// Maximum time in which a client has to send a request head.
     pub header_timeout: Duration,
-    /// Longest rest of a kept connection.
+    /// Maximum idle time of a keep-alive connection.
     pub idle_timeout: Duration,
 }
 
 /// One version of the configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// Grows with every change, in uneven steps.
+    /// Version number; increases with every change, not always by one.
     pub version: u64,
     routes: HashMap<String, Vec<Arc<Route>>>,
     services: HashMap<ServiceId, Service>,
     /// Limits on clients.
     pub limits: Limits,
-    /// Who may call; none where callers need no key.
+    /// Tenants that may call; `None` if callers need no API key.
     pub tenants: Option<Tenants>,
 }
 
 impl Configuration {
-    /// Indexes routes by host, longest prefix first.
+    /// Indexes the routes by host, longest prefix first.
     pub fn new(version: u64, routes: Vec<Route>, services: Vec<Service>, limits: Limits) -> Self {
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in routes {
@@ -177,12 +177,12 @@
         }
     }
 
-    /// The same, for callers with keys.
+    /// Returns the configuration with these tenants.
     pub fn with_tenants(self, tenants: Option<Tenants>) -> Self {
         Configuration { tenants, ..self }
     }
 
-    /// The route of a request: that of its host whose prefix begins the path and is longest.
+    /// The route with the longest path prefix that matches the request's host and path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host_name(host);
         self.routes
@@ -191,7 +191,7 @@
             .find(|route| path.starts_with(&route.path_prefix))
     }
 
-    /// A service by name.
+    /// Looks up a service by name.
     pub fn service(&self, id: &ServiceId) -> Option<&Service> {
         self.services.get(id)
     }
@@ -203,7 +203,7 @@
             .filter_map(|service| Some((&service.id, service.engine.as_ref()?)))
     }
 
-    /// Number of routes.
+    /// Number of routes over all hosts.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
--- a/crates/fleet/src/counting_seat.rs
+++ b/crates/fleet/src/counting_seat.rs
@@ -1,70 +1,71 @@
-//! Who counts for which tenants: a fixed number of seats, each held by one gateway under a
-//! lease. Each tenant is counted at two of them, by halves.
+//! Quota shards: partitions of the tenants. The gateway that holds a shard's lease charges the
+//! requests of the shard's tenants. Each tenant is charged at two shards, with half of its quota
+//! at each.
 //!
-//! In: tenants, gateways with their strength. Out: a tenant's seats, and how soon a gateway
-//! takes one that is free. All gateways must agree on a tenant's seats, whatever they know of
-//! each other, so the number of seats is the same everywhere.
+//! Input: tenants, and gateways with their strength. Output: a tenant's shards, and the delay
+//! after which a gateway tries to take a free shard. All gateways must agree on a tenant's shards
+//! whatever they know of each other, so the number of shards is fixed.
 //!
-//! Half of a limit is most of what a tenant usually asks for. When one gateway is lost, the
-//! other half goes on until another gateway has its seat, after 4.6 s. With one seat for each
-//! tenant, half of them at the gateway that was lost, 1,163 requests were refused in the 4.3 s
-//! after that (one day of 87 gateways, some 300 requests a second).
+//! Half of a quota covers most of a tenant's usual demand. When a gateway is lost, the other half
+//! stays available until another gateway holds the shard, which takes 4.6 s. With one shard per
+//! tenant, and half of the shards at the gateway that was lost, 1,163 requests were rejected in
+//! the 4.3 s after the loss (one day of 87 gateways, some 300 requests per second).
 
 use std::cmp::Reverse;
 
 use gorsebank_world::TenantId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Seats. Each costs a write of the table every one and a half seconds.
+/// Number of quota shards. Each costs one write to the table every 1.5 s.
 pub const SEATS: usize = 6;
-/// Seats at which each tenant is counted, next to each other.
+/// Number of shards at which each tenant is charged. Their indices are consecutive.
 pub const HALVES: usize = 2;
-/// Each gateway that comes before another one for a seat has so much time to take it, in
-/// milliseconds.
-const TURN: u64 = 150;
-/// One that holds a seat already leaves another one to others for so long, in milliseconds.
-const SEATED_DELAY: u64 = 450;
-/// Longest delay of the strongest gateways, and the delay of all others on top, in
-/// milliseconds.
-const LONGEST_DELAY: u64 = 1_500;
-/// How names of seats' leases begin.
+/// Delay that each gateway earlier in the order adds to the later ones' attempt to take a shard.
+const TURN_MS: u64 = 150;
+/// Delay that each shard that a gateway holds adds to its attempt to take another one.
+const DELAY_PER_HELD_SHARD_MS: u64 = 450;
+/// Upper bound of the delay among the strongest gateways, and the additional delay of all other
+/// gateways.
+const MAX_DELAY_MS: u64 = 1_500;
+/// Prefix of the names of the shards' leases.
 const LEASE_PREFIX: &str = "count-";
 
-/// The seats at which a tenant is counted.
+/// The shards at which a tenant is charged.
 pub fn seats_of(tenant: &TenantId) -> [usize; HALVES] {
     let pairs = (SEATS / HALVES) as u64;
     let first = (xxh3_64(tenant.as_str().as_bytes()) % pairs) as usize * HALVES;
     std::array::from_fn(|half| first + half)
 }
 
-/// How the lease of a seat is named.
-pub fn lease_name(seat: usize) -> String {
-    format!("{LEASE_PREFIX}{seat}")
+/// The name of a shard's lease.
+pub fn lease_name(shard: usize) -> String {
+    format!("{LEASE_PREFIX}{shard}")
 }
 
-/// The seat of a lease; none if it is another lease.
+/// The shard of a lease; `None` if the lease is not that of a shard.
 pub fn seat_of_lease(name: &str) -> Option<usize> {
-    let seat = name.strip_prefix(LEASE_PREFIX)?.parse().ok()?;
-    (seat < SEATS).then_some(seat)
+    let shard = name.strip_prefix(LEASE_PREFIX)?.parse().ok()?;
+    (shard < SEATS).then_some(shard)
 }
 
-/// The other half of the tenants that are counted at a seat.
-fn partner_of(seat: usize) -> usize {
-    seat ^ 1
+/// The shard that charges the other half of the same tenants.
+fn partner_of(shard: usize) -> usize {
+    shard ^ 1
 }
 
-/// A seat that a gateway should leave to another one, and to whom.
+/// A shard that a gateway should hand over, and the gateway that should take it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeatToSpread<'a> {
-    /// The seat.
+    /// The shard.
     pub seat: usize,
-    /// A gateway that could count there.
+    /// Name of the gateway that should take the shard.
     pub to: &'a str,
 }
 
-/// Which of its seats the gateway `own` should leave to one of `others`, gateways that are as
-/// strong. It keeps no tenant's two halves, since both would be lost with it, and not all seats
-/// while another gateway has none. `holders` are those of all seats, as far as they are known.
+/// Selects a shard that the gateway `own` should hand over to one of `others`, which are gateways
+/// of the same strength. No gateway keeps both shards of a tenant, since both would be lost with
+/// it, or more than one shard while another gateway has none. `holders` are the known holders of
+/// all shards.
 pub fn seat_to_spread<'a>(
     own: &str,
     holders: &[Option<&str>; SEATS],
@@ -80,69 +81,73 @@
         .iter()
         .copied()
         .min_by_key(|name| (held(name), *name))?;
-    let mine = (0..SEATS).rev().filter(|seat| holders[*seat] == Some(own));
-    let has_both = |seat: &usize| holders[partner_of(*seat)] == Some(own);
-    let second_half = mine.clone().find(has_both);
-    let one_too_many = mine
+    let own_shards = (0..SEATS)
+        .rev()
+        .filter(|shard| holders[*shard] == Some(own));
+    let holds_partner = |shard: &usize| holders[partner_of(*shard)] == Some(own);
+    let second_shard = own_shards.clone().find(holds_partner);
+    let surplus = own_shards
         .clone()
         .next()
         .filter(|_| held(own) > 1 && held(to) == 0);
-    let seat = second_half.or(one_too_many)?;
-    Some(SeatToSpread { seat, to })
+    let shard = second_shard.or(surplus)?;
+    Some(SeatToSpread { seat: shard, to })
 }
 
-/// A gateway that may hold a seat.
+/// A gateway that may hold a shard.
 #[derive(Clone, Copy, Debug)]
 pub struct SeatCandidate<'a> {
-    /// Its name.
+    /// The gateway's name.
     pub name: &'a str,
-    /// Whether its processor is among the strongest.
+    /// Whether the gateway's processor is among the strongest.
     pub is_strong: bool,
 }
 
-/// In which order the gateway `own` comes for seats.
+/// The position of the gateway `own` in the order in which gateways take free shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SeatOrder {
-    /// Its place among those that are as strong; none if it is not known.
-    place: Option<usize>,
-    /// How many are as strong.
-    equals: usize,
+    /// Index among the gateways of the same strength; `None` if unknown.
+    position: Option<usize>,
+    /// Number of gateways of the same strength.
+    peers: usize,
     is_strong: bool,
 }
 
 impl SeatOrder {
-    /// The order of one gateway among all that are known.
+    /// Determines the position of the gateway `own` among all known gateways.
     pub fn new(own: &str, candidates: &[SeatCandidate<'_>]) -> Self {
-        let is_strong = candidates.iter().any(|it| it.name == own && it.is_strong);
-        let mut equals: Vec<&str> = candidates
+        let is_strong = candidates
             .iter()
-            .filter(|it| it.is_strong == is_strong)
-            .map(|it| it.name)
+            .any(|candidate| candidate.name == own && candidate.is_strong);
+        let mut peers: Vec<&str> = candidates
+            .iter()
+            .filter(|candidate| candidate.is_strong == is_strong)
+            .map(|candidate| candidate.name)
             .collect();
-        equals.sort_by_key(|name| (Reverse(xxh3_64(name.as_bytes())), *name));
+        peers.sort_by_key(|name| (Reverse(xxh3_64(name.as_bytes())), *name));
         SeatOrder {
-            place: equals.iter().position(|name| *name == own),
-            equals: equals.len(),
+            position: peers.iter().position(|name| *name == own),
+            peers: peers.len(),
             is_strong,
         }
     }
 
-    /// For how long the gateway that holds these seats leaves a free one to others, in
-    /// milliseconds: longer where it counts the other half of the same tenants.
-    pub fn delay_beside(&self, seat: usize, held: &[bool; SEATS]) -> u64 {
+    /// Delay in milliseconds after which the gateway, which holds the shards in `held`, tries to
+    /// take a free one. It is longer if the gateway holds the other shard of the same tenants.
+    pub fn delay_beside(&self, shard: usize, held: &[bool; SEATS]) -> u64 {
         let count = held.iter().filter(|held| **held).count();
-        let partner = if held[partner_of(seat)] { HALVES } else { 0 };
-        self.delay(seat, count + partner)
+        let partner = if held[partner_of(shard)] { HALVES } else { 0 };
+        self.delay(shard, count + partner)
     }
 
-    /// For how long the gateway leaves a free seat to others, in milliseconds; it holds
-    /// `held` of the others already. Another gateway comes first for each seat.
-    pub fn delay(&self, seat: usize, held: usize) -> u64 {
-        let turns = self.place.map_or(LONGEST_DELAY, |place| {
-            let rank = (place + self.equals - seat % self.equals) % self.equals;
-            (TURN * rank as u64).min(LONGEST_DELAY)
+    /// Delay in milliseconds after which the gateway, which holds `held` other shards, tries to
+    /// take a free one. For each shard another gateway comes first.
+    pub fn delay(&self, shard: usize, held: usize) -> u64 {
+        let turn_delay = self.position.map_or(MAX_DELAY_MS, |position| {
+            let rank = (position + self.peers - shard % self.peers) % self.peers;
+            (TURN_MS * rank as u64).min(MAX_DELAY_MS)
         });
-        let weakness = if self.is_strong { 0 } else { LONGEST_DELAY };
-        turns + weakness + SEATED_DELAY * held as u64
+        let strength_delay = if self.is_strong { 0 } else { MAX_DELAY_MS };
+        turn_delay + strength_delay + DELAY_PER_HELD_SHARD_MS * held as u64
     }
 }
--- a/crates/fleet/src/departures.rs
+++ b/crates/fleet/src/departures.rs
@@ -1,9 +1,10 @@
-//! Back ends that have said that they leave: in a row, in an answer, or to another gateway.
+//! Back ends that have announced that they are draining: in a row, in a response, or through
+//! another gateway.
 //!
-//! In: what each of them says, and what other gateways tell. Out: whether a life of a back end
-//! leaves, and what is to be told on. A departure is not taken back within that life, so it is
-//! kept when the back end's row goes and comes again. What is told counts by age, so no clock is
-//! compared between gateways.
+//! Input: announcements of back ends, and notices of other gateways. Output: whether an
+//! incarnation of a back end is draining, and the notices to send on. An incarnation never takes
+//! its announcement back, so the notice is kept while the back end's row is missing. Notices carry
+//! an age, so that no clocks are compared between gateways.
 
 use std::collections::HashMap;
 
@@ -11,61 +12,61 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::BackEndHash;
-use crate::telling::{MEMORY, newest};
+use crate::telling::{RETENTION_MS, newest_notices};
 
-/// What one gateway tells another of a back end that leaves.
+/// Notice from one gateway to another that a back end is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldDeparture {
-    /// The back end, in its present life.
+    /// The incarnation of the back end.
     #[serde(rename = "b")]
     pub back_end: BackEndHash,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the back end's announcement, in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
 }
 
-/// The departures that this gateway knows of.
+/// The draining back ends that this gateway knows.
 #[derive(Debug, Default)]
 pub struct Departures {
-    said: HashMap<BackEndHash, Timestamp>,
+    announced: HashMap<BackEndHash, Timestamp>,
 }
 
 impl Departures {
-    /// A back end says that it leaves. True if that is news.
+    /// Records the announcement of a back end that it is draining. Returns true if it is new.
     pub fn note(&mut self, now: Timestamp, back_end: BackEndHash) -> bool {
-        self.forget_old(now);
-        self.said.insert(back_end, now).is_none()
+        self.remove_expired(now);
+        self.announced.insert(back_end, now).is_none()
     }
 
-    /// Another gateway tells of back ends that leave. Out: those that are news. What is known
-    /// does not grow younger by being told, or it would go round for ever.
-    pub fn take(&mut self, now: Timestamp, told: &[ToldDeparture]) -> Vec<BackEndHash> {
-        self.forget_old(now);
-        let mut news = Vec::new();
-        for departure in told.iter().filter(|departure| departure.age < MEMORY) {
-            if !self.contains(departure.back_end) {
-                self.said.insert(departure.back_end, now - departure.age);
-                news.push(departure.back_end);
+    /// Merges the notices of another gateway and returns the back ends that were not known to be
+    /// draining. A known notice keeps its age, or gateways would pass it on to each other for ever.
+    pub fn take(&mut self, now: Timestamp, notices: &[ToldDeparture]) -> Vec<BackEndHash> {
+        self.remove_expired(now);
+        let mut added = Vec::new();
+        for notice in notices.iter().filter(|notice| notice.age < RETENTION_MS) {
+            if !self.contains(notice.back_end) {
+                self.announced.insert(notice.back_end, now - notice.age);
+                added.push(notice.back_end);
             }
         }
-        news
+        added
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        self.said.retain(|_, at| now.since(*at) < MEMORY);
+    fn remove_expired(&mut self, now: Timestamp) {
+        self.announced.retain(|_, at| now.since(*at) < RETENTION_MS);
     }
 
-    /// Whether a back end has said that it leaves.
+    /// Whether a back end has announced that it is draining.
     pub fn contains(&self, back_end: BackEndHash) -> bool {
-        self.said.contains_key(&back_end)
+        self.announced.contains_key(&back_end)
     }
 
-    /// What other gateways should know.
+    /// The notices to send to other gateways.
     pub fn told(&self, now: Timestamp) -> Vec<ToldDeparture> {
-        let told = self.said.iter().map(|(back_end, at)| ToldDeparture {
+        let notices = self.announced.iter().map(|(back_end, at)| ToldDeparture {
             back_end: *back_end,
             age: now.since(*at),
         });
-        newest(told, |departure| departure.age)
+        newest_notices(notices, |notice| notice.age)
     }
 }
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -1,42 +1,41 @@
-//! Cuts a stream of bytes into whole events and reads their ids.
+//! Splits a byte stream of server-sent events into complete events and extracts their ids.
 //!
-//! In: bytes as they arrive. Out: whole events, each with its id. Bytes of an
-//! event that is not yet whole are kept back, so that a caller never gets a
-//! part of an event.
+//! Input: bytes as they arrive. Output: complete events, each with its id. Bytes of an incomplete
+//! event are buffered, so a caller never receives part of an event.
 
 use bytes::{Bytes, BytesMut};
 
-/// An event ends with an empty line.
+/// Terminator of an event: an empty line.
 const EVENT_END: &[u8] = b"\n\n";
-/// The same with carriage returns.
+/// Terminator of an event whose lines end with a carriage return and a line feed.
 const EVENT_END_CR: &[u8] = b"\r\n\r\n";
-/// Field that holds the id of an event.
+/// Name of the field that holds an event's id.
 const ID_FIELD: &[u8] = b"id:";
-/// An event that is longer than this is refused, in bytes.
+/// Maximum size of an event; a longer one is an error.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WholeEvent {
-    /// Its bytes, with the empty line.
+    /// The event's bytes, including the empty line at the end.
     pub bytes: Bytes,
-    /// Its id, if it has one.
+    /// The event's id, if it has one.
     pub id: Option<String>,
 }
 
-/// An event grew over the limit.
+/// Error: an event exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Bytes that do not yet make an event.
+/// Splits a stream into events and buffers the bytes of an incomplete one.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    searched: usize,
+    searched_len: usize,
 }
 
 impl EventSplitter {
-    /// Adds bytes.
+    /// Appends bytes to the buffer.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         if self.buffer.len() > MAX_EVENT_BYTES {
@@ -45,36 +44,36 @@
         Ok(())
     }
 
-    /// The next whole event, if one has arrived.
+    /// Returns the next complete event, if one has been received.
     pub fn next_event(&mut self) -> Option<WholeEvent> {
         let Some(end) = self.find_end() else {
-            self.searched = self.buffer.len().saturating_sub(EVENT_END_CR.len());
+            self.searched_len = self.buffer.len().saturating_sub(EVENT_END_CR.len());
             return None;
         };
-        self.searched = 0;
+        self.searched_len = 0;
         let bytes = self.buffer.split_to(end).freeze();
         let id = event_id(&bytes);
         Some(WholeEvent { bytes, id })
     }
 
-    /// Whether bytes of an event that is not whole are kept back.
+    /// Whether bytes of an incomplete event are buffered.
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 
     fn find_end(&self) -> Option<usize> {
-        let unread = &self.buffer[self.searched..];
-        let plain = find(unread, EVENT_END).map(|at| at + EVENT_END.len());
-        let with_cr = find(unread, EVENT_END_CR).map(|at| at + EVENT_END_CR.len());
+        let unsearched = &self.buffer[self.searched_len..];
+        let plain = find_pattern(unsearched, EVENT_END).map(|at| at + EVENT_END.len());
+        let with_cr = find_pattern(unsearched, EVENT_END_CR).map(|at| at + EVENT_END_CR.len());
         let end = match (plain, with_cr) {
             (Some(one), Some(other)) => one.min(other),
             (one, other) => one.or(other)?,
         };
-        Some(self.searched + end)
+        Some(self.searched_len + end)
     }
 }
 
-fn find(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
+fn find_pattern(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
     bytes
         .windows(pattern.len())
         .position(|window| window == pattern)
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,88 +1,89 @@
-//! How well a back end has answered of late, as one gateway saw it.
+//! Recent health of a back end, as observed by one gateway.
 //!
-//! A back end that does not answer at all is left alone for a while; the pause
-//! doubles with each further failure and ends with the first answer.
+//! Input: outcomes of requests. Output: failure rate, mean latency, and whether the back end is
+//! paused. A back end that cannot be reached is sent no requests for a pause, which doubles with
+//! each further failure and ends with the first response.
 
 use gorsebank_coordination::Timestamp;
 
-/// Weight of the newest answer in the running means.
-const NEWEST_WEIGHT: f64 = 0.2;
-/// First pause after a connection failed, in milliseconds.
-const FIRST_PAUSE: u64 = 400;
-/// Longest pause, in milliseconds.
-const LONGEST_PAUSE: u64 = 4_000;
-/// The failure rate halves in this time without requests, in milliseconds.
-const FAILURE_HALF_LIFE: f64 = 4_000.0;
-/// A mean time to answer is believed for so long after the last answer, in milliseconds: a back end
-/// that was slow for a while gets another try, though its peers could take all requests.
-const LATENCY_LIFETIME: u64 = 5_000;
+/// Weight of the newest outcome in the moving averages.
+const SMOOTHING_FACTOR: f64 = 0.2;
+/// Pause after the first failed connection.
+const MIN_PAUSE_MS: u64 = 400;
+/// Upper bound of the pause.
+const MAX_PAUSE_MS: u64 = 4_000;
+/// Half-life of the failure rate while no requests are sent.
+const FAILURE_HALF_LIFE_MS: f64 = 4_000.0;
+/// Time after the last response for which a mean latency is used. After it, a back end that was
+/// slow for a while is tried again even if the other back ends could take all requests.
+const LATENCY_LIFETIME_MS: u64 = 5_000;
 
-/// Running means over one back end's answers.
+/// Moving averages over one back end's responses.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
     failure_rate: f64,
-    failure_noted: Timestamp,
+    failure_rate_updated: Timestamp,
     latency: Option<MeanLatency>,
-    pause: u64,
+    pause_ms: u64,
     paused_until: Timestamp,
 }
 
-/// A running mean of times to answer.
+/// A moving average of response times.
 #[derive(Clone, Copy, Debug)]
 struct MeanLatency {
-    /// In milliseconds.
+    /// The average, in milliseconds.
     mean: f64,
-    /// When the last answer came.
-    noted: Timestamp,
+    /// When the last response was received.
+    updated: Timestamp,
 }
 
 impl Health {
-    /// An answer came, `latency` milliseconds after the request was sent.
+    /// Records a response that was received `latency` milliseconds after the request was sent.
     pub fn answered(&mut self, now: Timestamp, latency: u64) {
-        self.note(now, 0.0);
+        self.update_failure_rate(now, 0.0);
         let latency = latency as f64;
-        let former = self.latency(now).unwrap_or(latency);
+        let previous = self.latency(now).unwrap_or(latency);
         self.latency = Some(MeanLatency {
-            mean: former + NEWEST_WEIGHT * (latency - former),
-            noted: now,
+            mean: previous + SMOOTHING_FACTOR * (latency - previous),
+            updated: now,
         });
-        self.pause = 0;
+        self.pause_ms = 0;
         self.paused_until = Timestamp(0);
     }
 
-    /// It answered with an error of its own.
+    /// Records an error response of the back end.
     pub fn failed(&mut self, now: Timestamp) {
-        self.note(now, 1.0);
-        self.pause = 0;
+        self.update_failure_rate(now, 1.0);
+        self.pause_ms = 0;
     }
 
-    /// It could not be reached, or broke off, or said nothing.
+    /// Records a failed connection, a connection that broke, or a timeout.
     pub fn unreachable(&mut self, now: Timestamp) {
-        self.note(now, 1.0);
-        self.pause = (self.pause * 2).clamp(FIRST_PAUSE, LONGEST_PAUSE);
-        self.paused_until = now + self.pause;
+        self.update_failure_rate(now, 1.0);
+        self.pause_ms = (self.pause_ms * 2).clamp(MIN_PAUSE_MS, MAX_PAUSE_MS);
+        self.paused_until = now + self.pause_ms;
     }
 
-    /// Whether it is left alone for now.
+    /// Whether the gateway currently sends the back end no requests.
     pub fn is_paused(&self, now: Timestamp) -> bool {
         now < self.paused_until
     }
 
-    /// Share of failures of late, 0 to 1.
+    /// Recent fraction of failed requests, 0 to 1.
     pub fn failure_rate(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.failure_noted) as f64;
-        self.failure_rate * (-age / FAILURE_HALF_LIFE).exp2()
+        let age = now.since(self.failure_rate_updated) as f64;
+        self.failure_rate * (-age / FAILURE_HALF_LIFE_MS).exp2()
     }
 
-    /// Mean time to answer in milliseconds, if one is known that is not too old.
+    /// Mean response time in milliseconds; `None` if there was no recent response.
     pub fn latency(&self, now: Timestamp) -> Option<f64> {
         let known = self.latency?;
-        (now.since(known.noted) < LATENCY_LIFETIME).then_some(known.mean)
+        (now.since(known.updated) < LATENCY_LIFETIME_MS).then_some(known.mean)
     }
 
-    fn note(&mut self, now: Timestamp, outcome: f64) {
-        let former = self.failure_rate(now);
-        self.failure_rate = former + NEWEST_WEIGHT * (outcome - former);
-        self.failure_noted = now;
+    fn update_failure_rate(&mut self, now: Timestamp, outcome: f64) {
+        let previous = self.failure_rate(now);
+        self.failure_rate = previous + SMOOTHING_FACTOR * (outcome - previous);
+        self.failure_rate_updated = now;
     }
 }
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -1,45 +1,48 @@
-//! Which life of a back end something speaks of.
+//! Tells the incarnations of a back end apart.
 //!
-//! A back end may start again under the name that it had; it then holds and knows nothing of
-//! before, and counts its orders anew. Whatever it says of itself names its start, and all that
-//! is kept by its name is compared with that here and nowhere else.
+//! A back end may restart under the same name. The new process has none of the previous one's
+//! state and counts its orders from 0. Everything that a back end reports carries its start time,
+//! and all state that is stored under a back end's name is compared with that start time in this
+//! module only.
 //!
-//! In: starts as rows, reports and gateways tell them, in any order. Out: whether one speaks of
-//! the life that is known, of another that takes its place, or of a life that is over.
+//! Input: start times from rows, reports and other gateways, in any order. Output: whether a start
+//! time belongs to the known incarnation, to another one that replaces it, or to one that is over.
 
 use gorsebank_coordination::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// An earlier start that nothing contradicts for so long is a later one, by a clock that was
-/// set back, in milliseconds: four heartbeats of users' back ends, which write each 1.2 s, so a
-/// heartbeat that was under way when a back end ended is over.
-const EARLIER_IS_BELIEVED_AFTER: u64 = 5_000;
+/// Time after which an earlier start time is accepted as that of a newer incarnation, if the known
+/// one was not received meanwhile: the back end's clock was set back. The value is four heartbeats
+/// of a user's back end, which are 1.2 s apart, so a heartbeat that was in flight when the back
+/// end exited no longer arrives.
+const EARLIER_START_ACCEPTED_AFTER_MS: u64 = 5_000;
 
-/// When a back end started, in milliseconds since the epoch by its own machine's clock.
+/// Start time of a back end's process, in milliseconds since the Unix epoch by the clock of the
+/// back end's machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Born(pub u64);
 
-/// What something that was told of a back end speaks of.
+/// Relation of a received start time to the known incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// Of the life that is known, or of none in particular.
+    /// The start time is that of the known incarnation, or is not stated.
     Same,
-    /// Of another life, which is the known one from now on.
+    /// The start time is that of another incarnation, which replaces the known one.
     Other,
-    /// Of one that is over, as far as is known.
+    /// The start time is that of an incarnation that is over, as far as is known.
     Outdated,
 }
 
-/// The life of a back end that is known.
+/// The current incarnation of a back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Incarnation {
     born: Option<Born>,
-    /// An earlier start that was told, and since when nothing else was.
+    /// An earlier start time that was received, and since when no other one was.
     earlier: Option<(Born, Timestamp)>,
 }
 
 impl Incarnation {
-    /// A back end that was first heard of, with its start if that is told.
+    /// A newly discovered back end, with its start time if it is known.
     pub fn new(born: Option<Born>) -> Self {
         Incarnation {
             born,
@@ -47,44 +50,46 @@
         }
     }
 
-    /// Its start, if that is known.
+    /// The start time, if it is known.
     pub fn born(&self) -> Option<Born> {
         self.born
     }
 
-    /// Whether something with this start may speak of the life that is known: what bears none was
-    /// said, or asked, when that was not told yet.
-    pub fn may_be(&self, told: Option<Born>) -> bool {
-        match (self.born, told) {
-            (Some(known), Some(told)) => known == told,
+    /// Whether information with this start time may concern the known incarnation. Information
+    /// without a start time may, since it was sent or requested before the start time was known.
+    pub fn may_be(&self, received: Option<Born>) -> bool {
+        match (self.born, received) {
+            (Some(known), Some(received)) => known == received,
             _ => true,
         }
     }
 
-    /// Takes in a start that was told. A later one takes the place of the known one at once,
-    /// an earlier one only when the known one was not heard of for a while.
-    pub fn hear(&mut self, now: Timestamp, told: Option<Born>) -> Heard {
-        let (Some(known), Some(told)) = (self.born, told) else {
-            self.born = self.born.or(told);
+    /// Applies a received start time. A later one replaces the known one at once, an earlier one
+    /// only if the known one was not received for `EARLIER_START_ACCEPTED_AFTER_MS`.
+    pub fn hear(&mut self, now: Timestamp, received: Option<Born>) -> Heard {
+        let (Some(known), Some(received)) = (self.born, received) else {
+            self.born = self.born.or(received);
             return Heard::Same;
         };
-        if told == known {
+        if received == known {
             self.earlier = None;
             return Heard::Same;
         }
-        if told < known && !self.is_believed(now, told) {
+        if received < known && !self.is_accepted(now, received) {
             return Heard::Outdated;
         }
-        *self = Incarnation::new(Some(told));
+        *self = Incarnation::new(Some(received));
         Heard::Other
     }
 
-    /// Whether this earlier start has been told, and nothing else, for long enough.
-    fn is_believed(&mut self, now: Timestamp, told: Born) -> bool {
+    /// Whether this earlier start time, and no other, has been received for long enough.
+    fn is_accepted(&mut self, now: Timestamp, received: Born) -> bool {
         match self.earlier {
-            Some((born, since)) if born == told => now.since(since) >= EARLIER_IS_BELIEVED_AFTER,
+            Some((born, since)) if born == received => {
+                now.since(since) >= EARLIER_START_ACCEPTED_AFTER_MS
+            }
             _ => {
-                self.earlier = Some((told, now));
+                self.earlier = Some((received, now));
                 false
             }
         }
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,65 +1,67 @@
-//! The placement lease: one row of the table, kept by conditional writes.
+//! A lease, such as the placement lease: one row of the table, changed by conditional writes only.
 //!
-//! In: the row as read, the outcome of writes, steady time. Out: what to do
-//! next. The fence is the table's version of the write that took the lease, so
-//! it rises with every holder and no clock is compared between nodes.
+//! Input: the row as read, the outcomes of writes, and monotonic time. Output: the next step. The
+//! fencing token is the table's version of the write that took the lease. It increases with every
+//! holder, and no clocks are compared between nodes.
 //!
-//! Invariants: a holder gives orders only until `lease x ORDER_PART` after it
-//! *sent* its last successful write, and none from when it sends the write that hands
-//! the lease back, whether or not that has an answer; another node takes the lease only when it
-//! has seen the same version for `lease x TAKE_PART`; a node that lost the lease
-//! leaves it to others for `COOL_DOWN` leases, so holders do not take turns. A
-//! crash at any line leaves a row that nobody renews.
+//! Invariants: a holder gives orders only until `lease * ORDER_FRACTION` after it *sent* its last
+//! successful write, and none once it has sent the write that hands the lease back, whether or not
+//! that write is confirmed. Another node takes the lease only when it has seen the same version for
+//! `lease * TAKE_FRACTION`. A node that lost the lease does not take it for
+//! `lease * COOL_DOWN_LEASES`, so that holders do not alternate. A crash at any point leaves a row
+//! that no node renews.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_world::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// Part of the lease within which its holder gives orders.
-const ORDER_PART: f64 = 0.8;
-/// Part of the lease after which another node takes it.
-const TAKE_PART: f64 = 1.1;
-/// Leases for which a node that lost it does not try to take it again.
-const COOL_DOWN: u64 = 3;
-/// Part of the lease after which it is renewed.
-const RENEW_PART: f64 = 0.35;
-/// After so long a part of the lease without a look nothing is known of what its holder
-/// did meanwhile: it may have been kept from renewing the lease, as this node from looking.
-const BLIND_PART: f64 = 0.8;
-/// Part of the lease between two looks at another's lease: these cost no call.
-const LOOK_PART: f64 = 0.12;
+/// Fraction of the lease within which its holder gives orders.
+const ORDER_FRACTION: f64 = 0.8;
+/// Fraction of the lease after which another node takes it.
+const TAKE_FRACTION: f64 = 1.1;
+/// Number of lease durations for which a node that lost the lease does not take it again.
+const COOL_DOWN_LEASES: u64 = 3;
+/// Fraction of the lease after which its holder renews it.
+const RENEW_FRACTION: f64 = 0.35;
+/// Fraction of the lease after the last read at which a node's knowledge of the holder is void:
+/// the holder may have been kept from renewing the lease by the same fault that kept this node
+/// from reading it.
+const STALE_FRACTION: f64 = 0.8;
+/// Fraction of the lease between two reads of another holder's row. These reads cost no call of
+/// the table.
+const READ_FRACTION: f64 = 0.12;
 
-/// The row.
+/// The row of a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Who holds it; none once it was handed back.
+    /// The holder; `None` after the lease was handed back.
     pub holder: Option<NodeId>,
-    /// A random number of the holder's process.
+    /// Random number that identifies the holder's process.
     pub process: u64,
-    /// Counts the writes of that process.
+    /// Number of writes of that process.
     pub write: u64,
 }
 
-/// Whether a node would hold the lease.
+/// Whether, and after which delay, a node is a candidate for the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Offer {
-    /// Not now; a holder hands it back.
+    /// The node is no candidate; if it holds the lease, it hands it back.
     Never,
-    /// So many milliseconds after it could be taken at the earliest: stronger nodes
-    /// take it first.
+    /// The node takes the lease this number of milliseconds after the lease becomes free, so that
+    /// stronger nodes can take it first.
     After(u64),
 }
 
-/// What to do next.
+/// The next step of a [`LeaseKeeper`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LeaseStep {
-    /// Nothing until this time.
+    /// Do nothing until this time.
     Wait(Timestamp),
     /// Read the row.
     Read,
-    /// Write `row` if the row still has version `expected` (0: absent).
+    /// Write `row` if the table's row still has version `expected` (0: the row does not exist).
     Write {
-        /// Version that the row must have.
+        /// The required version of the row.
         expected: u64,
         /// The new row.
         row: LeaseRow,
@@ -72,102 +74,105 @@
     Holder { fence: u64, renewed: Timestamp },
 }
 
-/// One node's part in keeping the lease.
+/// The state of one node that competes for or holds the lease.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     node: NodeId,
     process: u64,
-    lease: u64,
+    lease_ms: u64,
     role: Role,
     writes: u64,
     version: Option<u64>,
-    free: bool,
-    seen_since: Timestamp,
-    looked: Option<Timestamp>,
-    sent: Timestamp,
-    lost: Option<Timestamp>,
+    is_free: bool,
+    version_since: Timestamp,
+    last_read: Option<Timestamp>,
+    write_sent: Timestamp,
+    lost_at: Option<Timestamp>,
     held_since: Option<Timestamp>,
-    /// A write that hands the lease back was sent: others may hold the lease from then on.
-    hands_back: bool,
-    /// Something is to be written beside the lease soon.
-    renews_soon: bool,
+    /// Whether a write that hands the lease back was sent: another node may hold the lease since.
+    release_sent: bool,
+    /// Whether other data is to be written together with the lease soon.
+    renewal_requested: bool,
 }
 
 impl LeaseKeeper {
-    /// A follower. `process` is a random number, `lease` is in milliseconds.
-    pub fn new(node: NodeId, process: u64, lease: u64) -> Self {
+    /// Starts as a follower. `process` is a random number, `lease_ms` the duration of the lease in
+    /// milliseconds.
+    pub fn new(node: NodeId, process: u64, lease_ms: u64) -> Self {
         LeaseKeeper {
             node,
             process,
-            lease,
+            lease_ms,
             role: Role::Follower,
             writes: 0,
             version: None,
-            free: false,
-            seen_since: Timestamp(0),
-            looked: None,
-            sent: Timestamp(0),
-            lost: None,
+            is_free: false,
+            version_since: Timestamp(0),
+            last_read: None,
+            write_sent: Timestamp(0),
+            lost_at: None,
             held_since: None,
-            hands_back: false,
-            renews_soon: false,
+            release_sent: false,
+            renewal_requested: false,
         }
     }
 
-    /// The fence under which orders may be given at `now`.
+    /// The fencing token under which orders may be given at `now`; `None` if none may be given.
     pub fn fence(&self, now: Timestamp) -> Option<u64> {
         let Role::Holder { fence, renewed } = self.role else {
             return None;
         };
-        let valid = !self.hands_back && now.since(renewed) < self.part(ORDER_PART);
+        let valid = !self.release_sent && now.since(renewed) < self.fraction_ms(ORDER_FRACTION);
         valid.then_some(fence)
     }
 
-    /// A holder's next step renews the lease, whenever that was done last.
+    /// Makes the holder's next step a renewal, regardless of the time of the last one.
     pub fn renew_soon(&mut self) {
-        self.renews_soon = true;
+        self.renewal_requested = true;
     }
 
-    /// Whether this node took the lease and has not lost it since.
+    /// Whether this node has taken the lease and has not lost it since.
     pub fn is_holder(&self) -> bool {
         matches!(self.role, Role::Holder { .. })
     }
 
-    /// How long this node has held the lease without a break, in milliseconds.
+    /// How long this node has held the lease without interruption, in milliseconds.
     pub fn held_for(&self, now: Timestamp) -> Option<u64> {
         let since = self.held_since.filter(|_| self.is_holder())?;
         Some(now.since(since))
     }
 
-    /// What to do next, on a node that offers itself so.
-    pub fn step(&mut self, now: Timestamp, offer: Offer) -> LeaseStep {
+    /// Determines the next step of a node with this candidacy.
+    pub fn step(&mut self, now: Timestamp, candidacy: Offer) -> LeaseStep {
         if let Role::Holder { renewed, .. } = self.role {
-            return self.holder_step(now, renewed, offer != Offer::Never);
+            return self.holder_step(now, renewed, candidacy != Offer::Never);
         }
-        let next_look = self.looked.map(|at| at + self.part(LOOK_PART));
+        let next_read = self
+            .last_read
+            .map(|at| at + self.fraction_ms(READ_FRACTION));
         let Some(version) = self.version else {
-            return match next_look {
+            return match next_read {
                 Some(at) if at > now => LeaseStep::Wait(at),
                 _ => LeaseStep::Read,
             };
         };
-        let free_at = if self.free {
-            self.seen_since
+        let free_at = if self.is_free {
+            self.version_since
         } else {
-            self.seen_since + self.part(TAKE_PART)
+            self.version_since + self.fraction_ms(TAKE_FRACTION)
         };
-        let take_at = match offer {
+        let take_at = match candidacy {
             Offer::Never => None,
             Offer::After(delay) => Some(free_at + delay),
         };
-        let cools_down = self
-            .lost
-            .is_some_and(|at| now.since(at) < COOL_DOWN * self.lease);
-        let takes = take_at.is_some_and(|at| now >= at);
-        if takes && !cools_down {
+        let is_cooling_down = self
+            .lost_at
+            .is_some_and(|at| now.since(at) < COOL_DOWN_LEASES * self.lease_ms);
+        let may_take = take_at.is_some_and(|at| now >= at);
+        if may_take && !is_cooling_down {
             return self.write(now, version, Some(self.node.clone()));
         }
-        match next_look {
+        match next_read {
             Some(at) if at > now => {
                 let take_at = take_at.filter(|take| *take > now);
                 LeaseStep::Wait(take_at.map_or(at, |take| at.min(take)))
@@ -181,11 +186,11 @@
             return LeaseStep::Read;
         };
         if !may_hold {
-            self.hands_back = true;
+            self.release_sent = true;
             return self.write(now, version, None);
         }
-        let renew_at = renewed + self.part(RENEW_PART);
-        if now < renew_at && !self.hands_back && !self.renews_soon {
+        let renew_at = renewed + self.fraction_ms(RENEW_FRACTION);
+        if now < renew_at && !self.release_sent && !self.renewal_requested {
             return LeaseStep::Wait(renew_at);
         }
         self.write(now, version, Some(self.node.clone()))
@@ -193,7 +198,7 @@
 
     fn write(&mut self, now: Timestamp, expected: u64, holder: Option<NodeId>) -> LeaseStep {
         self.writes += 1;
-        self.sent = now;
+        self.write_sent = now;
         let row = LeaseRow {
             holder,
             process: self.process,
@@ -202,70 +207,72 @@
         LeaseStep::Write { expected, row }
     }
 
-    /// The row was read: its version (0 if absent) and content.
+    /// Records a read of the row: its version (0 if it does not exist) and its content.
     pub fn read(&mut self, now: Timestamp, version: u64, row: Option<&LeaseRow>) {
-        let blind = self.part(BLIND_PART);
-        let was_blind = self.looked.is_none_or(|at| now.since(at) > blind);
-        self.looked = Some(now);
-        if was_blind || self.version != Some(version) {
+        let stale_after = self.fraction_ms(STALE_FRACTION);
+        let was_stale = self.last_read.is_none_or(|at| now.since(at) > stale_after);
+        self.last_read = Some(now);
+        if was_stale || self.version != Some(version) {
             self.version = Some(version);
-            self.seen_since = now;
+            self.version_since = now;
         }
-        self.free = row.is_none_or(|row| self.is_left_behind(row));
+        self.is_free = row.is_none_or(|row| self.is_abandoned(row));
         let own = row.filter(|row| row.process == self.process && row.holder.is_some());
         match own {
-            Some(row) if row.write == self.writes => self.hold(now, version),
-            // An earlier write stands: the last one had no answer and may still take effect.
+            Some(row) if row.write == self.writes => self.become_holder(now, version),
+            // The row shows an earlier write; the last one may still take effect.
             Some(_) if self.is_holder() => {}
-            _ => self.follow(now),
+            _ => self.become_follower(now),
         }
     }
 
-    fn follow(&mut self, now: Timestamp) {
+    fn become_follower(&mut self, now: Timestamp) {
         if self.is_holder() {
-            self.lost = Some(now);
+            self.lost_at = Some(now);
         }
         self.role = Role::Follower;
-        self.hands_back = false;
+        self.release_sent = false;
     }
 
-    /// Whether nobody can hold the lease any more: it was handed back, or it was
-    /// taken by a former process of this very node.
-    fn is_left_behind(&self, row: &LeaseRow) -> bool {
+    /// Whether no node can still hold the lease: it was handed back, or its holder is a previous
+    /// process of this node.
+    fn is_abandoned(&self, row: &LeaseRow) -> bool {
         match &row.holder {
             None => true,
             Some(holder) => *holder == self.node && row.process != self.process,
         }
     }
 
-    /// The write took effect as `version`.
+    /// Records that the write of `row` took effect as `version`.
     pub fn written(&mut self, now: Timestamp, version: u64, row: &LeaseRow) {
         self.version = Some(version);
-        self.seen_since = now;
-        self.looked = Some(now);
-        self.free = row.holder.is_none();
+        self.version_since = now;
+        self.last_read = Some(now);
+        self.is_free = row.holder.is_none();
         if row.holder.is_some() {
-            self.hold(now, version);
+            self.become_holder(now, version);
         } else {
-            // Whoever handed it back leaves it to others.
-            self.follow(now);
+            // A node that has handed the lease back leaves it to others for the cool-down time.
+            self.become_follower(now);
         }
     }
 
-    /// The write had no answer: it may take effect later. The row is read next.
+    /// Records that the last write was not confirmed and may still take effect. The next step
+    /// reads the row.
     pub fn unanswered(&mut self) {
         self.version = None;
     }
 
-    /// The condition of the write did not hold.
+    /// Records that the condition of the last write did not hold.
     pub fn refused(&mut self) {
-        // The row is read next; it may show an earlier write of this process.
+        // The next step reads the row, which may show an earlier write of this process.
         self.version = None;
     }
 
-    /// Time from which the holder's validity counts is when the write was sent. A hand-back
-    /// that was sent before cannot take effect any more: its condition is an older version.
-    fn hold(&mut self, now: Timestamp, version: u64) {
+    /// Makes this node the holder. The lease's validity counts from when the write was sent. An
+    /// earlier write that hands the lease back can no longer take effect, since it expects an
+    /// older version.
+    fn become_holder(&mut self, now: Timestamp, version: u64) {
         if !self.is_holder() {
             self.held_since = Some(now);
         }
@@ -273,15 +280,15 @@
             Role::Holder { fence, .. } => fence,
             Role::Follower => version,
         };
-        self.hands_back = false;
-        self.renews_soon = false;
+        self.release_sent = false;
+        self.renewal_requested = false;
         self.role = Role::Holder {
             fence,
-            renewed: self.sent,
+            renewed: self.write_sent,
         };
     }
 
-    fn part(&self, part: f64) -> u64 {
-        (self.lease as f64 * part) as u64
+    fn fraction_ms(&self, fraction: f64) -> u64 {
+        (self.lease_ms as f64 * fraction) as u64
     }
 }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -1,22 +1,25 @@
-//! What tenants have used of their limits, at a gateway that counts for them.
+//! Usage of tenants' quotas, at a gateway that holds a quota shard.
 //!
-//! In: limits, and requests with what they count for. Out: whether a request is within its
-//! tenant's limit, or when it would be; and what has been granted, for whoever counts next.
+//! Input: limits, and requests with their charges. Output: whether a request is within its
+//! tenant's limit, or when it would be; and the granted charges, which are saved for the shard's
+//! next holder.
 //!
-//! Invariant: in any span of the bound's window the grants of one ledger are at most its part
-//! of the tenant's limit of that span and of what the bound allows over it. The same holds for
-//! ledgers that follow each other, none of which grants before the former one has ended: each
-//! begins with what the former one had saved, and takes for granted what that one may have
-//! granted since: its reserve, which is saved as well.
+//! Invariant: within any time span of the bound's window, the grants of one ledger are at most its
+//! share of the tenant's limit for that span and of the overage that the bound allows. The same
+//! holds for consecutive ledgers of a shard, none of which grants before the previous one has
+//! ended: each begins with the grants that the previous one had saved, and treats the previous
+//! one's reserve, which is saved as well, as granted, since the previous ledger may have granted
+//! that much since its last save.
 //!
-//! A request counts when it is granted, which is after its caller has sent it and before it
-//! reaches a back end; so what is both sent and run within a span was granted within it, and
-//! nothing depends on how long a grant is under way.
+//! A request is charged when it is granted, which is after its caller has sent it and before it
+//! reaches a back end. A request that is both sent and executed within a span was therefore
+//! granted within it, however long the grant is in transit.
 //!
-//! Why spans and not a bucket that fills at the limit's rate: a limit is a rate times a span
-//! and a burst on top, so a tenant that has used little may use most of it at once. With
-//! buckets, 470 requests of two tenants at three to five times their limits were refused in
-//! four seconds although their use of the last eight seconds was below the limit.
+//! Usage is tracked by a sliding window and not by a token bucket that refills at the limit's
+//! rate. A limit is a rate times the window plus a burst, so a tenant that has used little may use
+//! most of it at once. With token buckets, 470 requests of two tenants that sent three to five
+//! times their limits were rejected within four seconds, although the tenants' usage of the last
+//! eight seconds was below the limit.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -28,109 +31,109 @@
 
 use crate::tenant::TenantLimit;
 
-/// Part of what the bound allows over a limit that is granted too; the rest is for second
-/// sends of a request.
-const OVER_PART: f64 = 0.8;
-/// The reserve: part of what a span grants that may be granted before it is saved, one and a
-/// half seconds of nearly twice what tenants usually ask for. Whoever counts next has to take
-/// it for used; with 0.3 tenants near their limits waited for eight seconds after a restart.
-const RESERVE_PART: f64 = 0.15;
-/// A request larger than the reserve makes it so many times as large as itself.
-const RESERVED_REQUESTS: f64 = 2.0;
-/// Once this part of the reserve is granted it should be saved soon.
-const SAVE_PART: f64 = 0.5;
-/// Grants within this time are kept as one, in milliseconds.
-const BIN: u64 = 100;
-/// Saved grants within this time are one, in milliseconds.
-const SAVED_BIN: u64 = 500;
-/// A request that waits for what was granted to be saved is tried again after this time.
-const SAVING: Duration = Duration::from_millis(30);
+/// Fraction of the bound's overage that is granted. The rest covers requests that are sent twice.
+const OVERAGE_FRACTION: f64 = 0.8;
+/// Reserve as a fraction of the limit of a window: charges that may be granted before they are
+/// saved. The value covers 1.5 s at nearly twice the usual demand of tenants. The shard's next
+/// holder must treat the reserve as used: with 0.3, tenants near their limits waited for eight
+/// seconds after a restart.
+const RESERVE_FRACTION: f64 = 0.15;
+/// A request larger than the reserve raises the reserve to this multiple of its charge.
+const LARGE_REQUEST_FACTOR: f64 = 2.0;
+/// Granted fraction of the reserve above which the grants should be saved soon.
+const SAVE_THRESHOLD: f64 = 0.5;
+/// Width of a bin: grants within this time are stored as one.
+const BIN_MS: u64 = 100;
+/// Width of a saved bin: saved grants within this time are merged into one.
+const SAVED_BIN_MS: u64 = 500;
+/// Delay after which a request that waits for a save is tried again.
+const SAVE_RETRY_DELAY: Duration = Duration::from_millis(30);
 
-/// How far all gateways together may be over a limit.
+/// Bound on how far all gateways together may exceed a limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LimitBound {
-    /// The span that is looked at.
+    /// The time span to which the bound applies.
     pub window: Duration,
-    /// Part of the limit of the span.
+    /// Allowed excess, as a fraction of the limit of the window.
     pub overage: f64,
-    /// Units beside that.
+    /// Allowed excess in units, in addition to `overage`.
     pub slack: f64,
 }
 
 impl LimitBound {
-    /// What one of so many ledgers grants within any window.
-    fn granted(&self, limit: &TenantLimit, parts: f64) -> f64 {
+    /// Units that each of `shards` ledgers grants within any window.
+    fn granted(&self, limit: &TenantLimit, shards: f64) -> f64 {
         let own = limit.rate * self.window.as_secs_f64() + limit.burst;
         let over = self.overage * own + self.slack;
-        (own + OVER_PART * over) / parts
+        (own + OVERAGE_FRACTION * over) / shards
     }
 }
 
-/// What came of asking for a request.
+/// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It is within the limit, and was counted.
+    /// The request is within the limit and has been charged.
     Granted,
-    /// It is beyond the limit; there is room for it after this time.
+    /// The request exceeds the limit; there is capacity for it after this time.
     Beyond(Duration),
-    /// There is no room yet, since what was granted is not saved, or since nobody knows what
-    /// a former ledger has granted.
+    /// The request cannot be granted yet: the previous grants are not saved, or the usage under a
+    /// previous ledger is uncertain. It can be tried again after this time.
     NotYet(Duration),
 }
 
-/// What was granted within a short time.
+/// The grants within a saved bin.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SavedGrants {
-    /// How long ago the last of it was granted, in milliseconds.
+    /// Time since the last of the grants, in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
-    /// What it counts for.
+    /// Total charge of the grants, in units.
     #[serde(rename = "c")]
     pub cost: f64,
 }
 
-/// What one tenant has used.
+/// Saved usage of one tenant.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct SavedSpan {
+struct SavedTenantUsage {
     /// Grants of the last window, the newest first.
     #[serde(rename = "g")]
     grants: Vec<SavedGrants>,
-    /// What may be granted before the next save stands.
+    /// Units that may be granted before the next save is confirmed.
     #[serde(rename = "r")]
     reserve: f64,
 }
 
-/// What tenants have used in the last window.
+/// Saved usage of all tenants of a shard within the last window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct SavedUse(BTreeMap<TenantId, SavedSpan>);
+pub struct SavedUse(BTreeMap<TenantId, SavedTenantUsage>);
 
 #[derive(Clone, Copy, Debug)]
 struct Bin {
-    /// No grant in it is later than this.
+    /// Upper bound of the times of the bin's grants.
     until: Timestamp,
     cost: f64,
-    /// Whether nobody knows if a former ledger granted it.
+    /// Whether it is unknown if a previous ledger granted these charges.
     is_uncertain: bool,
 }
 
-/// One tenant's grants of the last window.
+/// Usage of one tenant within the last window.
 #[derive(Debug, Default)]
-struct Span {
+struct TenantUsage {
     bins: VecDeque<Bin>,
-    /// Granted since the last save that is known to stand.
+    /// Units granted since the last confirmed save.
     unsaved: f64,
-    /// Of that, what the save under way holds.
-    saving: f64,
-    /// What may be unsaved, by any save that may stand.
+    /// The units of `unsaved` that the save in flight contains.
+    unsaved_in_flight: f64,
+    /// Maximum of `unsaved`, according to every save that may have taken effect.
     reserve: f64,
-    /// The same by the save under way.
-    reserve_saving: f64,
-    /// The least reserve that its requests need.
-    reserve_needed: f64,
+    /// Maximum of `unsaved` once the save in flight is confirmed.
+    reserve_in_flight: f64,
+    /// Minimum reserve that the tenant's requests need.
+    min_reserve: f64,
 }
 
-impl Span {
+impl TenantUsage {
     fn expire(&mut self, now: Timestamp, window: u64) {
         self.bins.retain(|bin| now.since(bin.until) <= window);
     }
@@ -149,16 +152,16 @@
         match self.bins.back_mut() {
             Some(bin) if !bin.is_uncertain && now <= bin.until => bin.cost += cost,
             _ => self.bins.push_back(Bin {
-                until: now + BIN,
+                until: now + BIN_MS,
                 cost,
                 is_uncertain: false,
             }),
         }
     }
 
-    /// Takes back a grant that is still in the window: from the oldest, so that nothing that
-    /// is left leaves the window later than it would.
-    fn give_back(&mut self, cost: f64) {
+    /// Refunds a grant that is still in the window. The oldest bins are reduced first, so that no
+    /// remaining charge leaves the window later than it would have.
+    fn refund(&mut self, cost: f64) {
         let mut left = cost;
         let known = self.bins.iter_mut().filter(|bin| !bin.is_uncertain);
         for bin in known {
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Time until so much has left the window.
+    /// Time until this number of units has left the window.
     fn wait_for(&self, now: Timestamp, window: u64, cost: f64) -> Duration {
         let mut left = cost;
         let mut bins: Vec<&Bin> = self.bins.iter().collect();
@@ -183,14 +186,14 @@
         Duration::from_millis(window)
     }
 
-    fn saved(&self, now: Timestamp) -> Vec<SavedGrants> {
+    fn saved_grants(&self, now: Timestamp) -> Vec<SavedGrants> {
         let mut bins: Vec<&Bin> = self.bins.iter().filter(|bin| bin.cost > 0.0).collect();
         bins.sort_by_key(|bin| Reverse(bin.until));
         let mut saved: Vec<SavedGrants> = Vec::new();
         for bin in bins {
             let age = now.since(bin.until);
             match saved.last_mut() {
-                Some(last) if age < last.age + SAVED_BIN => last.cost += bin.cost,
+                Some(last) if age < last.age + SAVED_BIN_MS => last.cost += bin.cost,
                 _ => saved.push(SavedGrants {
                     age,
                     cost: bin.cost,
@@ -201,39 +204,39 @@
     }
 }
 
-/// What a former ledger left.
+/// State of the previous ledger of the shard.
 #[derive(Debug)]
-struct Inheritance {
-    /// No grant of it is later than this.
+struct PreviousLedger {
+    /// Upper bound of the times of the previous ledger's grants.
     until: Timestamp,
     saved: SavedUse,
 }
 
-/// Grants of tenants.
+/// Usage of all tenants of one quota shard.
 #[derive(Debug)]
 pub struct Ledger {
     bound: LimitBound,
-    /// Ledgers that share each limit.
-    parts: f64,
-    inheritance: Inheritance,
-    spans: HashMap<TenantId, Span>,
+    /// Number of ledgers that share each limit.
+    shards: f64,
+    previous: PreviousLedger,
+    usages: HashMap<TenantId, TenantUsage>,
     needs_saving: bool,
 }
 
 impl Ledger {
-    /// A ledger of one of so many parts of each limit. Any former one has ended by `now` and
-    /// had saved this.
-    pub fn new(bound: LimitBound, parts: usize, now: Timestamp, saved: SavedUse) -> Self {
+    /// A ledger that holds one of `shards` equal shares of each limit. Any previous ledger has
+    /// ended by `now` and had saved `saved`.
+    pub fn new(bound: LimitBound, shards: usize, now: Timestamp, saved: SavedUse) -> Self {
         Ledger {
             bound,
-            parts: parts as f64,
-            inheritance: Inheritance { until: now, saved },
-            spans: HashMap::new(),
+            shards: shards as f64,
+            previous: PreviousLedger { until: now, saved },
+            usages: HashMap::new(),
             needs_saving: false,
         }
     }
 
-    /// Counts a request, if it is within its tenant's limit.
+    /// Charges a request if it is within its tenant's limit.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -241,55 +244,55 @@
         limit: &TenantLimit,
         cost: f64,
     ) -> Taken {
-        let granted = self.bound.granted(limit, self.parts);
+        let granted = self.bound.granted(limit, self.shards);
         let window = self.window();
-        let span = self.span(now, tenant, granted);
-        let total = span.total();
-        // What is larger than the limit is granted alone.
+        let usage = self.usage(now, tenant, granted);
+        let total = usage.total();
+        // A request larger than the limit is granted if it is the only one in the window.
         if total > 0.0 && total + cost > granted {
-            let wait = span.wait_for(now, window, total + cost - granted);
-            return if total - span.uncertain() + cost > granted {
+            let wait = usage.wait_for(now, window, total + cost - granted);
+            return if total - usage.uncertain() + cost > granted {
                 Taken::Beyond(wait)
             } else {
                 Taken::NotYet(wait)
             };
         }
-        let has_reserve = span.unsaved + cost <= span.reserve;
-        if has_reserve {
-            span.add(now, cost);
+        let fits_reserve = usage.unsaved + cost <= usage.reserve;
+        if fits_reserve {
+            usage.add(now, cost);
         } else {
-            span.reserve_needed = span.reserve_needed.max(cost * RESERVED_REQUESTS);
+            usage.min_reserve = usage.min_reserve.max(cost * LARGE_REQUEST_FACTOR);
         }
-        let needs_saving = !has_reserve || span.unsaved > span.reserve * SAVE_PART;
+        let needs_saving = !fits_reserve || usage.unsaved > usage.reserve * SAVE_THRESHOLD;
         self.needs_saving |= needs_saving;
-        if has_reserve {
+        if fits_reserve {
             Taken::Granted
         } else {
-            Taken::NotYet(SAVING)
+            Taken::NotYet(SAVE_RETRY_DELAY)
         }
     }
 
-    /// A request that this ledger granted at `granted` is known not to have run. What has left
-    /// the window counts no more, and cannot be given back.
+    /// Refunds a request that this ledger granted at `granted` and that is known not to have been
+    /// executed. A charge that has left the window is not refunded.
     pub fn give_back(&mut self, now: Timestamp, tenant: &TenantId, granted: Timestamp, cost: f64) {
         let window = self.window();
         if now.since(granted) >= window {
             return;
         }
-        if let Some(span) = self.spans.get_mut(tenant) {
-            span.expire(now, window);
-            span.give_back(cost);
+        if let Some(usage) = self.usages.get_mut(tenant) {
+            usage.expire(now, window);
+            usage.refund(cost);
         }
     }
 
-    /// Whether what was granted should be saved soon.
+    /// Whether the grants should be saved soon.
     pub fn needs_saving(&self) -> bool {
         self.needs_saving
     }
 
-    /// What is to be saved now. `limits` are those of all tenants that are counted here: what a
-    /// former ledger may have granted them is passed on, asked for or not. From now on no more
-    /// is granted than the reserve that is saved, which follows the limit.
+    /// Starts a save and returns its content. `limits` are those of all tenants of the shard, so
+    /// that charges that a previous ledger may have granted are passed on even for tenants without
+    /// requests. From then on no more than the saved reserve, which follows the limit, is granted.
     pub fn save<'a>(
         &mut self,
         now: Timestamp,
@@ -297,24 +300,24 @@
     ) -> SavedUse {
         let mut saved = BTreeMap::new();
         for (tenant, limit) in limits {
-            let granted = self.bound.granted(limit, self.parts);
-            let span = self.span(now, tenant, granted);
-            let reserve = span.reserve_needed.max(granted * RESERVE_PART);
-            span.saving = span.unsaved;
-            span.reserve_saving = reserve;
-            span.reserve = span.reserve.min(reserve);
-            let grants = span.saved(now);
-            saved.insert(tenant.clone(), SavedSpan { grants, reserve });
+            let granted = self.bound.granted(limit, self.shards);
+            let usage = self.usage(now, tenant, granted);
+            let reserve = usage.min_reserve.max(granted * RESERVE_FRACTION);
+            usage.unsaved_in_flight = usage.unsaved;
+            usage.reserve_in_flight = reserve;
+            usage.reserve = usage.reserve.min(reserve);
+            let grants = usage.saved_grants(now);
+            saved.insert(tenant.clone(), SavedTenantUsage { grants, reserve });
         }
-        self.spans.retain(|tenant, _| saved.contains_key(tenant));
+        self.usages.retain(|tenant, _| saved.contains_key(tenant));
         SavedUse(saved)
     }
 
-    /// What was last to be saved stands.
+    /// Confirms that the last save has taken effect.
     pub fn saved(&mut self) {
-        for span in self.spans.values_mut() {
-            span.unsaved -= std::mem::take(&mut span.saving);
-            span.reserve = span.reserve_saving;
+        for usage in self.usages.values_mut() {
+            usage.unsaved -= std::mem::take(&mut usage.unsaved_in_flight);
+            usage.reserve = usage.reserve_in_flight;
         }
         self.needs_saving = false;
     }
@@ -323,31 +326,35 @@
         self.bound.window.as_millis() as u64
     }
 
-    /// A tenant's span. The first one after a former ledger holds what that had saved and what
-    /// it may have granted since.
-    fn span(&mut self, now: Timestamp, tenant: &TenantId, granted: f64) -> &mut Span {
+    /// The usage of a tenant. If it is new, it is initialised with the grants that the previous
+    /// ledger had saved and with those that it may have made since.
+    fn usage(&mut self, now: Timestamp, tenant: &TenantId, granted: f64) -> &mut TenantUsage {
         let window = self.window();
-        let reserve = granted * RESERVE_PART;
-        let inheritance = &self.inheritance;
-        let span = self.spans.entry(tenant.clone()).or_insert_with(|| Span {
-            bins: inherited(inheritance, tenant, reserve),
-            reserve,
-            reserve_saving: reserve,
-            ..Span::default()
-        });
-        span.expire(now, window);
-        span
+        let reserve = granted * RESERVE_FRACTION;
+        let previous = &self.previous;
+        let usage = self
+            .usages
+            .entry(tenant.clone())
+            .or_insert_with(|| TenantUsage {
+                bins: restored_bins(previous, tenant, reserve),
+                reserve,
+                reserve_in_flight: reserve,
+                ..TenantUsage::default()
+            });
+        usage.expire(now, window);
+        usage
     }
 }
 
-/// What a former ledger had saved, and what it may have granted since.
-fn inherited(inheritance: &Inheritance, tenant: &TenantId, reserve: f64) -> VecDeque<Bin> {
+/// Bins for the grants that the previous ledger had saved, and for the reserve that it may have
+/// granted since.
+fn restored_bins(previous: &PreviousLedger, tenant: &TenantId, reserve: f64) -> VecDeque<Bin> {
     let bin = |age: u64, cost, is_uncertain| Bin {
-        until: Timestamp(inheritance.until.0.saturating_sub(age)),
+        until: Timestamp(previous.until.0.saturating_sub(age)),
         cost,
         is_uncertain,
     };
-    let saved = inheritance.saved.0.get(tenant);
+    let saved = previous.saved.0.get(tenant);
     let reserve = saved.map_or(reserve, |saved| reserve.max(saved.reserve));
     let grants = saved.into_iter().flat_map(|saved| &saved.grants);
     let grants = grants.map(|grants| bin(grants.age, grants.cost, false));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of a gateway over a fleet of back ends, without I/O: which route a
-//! request takes, which back end gets it, whether it may be sent again, what
-//! the placement holder loads where.
+//! Decisions of a gateway about a fleet of back ends, as pure logic without I/O: the route of a
+//! request, the back end that serves it, whether it may be retried, and which models the
+//! placement holder loads on which back ends.
 //!
-//! In: configuration, reports of back ends, demand, time. Out: choices as
-//! values. `gorsebank-gateway` carries them out; nothing here reads a clock,
-//! a socket or a global.
+//! Inputs: configuration, reports of back ends, demand and time. Outputs: decisions as values,
+//! which `gorsebank-gateway` carries out. No code in this crate reads a clock, a socket or global
+//! state.
 
 pub mod access;
 pub mod back_end;
--- a/crates/fleet/src/pacer.rs
+++ b/crates/fleet/src/pacer.rs
@@ -1,12 +1,14 @@
-//! Times at which gateways may send to back ends that state a limit, as the one gateway that
-//! counts for all gives them out.
+//! Assigns send times for requests to back ends with a stated rate limit. One gateway, the pacing
+//! gateway, assigns the send times of all gateways.
 //!
-//! In: a back end, its limit, how long the request can wait. Out: after which time it may be
-//! sent, or when to ask again. Times follow each other at the stated rate, so within any span a
-//! back end gets no more than `rate * (span + BURST) + 1` requests, whoever sends them.
+//! Input: a back end, its limit, and how long the request can wait. Output: the time after which
+//! the request may be sent, or the time after which to ask again. Send times follow each other at
+//! the stated rate, so within any time span a back end receives at most
+//! `rate * (span + BURST_MS) + 1` requests from all gateways.
 //!
-//! Invariant: a time that one gateway gave out lies at most [`AHEAD`] after it stopped counting,
-//! and the next one begins an interval later; so a change of who counts adds nothing.
+//! Invariant: a send time that a pacing gateway assigns is at most [`AHEAD`] after the moment at
+//! which it stops, and the first send time of its successor is one interval later. A change of the
+//! pacing gateway therefore never exceeds the rate.
 
 use std::collections::HashMap;
 
@@ -14,71 +16,72 @@
 
 use crate::quarantine::BackEndHash;
 
-/// A time lies at most so far ahead, in milliseconds.
+/// Maximum time between an assignment and the assigned send time, in milliseconds.
 pub const AHEAD: u64 = 1_000;
-/// After a rest requests may follow each other at once that would have had room within this
-/// time, in milliseconds: callers do not come at an even pace.
+/// Burst allowance, in milliseconds: after an idle time, requests that would have been allowed
+/// within this time may be sent at once, since callers do not send at an even rate.
 pub const BURST: f64 = 100.0;
-/// A back end that takes less than this, in requests a second, or nothing, is sent so much all
-/// the same: only an answer can tell that it takes more again.
-const LEAST_RATE: f64 = 0.1;
-/// A back end that was not asked for in this time, in milliseconds, may have its next request
-/// at any time: more than one request takes at the least rate.
-const MEMORY: u64 = 60_000;
+/// Minimum rate at which requests are sent even if a back end states a lower limit or 0, since only
+/// a response can show that it accepts more again.
+const MIN_RATE_PER_SECOND: f64 = 0.1;
+/// Time after the last send time for which a back end is remembered. A forgotten back end's next
+/// request may be sent at any time; the retention is longer than the interval at the minimum rate.
+const RETENTION_MS: u64 = 60_000;
 
 /// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendTime {
-    /// It may, after so many milliseconds; nobody else may then.
+    /// The request may be sent after this number of milliseconds; the slot is reserved for it.
     In(u64),
-    /// Not within the time that it can wait: there is room after so many milliseconds.
+    /// No send time is left within the time that the request can wait. The next one is after this
+    /// number of milliseconds.
     Later(u64),
 }
 
-/// The times that were given out.
+/// The send times that were assigned.
 #[derive(Debug)]
 pub struct Pacer {
-    begun: Timestamp,
-    /// The last time at each back end, in milliseconds of this process's clock.
-    last: HashMap<BackEndHash, f64>,
+    started: Timestamp,
+    /// The last assigned send time of each back end, in milliseconds of this process's clock.
+    last_send_time: HashMap<BackEndHash, f64>,
 }
 
 impl Pacer {
-    /// This gateway counts from now on, and no other one does.
+    /// Starts at `now`, when this gateway becomes the only pacing gateway.
     pub fn new(now: Timestamp) -> Self {
         Pacer {
-            begun: now,
-            last: HashMap::new(),
+            started: now,
+            last_send_time: HashMap::new(),
         }
     }
 
-    /// A time for one request to a back end that takes so many a second, within so many
-    /// milliseconds.
+    /// Assigns a send time for one request to a back end with the limit `rate`, in requests per
+    /// second. The request can wait `max_wait` milliseconds.
     pub fn take(
         &mut self,
         now: Timestamp,
         back_end: BackEndHash,
         rate: f64,
-        most_wait: u64,
+        max_wait: u64,
     ) -> SendTime {
-        let interval = 1_000.0 / rate.max(LEAST_RATE);
-        let present = now.0 as f64;
-        // Whoever counted before may have given out the time one interval before this.
-        let first = (self.begun + AHEAD).0 as f64 + interval;
-        let last = self.last.get(&back_end).copied();
+        let interval = 1_000.0 / rate.max(MIN_RATE_PER_SECOND);
+        let now_ms = now.0 as f64;
+        // The previous pacing gateway may have assigned the time one interval before this one.
+        let first = (self.started + AHEAD).0 as f64 + interval;
+        let last = self.last_send_time.get(&back_end).copied();
         let next = last.map_or(first, |last| last + interval);
-        let at = next.max(present - BURST).max(first);
-        let wait = (at - present).max(0.0).ceil() as u64;
-        if wait > most_wait.min(AHEAD) {
+        let at = next.max(now_ms - BURST).max(first);
+        let wait = (at - now_ms).max(0.0).ceil() as u64;
+        if wait > max_wait.min(AHEAD) {
             return SendTime::Later(wait);
         }
-        self.forget_old(now);
-        self.last.insert(back_end, at);
+        self.remove_expired(now);
+        self.last_send_time.insert(back_end, at);
         SendTime::In(wait)
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
-        let oldest = (now - MEMORY).0 as f64;
-        self.last.retain(|_, last| *last >= oldest);
+    fn remove_expired(&mut self, now: Timestamp) {
+        let oldest = (now - RETENTION_MS).0 as f64;
+        self.last_send_time.retain(|_, last| *last >= oldest);
     }
 }
--- a/crates/fleet/src/requested_pause.rs
+++ b/crates/fleet/src/requested_pause.rs
@@ -1,7 +1,8 @@
-//! Pauses that back ends ask for when they turn a request away.
+//! Pauses that back ends request when they reject a request, as with Retry-After.
 //!
-//! In: the words of an answer. Out: for how long its back end wants no requests from the gateway
-//! that has the answer. Each gateway is asked for itself, so nothing of it is told to others.
+//! Input: the text of the pause in a response. Output: how long its back end wants no requests
+//! from the gateway that received the response. A pause applies to that gateway only, so it is not
+//! passed on to other gateways.
 
 use std::collections::HashMap;
 use std::collections::hash_map::Entry;
@@ -11,29 +12,29 @@
 
 use crate::quarantine::BackEndHash;
 
-/// The longest pause that is kept: one wrong answer does not put a back end out of use for good.
-const LONGEST_PAUSE: Duration = Duration::from_secs(600);
+/// Upper bound of a pause, so that one wrong response does not disable a back end for good.
+const MAX_PAUSE: Duration = Duration::from_secs(600);
 
-/// For how long a back end wants no requests from the gateway that it answers.
+/// The pause that a response requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum RequestedPause {
-    /// It asks for no pause.
+    /// No pause is requested.
     #[default]
     None,
-    /// For this time from its answer on.
+    /// A pause of this length, from the response on.
     For(Duration),
-    /// It asks for one in words that cannot be read.
+    /// A pause is requested, but its length cannot be parsed.
     Unreadable,
 }
 
 impl RequestedPause {
-    /// Reads a pause in seconds, as a decimal number.
+    /// Parses a pause in seconds, a decimal number.
     pub fn parse(text: &[u8]) -> Self {
         let text = std::str::from_utf8(text).ok();
         let seconds = text.and_then(|text| text.trim().parse::<f64>().ok());
         match seconds.filter(|seconds| *seconds >= 0.0) {
             Some(seconds) => {
-                let seconds = seconds.min(LONGEST_PAUSE.as_secs_f64());
+                let seconds = seconds.min(MAX_PAUSE.as_secs_f64());
                 RequestedPause::For(Duration::from_secs_f64(seconds))
             }
             None => RequestedPause::Unreadable,
@@ -41,44 +42,45 @@
     }
 }
 
-/// Back ends that want no requests from this gateway for now. Each life asks for itself, and a
-/// pause holds also while the back end's row is gone.
+/// Back ends that currently want no requests from this gateway, by incarnation. A pause stays in
+/// force while the back end's row is missing.
 #[derive(Debug, Default)]
 pub struct PausedBackEnds {
     until: HashMap<BackEndHash, Timestamp>,
 }
 
 impl PausedBackEnds {
-    /// A back end asks for a pause. Answers on different connections pass each other, so a longer
-    /// pause that it has asked for stands. True if it was not paused before.
+    /// Records a requested pause. Responses on different connections can overtake each other, so
+    /// a longer pause that was requested before stays in force. Returns true if the back end was
+    /// not paused before.
     pub fn note(&mut self, now: Timestamp, back_end: BackEndHash, pause: Duration) -> bool {
         self.until.retain(|_, until| now < *until);
-        let until = now + whole_milliseconds(pause);
+        let until = now + milliseconds_rounded_up(pause);
         match self.until.entry(back_end) {
-            Entry::Vacant(unknown) => {
-                unknown.insert(until);
+            Entry::Vacant(entry) => {
+                entry.insert(until);
                 true
             }
-            Entry::Occupied(mut known) => {
-                known.insert(until.max(*known.get()));
+            Entry::Occupied(mut entry) => {
+                entry.insert(until.max(*entry.get()));
                 false
             }
         }
     }
 
-    /// How much longer a back end wants no requests; none if it takes them.
+    /// The remaining pause; `None` if the back end accepts requests.
     pub fn left(&self, now: Timestamp, back_end: BackEndHash) -> Option<Duration> {
         let until = *self.until.get(&back_end)?;
         (now < until).then(|| Duration::from_millis(until.since(now)))
     }
 
-    /// Whether no back end has asked for a pause of late.
+    /// Whether no pause of any back end is recorded.
     pub fn is_empty(&self) -> bool {
         self.until.is_empty()
     }
 }
 
-/// A pause does not end early by being rounded.
-fn whole_milliseconds(pause: Duration) -> u64 {
+/// Rounds up, so that a pause does not end early.
+fn milliseconds_rounded_up(pause: Duration) -> u64 {
     pause.as_micros().div_ceil(1_000) as u64
 }
--- a/crates/fleet/src/retry_window.rs
+++ b/crates/fleet/src/retry_window.rs
@@ -1,26 +1,29 @@
 //! A node's share of the retry budget of all nodes.
 //!
-//! The bound holds for every span of the window's length and for all nodes
-//! together. Each node spends at most `ratio` times its own requests of the
-//! window plus an equal part of the fixed allowance, so the sum keeps the bound
-//! without any message. Retries are counted before they are sent.
+//! The budget bounds the retries of all nodes together within every time span of the window's
+//! length. Each node spends at most `ratio` times its own requests within the window, plus an equal
+//! share of the fixed allowance, so the sum keeps the bound without any message between nodes.
+//! Retries are counted before they are sent.
+//!
+//! Input: requests, retries, and the number of nodes. Output: whether a retry may be sent.
 
 use std::collections::VecDeque;
 
 use gorsebank_coordination::Timestamp;
 
-/// Part of the ratio that is spent; the rest covers requests that leave the window.
-const RATIO_USED: f64 = 0.7;
-/// Part of the fixed allowance that is spent; the rest covers restarted nodes,
-/// which have forgotten what they spent.
-const ALLOWANCE_USED: f64 = 0.5;
+/// Fraction of the ratio that is spent. The rest covers requests that leave the window before
+/// their retries do.
+const RATIO_FRACTION: f64 = 0.7;
+/// Fraction of the fixed allowance that is spent. The rest covers restarted nodes, which no longer
+/// know what they spent.
+const ALLOWANCE_FRACTION: f64 = 0.5;
 
-/// The bound that all nodes keep together.
+/// The retry budget that all nodes together keep.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryShare {
-    /// Retries for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Retries on top, over all nodes.
+    /// Additional retries within the window, over all nodes.
     pub allowance: f64,
     /// Length of the window in milliseconds.
     pub window: u64,
@@ -44,13 +47,13 @@
         }
     }
 
-    /// A request arrived.
+    /// Records a request.
     pub fn request(&mut self, now: Timestamp) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one retry, if the share of one of `nodes` nodes allows it.
+    /// Spends one retry if the share of one of `nodes` nodes permits it. Returns whether it does.
     pub fn withdraw(&mut self, now: Timestamp, nodes: usize) -> bool {
         let allowed = self.left(now, nodes) >= 1.0;
         if allowed {
@@ -59,12 +62,12 @@
         allowed
     }
 
-    /// Retries that are left in the share of one of `nodes` nodes; below 0 when the
-    /// share has shrunk since they were taken.
+    /// Retries left in the share of one of `nodes` nodes; negative if the share has shrunk since
+    /// the retries were spent.
     pub fn left(&mut self, now: Timestamp, nodes: usize) -> f64 {
         self.expire(now);
-        let allowance = self.share.allowance * ALLOWANCE_USED / nodes.max(1) as f64;
-        let earned = self.share.ratio * RATIO_USED * self.requests.len() as f64;
+        let allowance = self.share.allowance * ALLOWANCE_FRACTION / nodes.max(1) as f64;
+        let earned = self.share.ratio * RATIO_FRACTION * self.requests.len() as f64;
         allowance + earned - self.retries.len() as f64
     }
 
--- a/crates/fleet/src/running.rs
+++ b/crates/fleet/src/running.rs
@@ -1,13 +1,13 @@
-//! How many requests all gateways together have running at each back end.
+//! Number of requests that all gateways together have running at each back end.
 //!
-//! Where there are hundreds of gateways, one sees about a request a second: its own
-//! requests in flight tell nothing of how busy a back end is. So each tells the gateway
-//! that feeds it what it and those that it feeds have running, the roots tell each other,
-//! and the sums come back with the news of the tables.
+//! In a fleet of hundreds of gateways, each gateway sees about one request per second, so its own
+//! requests in flight say little about the load of a back end. Each gateway therefore sends its
+//! parent the counts of itself and its children, the roots exchange their sums, and the totals
+//! come back together with the updates of the tables.
 //!
-//! In: counts of this gateway, of the gateways that it feeds, of other roots, and the sums
-//! that were told to it. Out: the sums. They are some hundred milliseconds old: they weigh
-//! in a choice, and nothing else hangs on them.
+//! Inputs: counts of this gateway, of its children and of other roots, and the totals received
+//! from the parent. Output: the totals. They are some hundred milliseconds old, so they are only
+//! used as a weight in the choice of a back end.
 
 use std::collections::HashMap;
 
@@ -15,14 +15,14 @@
 use gorsebank_world::BackEndId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Counts that nobody has told again for so long count no more, in milliseconds: a gateway
-/// that asks another feeder would be counted twice.
-const LIFETIME: u64 = 1_200;
+/// Time after which a count that was not received again is dropped. It limits how long a gateway
+/// that has changed to another parent is counted twice.
+const LIFETIME_MS: u64 = 1_200;
 
-/// A back end as it is told: a hash, since names would be most of the bytes.
+/// Short identifier of a back end: a hash, since full names would take most of the message's bytes.
 pub type BackEndHash = u32;
 
-/// Requests that run, by back end; back ends without any are left out.
+/// Running requests by back end; back ends without any are omitted.
 pub type Counts = Vec<(BackEndHash, u16)>;
 
 /// The hash of a back end's name.
@@ -30,37 +30,38 @@
     xxh3_64(id.as_str().as_bytes()) as BackEndHash
 }
 
-/// What this gateway was told.
+/// Counts that were received from other gateways.
 #[derive(Debug, Default)]
 pub struct Running {
-    /// Counts of gateways that this one feeds, each with those that it feeds.
+    /// Counts received from children, each including the child's own children.
     fed: HashMap<String, (Counts, Timestamp)>,
-    /// Counts of other roots, each with all below it.
+    /// Counts received from other roots, each including all gateways below that root.
     roots: HashMap<String, (Counts, Timestamp)>,
-    /// Sums over all gateways, as the gateway that feeds this one told them, without what
-    /// this gateway had running itself then.
+    /// Totals over all gateways as received from the parent, less the count that this gateway had
+    /// contributed to them.
     others: HashMap<BackEndHash, u32>,
-    others_heard: Option<Timestamp>,
+    others_received: Option<Timestamp>,
 }
 
 impl Running {
-    /// A gateway that asks this one has so many requests running, with those below it.
+    /// Records the counts of a child, which include those of the child's children.
     pub fn note_fed(&mut self, now: Timestamp, from: &str, counts: Counts) {
         self.fed.insert(from.to_owned(), (counts, now));
     }
 
-    /// Another root has so many below it.
+    /// Records the counts of another root, which include all gateways below that root.
     pub fn note_root(&mut self, now: Timestamp, from: &str, counts: Counts) {
         self.roots.insert(from.to_owned(), (counts, now));
     }
 
-    /// What this gateway and all below it have running; `own` is its own part.
+    /// Counts of this gateway and all gateways below it; `own` is this gateway's part.
     pub fn below(&mut self, now: Timestamp, own: &Counts) -> Counts {
         retain_fresh(&mut self.fed, now);
         sum(self.fed.values().map(|(counts, _)| counts).chain([own]))
     }
 
-    /// The sums over all gateways, at a root: its part and those of the other roots.
+    /// Totals over all gateways, computed at a root from its own subtree and the other roots'
+    /// counts.
     pub fn at_root(&mut self, now: Timestamp, own: &Counts) -> Counts {
         let below = self.below(now, own);
         retain_fresh(&mut self.roots, now);
@@ -71,7 +72,7 @@
             .chain([&below]))
     }
 
-    /// The sums over all gateways were told; `own` was this gateway's part of them.
+    /// Records the totals over all gateways; `own` is the part that this gateway contributed.
     pub fn note_sums(&mut self, now: Timestamp, sums: &Counts, own: &Counts) {
         self.others = sums
             .iter()
@@ -82,23 +83,23 @@
                 *others = others.saturating_sub(u32::from(*count));
             }
         }
-        self.others_heard = Some(now);
+        self.others_received = Some(now);
     }
 
-    /// Requests that other gateways have running at a back end; 0 if that is not known.
+    /// Requests that other gateways have running at a back end; 0 if unknown.
     pub fn of_others(&self, now: Timestamp, back_end: BackEndHash) -> u32 {
-        let is_fresh = |heard: Timestamp| now.since(heard) < LIFETIME;
-        if !self.others_heard.is_some_and(is_fresh) {
+        let is_fresh = |received: Timestamp| now.since(received) < LIFETIME_MS;
+        if !self.others_received.is_some_and(is_fresh) {
             return 0;
         }
         self.others.get(&back_end).copied().unwrap_or(0)
     }
 
-    /// The sums over all gateways as they were told, to be told on; `own` is what this
-    /// gateway has running. None if they are not known.
+    /// The last received totals over all gateways, for this gateway's children; `own` are this
+    /// gateway's current counts. `None` if no recent totals are known.
     pub fn sums(&self, now: Timestamp, own: &Counts) -> Option<Counts> {
-        let heard = self.others_heard?;
-        if now.since(heard) >= LIFETIME {
+        let received = self.others_received?;
+        if now.since(received) >= LIFETIME_MS {
             return None;
         }
         let others = self.others.iter();
@@ -110,10 +111,10 @@
 }
 
 fn retain_fresh(counts: &mut HashMap<String, (Counts, Timestamp)>, now: Timestamp) {
-    counts.retain(|_, (_, heard)| now.since(*heard) < LIFETIME);
+    counts.retain(|_, (_, received)| now.since(*received) < LIFETIME_MS);
 }
 
-/// Sums of several counts, in the order of the hashes.
+/// Adds up several counts; the result is ordered by hash.
 fn sum<'a>(counts: impl IntoIterator<Item = &'a Counts>) -> Counts {
     let mut sums: std::collections::BTreeMap<BackEndHash, u16> = std::collections::BTreeMap::new();
     for (back_end, count) in counts.into_iter().flatten() {
--- a/crates/fleet/src/stated_limits.rs
+++ b/crates/fleet/src/stated_limits.rs
@@ -1,12 +1,12 @@
-//! Limits that back ends in need state in their answers: requests a second that they take from
-//! all gateways together, for as long as they say so.
+//! Rate limits that overloaded back ends state in their responses, in requests per second from all
+//! gateways together. A limit applies until a later response states another one or none.
 //!
-//! In: what each answer says, and what other gateways tell. Out: the limit in force at a back
-//! end, and what is to be told on. What is told counts by age, so no clock is compared between
-//! gateways.
+//! Input: the statement in each response, and notices of other gateways. Output: the limit in
+//! force at a back end, and the notices to send on. Notices carry an age, so that no clocks are
+//! compared between gateways.
 //!
-//! Answers on different connections pass each other, so an answer without a limit lifts one
-//! only if its request was sent after the limit was last stated.
+//! Responses on different connections can overtake each other. A response without a limit
+//! therefore removes a limit only if its request was sent after the limit was last stated.
 
 use std::collections::HashMap;
 
@@ -14,74 +14,75 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::BackEndHash;
-use crate::telling::{MEMORY, newest};
+use crate::telling::{RETENTION_MS, newest_notices};
 
-/// A back end with a limit is asked again after this time, in milliseconds, though others could
-/// take the request. Gateways tell each other of statements within half of it, so few of them ask.
-const ASKED_AGAIN_AFTER: u64 = 1_500;
-/// The same statement told again counts as new only if it is so much younger, in milliseconds: each
-/// hop takes time, and a statement must not grow younger by going round.
-const SAME_STATEMENT: u64 = 500;
+/// Time after which a back end with a limit is sent a request again, even if others could take
+/// the request, to learn its current limit. Gateways pass on statements within half of this time,
+/// so only a few of them send such a request.
+const REFRESH_INTERVAL_MS: u64 = 1_500;
+/// Minimum difference in age at which an unchanged statement counts as newer. Each hop adds time,
+/// and a statement must not become younger by being passed on.
+const SAME_STATEMENT_MS: u64 = 500;
 
-/// What an answer says of the requests that its back end takes.
+/// The rate limit that a response states.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Statement {
-    /// Nothing: it takes what it is sent.
+    /// No limit is stated: the back end accepts all requests.
     #[default]
     Unlimited,
-    /// So many requests a second of all gateways together.
+    /// The back end accepts this number of requests per second from all gateways together.
     PerSecond(f64),
-    /// Something that cannot be read: what it said before stands.
+    /// The statement cannot be parsed; the previous limit stays in force.
     Unreadable,
 }
 
 impl Statement {
-    /// Reads requests a second, as a decimal number.
+    /// Parses a rate in requests per second, a decimal number.
     pub fn parse(text: &[u8]) -> Self {
         let text = std::str::from_utf8(text).ok();
         let rate = text.and_then(|text| text.trim().parse().ok());
-        match rate.filter(|rate| is_rate(*rate)) {
+        match rate.filter(|rate| is_valid_rate(*rate)) {
             Some(rate) => Statement::PerSecond(rate),
             None => Statement::Unreadable,
         }
     }
 }
 
-fn is_rate(rate: f64) -> bool {
+fn is_valid_rate(rate: f64) -> bool {
     rate.is_finite() && rate >= 0.0
 }
 
-/// The newest statement of a back end.
+/// The latest statement of a back end.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stated {
-    /// Requests a second; none once it has lifted its limit.
+struct LatestStatement {
+    /// Requests per second; `None` if the back end has removed its limit.
     rate: Option<f64>,
     at: Timestamp,
 }
 
-/// What one gateway tells another of a back end's limit.
+/// Notice from one gateway to another about a back end's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ToldLimit {
-    /// The back end, in its present life.
+    /// The incarnation of the back end.
     #[serde(rename = "b")]
     pub back_end: BackEndHash,
-    /// Requests a second; none if it has lifted its limit.
+    /// Requests per second; `None` if the back end has removed its limit.
     #[serde(rename = "r")]
     pub rate: Option<f64>,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the back end's statement, in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
 }
 
-/// The limits that this gateway knows of. Each life of a back end states its own.
+/// The rate limits that this gateway knows, by incarnation of the back ends.
 #[derive(Debug, Default)]
 pub struct StatedLimits {
-    stated: HashMap<BackEndHash, Stated>,
+    stated: HashMap<BackEndHash, LatestStatement>,
 }
 
 impl StatedLimits {
-    /// A back end's answer to a request that was sent at `sent` says this. True if the limit in
-    /// force is another one than before.
+    /// Records the statement in a response to a request that was sent at `sent`. Returns true if
+    /// the limit in force has changed.
     pub fn note(
         &mut self,
         now: Timestamp,
@@ -95,26 +96,27 @@
             Statement::Unlimited if known.is_some_and(|known| known.at <= sent) => None,
             Statement::Unlimited | Statement::Unreadable => return false,
         };
-        self.forget_old(now);
-        self.set(back_end, Stated { rate, at: now })
+        self.remove_expired(now);
+        self.set(back_end, LatestStatement { rate, at: now })
     }
 
-    /// Another gateway tells what back ends said. Out: those whose limit is another one now.
-    pub fn take(&mut self, now: Timestamp, told: &[ToldLimit]) -> Vec<BackEndHash> {
-        let is_usable = |limit: &&ToldLimit| limit.age < MEMORY && limit.rate.is_none_or(is_rate);
+    /// Merges the notices of another gateway and returns the back ends whose limit has changed.
+    pub fn take(&mut self, now: Timestamp, notices: &[ToldLimit]) -> Vec<BackEndHash> {
+        let is_usable =
+            |limit: &&ToldLimit| limit.age < RETENTION_MS && limit.rate.is_none_or(is_valid_rate);
         let mut changed = Vec::new();
-        for limit in told.iter().filter(is_usable) {
-            let stated = Stated {
+        for limit in notices.iter().filter(is_usable) {
+            let stated = LatestStatement {
                 rate: limit.rate,
                 at: now - limit.age,
             };
             let is_news = self.stated.get(&limit.back_end).is_none_or(|known| {
-                let same = if known.rate == stated.rate {
-                    SAME_STATEMENT
+                let min_difference = if known.rate == stated.rate {
+                    SAME_STATEMENT_MS
                 } else {
                     0
                 };
-                stated.at > known.at + same
+                stated.at > known.at + min_difference
             });
             if is_news && self.set(limit.back_end, stated) {
                 changed.push(limit.back_end);
@@ -123,43 +125,43 @@
         changed
     }
 
-    /// What other gateways should know.
+    /// The notices to send to other gateways.
     pub fn told(&self, now: Timestamp) -> Vec<ToldLimit> {
         let stated = self.stated.iter().map(|(back_end, stated)| ToldLimit {
             back_end: *back_end,
             rate: stated.rate,
             age: now.since(stated.at),
         });
-        newest(stated, |limit| limit.age)
+        newest_notices(stated, |limit| limit.age)
     }
 
-    /// True if the limit is another one than before.
-    fn set(&mut self, back_end: BackEndHash, stated: Stated) -> bool {
-        let former = self.stated.insert(back_end, stated);
-        former.and_then(|former| former.rate) != stated.rate
+    /// Stores a statement. Returns true if the limit in force has changed.
+    fn set(&mut self, back_end: BackEndHash, stated: LatestStatement) -> bool {
+        let previous = self.stated.insert(back_end, stated);
+        previous.and_then(|previous| previous.rate) != stated.rate
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         self.stated
-            .retain(|_, stated| now.since(stated.at) < MEMORY);
+            .retain(|_, stated| now.since(stated.at) < RETENTION_MS);
     }
 
-    /// Requests a second that a back end takes of all gateways together; none if it takes what
-    /// it is sent.
+    /// Requests per second that a back end accepts from all gateways together; `None` if it has
+    /// stated no limit.
     pub fn rate(&self, back_end: BackEndHash) -> Option<f64> {
         self.stated.get(&back_end)?.rate
     }
 
-    /// Whether a back end that states a limit has said nothing for a while: only its answers can
-    /// tell that it takes more again.
+    /// Whether a back end with a limit has made no statement for a while, so that it should be
+    /// sent a request: only its responses show whether it accepts more again.
     pub fn needs_statement(&self, now: Timestamp, back_end: BackEndHash) -> bool {
         let stated = self.stated.get(&back_end);
         stated.is_some_and(|stated| {
-            stated.rate.is_some() && now.since(stated.at) >= ASKED_AGAIN_AFTER
+            stated.rate.is_some() && now.since(stated.at) >= REFRESH_INTERVAL_MS
         })
     }
 
-    /// Back ends that state a limit, with the requests a second that each takes.
+    /// Limits in force by back end, in requests per second.
     pub fn in_force(&self) -> HashMap<BackEndHash, f64> {
         let stated = self.stated.iter();
         stated
@@ -167,12 +169,12 @@
             .collect()
     }
 
-    /// Whether no back end has stated a limit of late.
+    /// Whether no statement of any back end is known.
     pub fn is_empty(&self) -> bool {
         self.stated.is_empty()
     }
 
-    /// How many back ends state a limit.
+    /// Number of back ends with a limit in force.
     pub fn count(&self) -> usize {
         self.in_force().len()
     }
--- a/crates/fleet/src/tenant.rs
+++ b/crates/fleet/src/tenant.rs
@@ -1,8 +1,8 @@
-//! Tenants: whose key a caller bears, how urgent its requests are, what it may use.
+//! Tenants: the owners of API keys, with the priority and the quota of their requests.
 //!
-//! In: the operator's list. Out: the tenant of a key. Keys themselves are not kept: they are
-//! looked up by a keyed hash whose key is drawn anew for each list, so that neither a dump nor
-//! the time of a look-up says anything of a key.
+//! Input: the operator's list. Output: the tenant of a key. The keys themselves are not stored.
+//! They are looked up by a keyed hash whose key is generated at random for each list, so neither a
+//! memory dump nor the timing of a look-up reveals anything about a key.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,7 +12,7 @@
 use secrecy::{ExposeSecret, SecretString};
 use thiserror::Error;
 
-/// A key as a caller or the operator states it. It cannot be printed.
+/// An API key as a caller or the operator states it. The value cannot be printed.
 #[derive(Clone, Debug)]
 pub struct ApiKey(SecretString);
 
@@ -28,31 +28,31 @@
     }
 }
 
-/// What a limit counts.
+/// The unit in which a quota is charged.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitUnit {
-    /// Each request as one.
+    /// Each request is charged as one unit.
     Requests,
-    /// Tokens, of the prompt and of the longest answer together.
+    /// Requests are charged by tokens: those of the prompt and of the longest possible answer.
     Tokens {
-        /// What a request without a number of tokens counts for.
+        /// Charge for a request that states no number of tokens.
         plain: f64,
     },
 }
 
-/// What a tenant may use, over all gateways.
+/// A tenant's quota over all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantLimit {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units on top, once.
+    /// Burst: units on top of the rate.
     pub burst: f64,
-    /// What is counted.
+    /// The unit that is charged.
     pub unit: LimitUnit,
 }
 
 impl TenantLimit {
-    /// What a request counts for. `tokens` is what its head says of its size.
+    /// The charge for a request. `tokens` is the size that the request's head states.
     pub fn cost(&self, tokens: Option<u64>) -> f64 {
         match (self.unit, tokens) {
             (LimitUnit::Requests, _) => 1.0,
@@ -62,39 +62,40 @@
     }
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Its name.
+    /// The tenant's name.
     pub id: TenantId,
-    /// Rank of its requests, before that of their routes; 0 is the most urgent.
+    /// Priority rank of the tenant's requests, which takes precedence over that of the route; 0 is
+    /// the most urgent.
     pub priority: Option<u8>,
-    /// What it may use; none if it is not limited.
+    /// The tenant's quota; `None` if it is unlimited.
     pub limit: Option<TenantLimit>,
 }
 
-/// A tenant with its keys, as the operator states it.
+/// A tenant with its keys, as listed by the operator.
 #[derive(Clone, Debug)]
 pub struct TenantEntry {
     /// The tenant.
     pub tenant: Tenant,
-    /// Its keys.
+    /// The tenant's keys.
     pub keys: Vec<ApiKey>,
 }
 
-/// Why a list of tenants cannot be used. Tenants are counted from 0.
+/// Reason why a list of tenants is invalid. Positions count from 0.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantsError {
     /// A tenant has no name.
     #[error("tenants[{index}]: the name is empty")]
     NoName {
-        /// Its place in the list.
+        /// Position in the list.
         index: usize,
     },
-    /// Two tenants have one name.
-    #[error("tenants[{index}]: `{name}` stands before already")]
-    NameTwice {
-        /// The place of the second one.
+    /// Two tenants have the same name.
+    #[error("tenants[{index}]: `{name}` is listed more than once")]
+    DuplicateName {
+        /// Position of the second tenant.
         index: usize,
         /// The name.
         name: TenantId,
@@ -102,31 +103,31 @@
     /// A key is empty.
     #[error("tenants[{index}] `{name}`: key {key} is empty")]
     EmptyKey {
-        /// The tenant's place.
+        /// Position of the tenant.
         index: usize,
-        /// The tenant.
+        /// Name of the tenant.
         name: TenantId,
-        /// The place of the key among the tenant's.
+        /// Position of the key in the tenant's list.
         key: usize,
     },
-    /// Two tenants hold one key.
-    #[error("tenants[{index}] `{name}`: key {key} is `{other}`'s")]
-    KeyOfAnother {
-        /// The tenant's place.
+    /// Two tenants have the same key.
+    #[error("tenants[{index}] `{name}`: key {key} also belongs to `{other}`")]
+    DuplicateKey {
+        /// Position of the second tenant.
         index: usize,
-        /// The tenant.
+        /// Name of the second tenant.
         name: TenantId,
-        /// The place of the key among the tenant's.
+        /// Position of the key in the second tenant's list.
         key: usize,
-        /// Who holds it too.
+        /// Name of the tenant that was listed with the key first.
         other: TenantId,
     },
-    /// A figure of the limit makes no sense.
-    #[error("tenants[{index}] `{name}`: a limit is a number that is not below 0")]
+    /// A number of the quota is negative or not finite.
+    #[error("tenants[{index}] `{name}`: the numbers of a limit must be finite and at least 0")]
     WrongLimit {
-        /// The tenant's place.
+        /// Position of the tenant.
         index: usize,
-        /// The tenant.
+        /// Name of the tenant.
         name: TenantId,
     },
 }
@@ -136,7 +137,7 @@
 /// All tenants of one version of the configuration.
 #[derive(Clone)]
 pub struct Tenants {
-    secret: Digest,
+    hash_key: Digest,
     by_key: HashMap<Digest, Arc<Tenant>>,
     by_name: HashMap<TenantId, Arc<Tenant>>,
 }
@@ -150,14 +151,14 @@
 }
 
 impl Tenants {
-    /// Indexes a list.
+    /// Indexes a list of tenants.
     ///
     /// # Errors
     ///
-    /// The first entry that makes no sense, by its place.
+    /// The first invalid entry.
     pub fn new(entries: Vec<TenantEntry>) -> Result<Self, TenantsError> {
         let mut tenants = Tenants {
-            secret: rand::random(),
+            hash_key: rand::random(),
             by_key: HashMap::new(),
             by_name: HashMap::new(),
         };
@@ -172,22 +173,22 @@
         if name.as_str().is_empty() {
             return Err(TenantsError::NoName { index });
         }
-        if entry.tenant.limit.is_some_and(makes_no_sense) {
+        if entry.tenant.limit.is_some_and(is_invalid) {
             return Err(TenantsError::WrongLimit { index, name });
         }
         let tenant = Arc::new(entry.tenant);
         if self.by_name.insert(name.clone(), tenant.clone()).is_some() {
-            return Err(TenantsError::NameTwice { index, name });
+            return Err(TenantsError::DuplicateName { index, name });
         }
         for (key, text) in entry.keys.iter().enumerate() {
             if text.0.expose_secret().is_empty() {
                 return Err(TenantsError::EmptyKey { index, name, key });
             }
             let digest = self.digest(text);
-            let former = self.by_key.insert(digest, tenant.clone());
-            if let Some(former) = former.filter(|former| former.id != name) {
-                let other = former.id.clone();
-                return Err(TenantsError::KeyOfAnother {
+            let previous = self.by_key.insert(digest, tenant.clone());
+            if let Some(previous) = previous.filter(|previous| previous.id != name) {
+                let other = previous.id.clone();
+                return Err(TenantsError::DuplicateKey {
                     index,
                     name,
                     key,
@@ -198,34 +199,34 @@
         Ok(())
     }
 
-    /// Who holds a key.
+    /// The tenant that has the key.
     pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(&self.digest(key))
     }
 
-    /// A tenant by its name.
+    /// Looks up a tenant by name.
     pub fn tenant(&self, id: &TenantId) -> Option<&Arc<Tenant>> {
         self.by_name.get(id)
     }
 
-    /// All tenants.
+    /// Iterates over all tenants, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.by_name.values()
     }
 
     fn digest(&self, key: &ApiKey) -> Digest {
         let text = key.0.expose_secret().as_bytes();
-        *blake3::keyed_hash(&self.secret, text).as_bytes()
+        *blake3::keyed_hash(&self.hash_key, text).as_bytes()
     }
 }
 
-fn makes_no_sense(limit: TenantLimit) -> bool {
+fn is_invalid(limit: TenantLimit) -> bool {
     let plain = match limit.unit {
         LimitUnit::Requests => 0.0,
         LimitUnit::Tokens { plain } => plain,
     };
-    let figures = [limit.rate, limit.burst, plain];
-    figures
+    let values = [limit.rate, limit.burst, plain];
+    values
         .iter()
-        .any(|figure| !figure.is_finite() || *figure < 0.0)
+        .any(|value| !value.is_finite() || *value < 0.0)
 }
--- a/crates/fleet/tests/tenant.rs
+++ b/crates/fleet/tests/tenant.rs
@@ -46,13 +46,16 @@
     let twice = error(vec![entry("crews", &["a"]), entry("crews", &["b"])]);
     assert_eq!(
         twice.to_string(),
-        "tenants[1]: `crews` stands before already"
+        "tenants[1]: `crews` is listed more than once"
     );
     let shared = error(vec![
         entry("crews", &["a", "b"]),
         entry("desks", &["c", "b"]),
     ]);
-    assert_eq!(shared.to_string(), "tenants[1] `desks`: key 1 is `crews`'s");
+    assert_eq!(
+        shared.to_string(),
+        "tenants[1] `desks`: key 1 also belongs to `crews`"
+    );
     let empty = error(vec![entry("crews", &["a", ""])]);
     assert_eq!(empty.to_string(), "tenants[0] `crews`: key 1 is empty");
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
