--- a/crates/fleet/src/back_end.rs
+++ b/crates/fleet/src/back_end.rs
@@ -113,6 +113,6 @@
     pub loading: Option<PlannedLoad>,
     /// Models whose load was ordered in a previous incarnation of the back end and may still
     /// begin: the next holder reserves memory for them.
-    #[serde(default, skip_serializing_if = "Vec::is_empty")]
+    #[serde(rename = "left_over", default, skip_serializing_if = "Vec::is_empty")]
     pub left_over: Vec<ModelId>,
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -1,6 +1,7 @@
-//! What callers of one gateway ask for, by model, for the placement holder.
+//! Demand of one gateway's callers by model, as input for the placement holder.
 //!
-//! In: arrivals, starts, ends and waits. Out: what the placement holder is told.
+//! Input: arrivals, starts, ends and waits of requests. Output: the row that the gateway sends to
+//! the placement holder.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,85 +11,91 @@
 
 use crate::reading_row::ReadingSample;
 
-/// Time constant of the request rate, in milliseconds.
-const RATE_TIME: f64 = 8_000.0;
-/// A rate below this is none, in requests a second.
-const LEAST_RATE: f64 = 0.005;
-/// A wish that nobody repeats is dropped after so long, in milliseconds.
-const WISH_LIFETIME: u64 = 6_000;
+/// Time constant of the moving average of the request rate.
+const RATE_TIME_CONSTANT_MS: f64 = 8_000.0;
+/// Rate below which a model has no demand.
+const MIN_RATE_PER_SECOND: f64 = 0.005;
+/// Time after which unmet demand that was not recorded again is dropped.
+const UNMET_LIFETIME_MS: u64 = 6_000;
 
 /// Demand for one model.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ModelDemand {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Those of them whose objective is shorter than a load, so that they fail
-    /// it when the model is not there.
+    /// Requests per second whose objective is shorter than a load, so that they miss it unless the
+    /// model is already loaded.
     #[serde(default)]
     pub urgent_rate: f64,
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait for it, or were told to come back for it.
+    /// Requests that wait for the model, or that were rejected with a hint to retry later.
     pub waiting: u32,
-    /// The same, each by the weight of its route's rank.
+    /// Sum of the waiting requests' weights, which depend on the priority ranks of their routes.
     #[serde(default)]
     pub waiting_weight: f64,
-    /// Adapters that are asked for, with the requests a second.
+    /// Requests per second by adapter.
     #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
     pub adapters: BTreeMap<AdapterId, f64>,
-    /// Adapters that requests wait for.
+    /// Adapters that waiting requests need.
     #[serde(default, skip_serializing_if = "BTreeSet::is_empty")]
     pub missing_adapters: BTreeSet<AdapterId>,
 }
 
-/// What one gateway tells.
+/// Demand of one gateway, and its measurements of engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandRow {
-    /// Services and their models.
+    /// Demand by service and model.
     pub services: BTreeMap<ServiceId, BTreeMap<ModelId, ModelDemand>>,
-    /// How fast engines are, as this gateway has seen it, by service.
-    #[serde(default, skip_serializing_if = "BTreeMap::is_empty")]
+    /// Speed of engines as measured by this gateway, by service.
+    #[serde(
+        rename = "reading",
+        default,
+        skip_serializing_if = "BTreeMap::is_empty"
+    )]
     pub reading: BTreeMap<ServiceId, ReadingSample>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Rate {
     value: f64,
-    noted: Timestamp,
+    updated: Timestamp,
 }
 
 impl Rate {
     fn at(&self, now: Timestamp) -> f64 {
-        let age = now.since(self.noted) as f64;
-        self.value * (-age / RATE_TIME).exp()
+        let age = now.since(self.updated) as f64;
+        self.value * (-age / RATE_TIME_CONSTANT_MS).exp()
     }
 
-    fn arrive(&mut self, now: Timestamp) {
-        self.value = self.at(now) + 1_000.0 / RATE_TIME;
-        self.noted = now;
+    fn record_arrival(&mut self, now: Timestamp) {
+        self.value = self.at(now) + 1_000.0 / RATE_TIME_CONSTANT_MS;
+        self.updated = now;
     }
 }
 
 #[derive(Debug, Default)]
-struct Entry {
+struct ModelEntry {
     rate: Rate,
     urgent_rate: Rate,
     running: u32,
     waiting: u32,
     waiting_weight: f64,
-    wished: Option<Timestamp>,
+    /// When the model was last recorded as unmet.
+    unmet_at: Option<Timestamp>,
     adapters: BTreeMap<AdapterId, Rate>,
-    wished_adapters: BTreeMap<AdapterId, Timestamp>,
+    /// When each adapter was last recorded as unmet.
+    unmet_adapters: BTreeMap<AdapterId, Timestamp>,
 }
 
 /// Demand at one gateway.
 #[derive(Debug, Default)]
 pub struct Demand {
-    entries: BTreeMap<(ServiceId, ModelId), Entry>,
+    entries: BTreeMap<(ServiceId, ModelId), ModelEntry>,
 }
 
 impl Demand {
-    /// A request arrived. It is urgent if its objective is shorter than a load.
+    /// Records the arrival of a request. It is urgent if its objective is shorter than a load.
     pub fn arrived(
         &mut self,
         now: Timestamp,
@@ -98,42 +105,43 @@
         urgent: bool,
     ) {
         let entry = self.entry(service, model);
-        entry.rate.arrive(now);
+        entry.rate.record_arrival(now);
         if urgent {
-            entry.urgent_rate.arrive(now);
+            entry.urgent_rate.record_arrival(now);
         }
         if let Some(adapter) = adapter {
             let rate = entry.adapters.entry(adapter.clone()).or_default();
-            rate.arrive(now);
+            rate.record_arrival(now);
         }
     }
 
-    /// A request begins (`change` 1) or ends (-1) to run.
+    /// Records the start (`change` 1) or the end (`change` -1) of a request's execution.
     pub fn running(&mut self, service: &ServiceId, model: &ModelId, change: i32) {
         let entry = self.entry(service, model);
         entry.running = entry.running.saturating_add_signed(change);
     }
 
-    /// A request of a route of this rank begins to wait for the model.
+    /// Records that a request of a route with this priority rank starts to wait for the model.
     pub fn begin_waiting(&mut self, service: &ServiceId, model: &ModelId, priority: u8) {
         let entry = self.entry(service, model);
         entry.waiting += 1;
         entry.waiting_weight += priority_weight(priority);
     }
 
-    /// It waits no more.
+    /// Records that such a request no longer waits.
     pub fn end_waiting(&mut self, service: &ServiceId, model: &ModelId, priority: u8) {
         let entry = self.entry(service, model);
         entry.waiting = entry.waiting.saturating_sub(1);
-        let left = entry.waiting_weight - priority_weight(priority);
+        let remaining = entry.waiting_weight - priority_weight(priority);
         entry.waiting_weight = if entry.waiting == 0 {
             0.0
         } else {
-            left.max(0.0)
+            remaining.max(0.0)
         };
     }
 
-    /// The model, or an adapter of it, is held by no back end. True if this is news.
+    /// Records that no back end holds the model, or the given adapter of it. Returns true if the
+    /// demand was not recorded as unmet before.
     pub fn wish(
         &mut self,
         now: Timestamp,
@@ -142,28 +150,28 @@
         adapter: Option<&AdapterId>,
     ) -> bool {
         let entry = self.entry(service, model);
-        let former = match adapter {
-            None => entry.wished.replace(now),
-            Some(adapter) => entry.wished_adapters.insert(adapter.clone(), now),
+        let previous = match adapter {
+            None => entry.unmet_at.replace(now),
+            Some(adapter) => entry.unmet_adapters.insert(adapter.clone(), now),
         };
-        former.is_none()
+        previous.is_none()
     }
 
-    /// The model, or the adapter, is there: nothing is missing any more.
+    /// Clears the unmet demand: a back end holds the model, or the given adapter of it.
     pub fn fulfilled(&mut self, service: &ServiceId, model: &ModelId, adapter: Option<&AdapterId>) {
         let entry = self.entry(service, model);
-        entry.wished = None;
+        entry.unmet_at = None;
         if let Some(adapter) = adapter {
-            entry.wished_adapters.remove(adapter);
+            entry.unmet_adapters.remove(adapter);
         }
     }
 
-    /// All of it, as of `now`.
+    /// The gateway's demand at `now`.
     pub fn row(&mut self, now: Timestamp) -> DemandRow {
         let mut row = DemandRow::default();
         for ((service, model), entry) in &mut self.entries {
             let demand = entry.demand(now);
-            if demand.rate >= LEAST_RATE || demand.running > 0 || demand.waiting > 0 {
+            if demand.rate >= MIN_RATE_PER_SECOND || demand.running > 0 || demand.waiting > 0 {
                 let models = row.services.entry(service.clone()).or_default();
                 models.insert(model.clone(), demand);
             }
@@ -171,39 +179,39 @@
         row
     }
 
-    fn entry(&mut self, service: &ServiceId, model: &ModelId) -> &mut Entry {
+    fn entry(&mut self, service: &ServiceId, model: &ModelId) -> &mut ModelEntry {
         let key = (service.clone(), model.clone());
         self.entries.entry(key).or_default()
     }
 }
 
-impl Entry {
+impl ModelEntry {
     fn demand(&mut self, now: Timestamp) -> ModelDemand {
-        let fresh = |time: Timestamp| now.since(time) < WISH_LIFETIME;
-        self.wished = self.wished.filter(|time| fresh(*time));
-        self.wished_adapters.retain(|_, time| fresh(*time));
+        let is_fresh = |time: Timestamp| now.since(time) < UNMET_LIFETIME_MS;
+        self.unmet_at = self.unmet_at.filter(|time| is_fresh(*time));
+        self.unmet_adapters.retain(|_, time| is_fresh(*time));
         let adapters = self.adapters.iter();
         let adapters = adapters
             .map(|(adapter, rate)| (adapter.clone(), rounded(rate.at(now))))
-            .filter(|(_, rate)| *rate >= LEAST_RATE)
+            .filter(|(_, rate)| *rate >= MIN_RATE_PER_SECOND)
             .collect();
         ModelDemand {
             rate: rounded(self.rate.at(now)),
             urgent_rate: rounded(self.urgent_rate.at(now)),
             running: self.running,
-            waiting: self.waiting.max(u32::from(self.wished.is_some())),
-            waiting_weight: if self.waiting == 0 && self.wished.is_some() {
+            waiting: self.waiting.max(u32::from(self.unmet_at.is_some())),
+            waiting_weight: if self.waiting == 0 && self.unmet_at.is_some() {
                 1.0
             } else {
                 rounded(self.waiting_weight)
             },
             adapters,
-            missing_adapters: self.wished_adapters.keys().cloned().collect(),
+            missing_adapters: self.unmet_adapters.keys().cloned().collect(),
         }
     }
 }
 
-/// What a waiting request counts for, by the rank of its route; 0 is the highest.
+/// Weight of a waiting request by the priority rank of its route; 0 is the most urgent.
 pub fn priority_weight(priority: u8) -> f64 {
     match priority {
         0 => 2.0,
@@ -212,7 +220,7 @@
     }
 }
 
-/// Three digits say enough.
+/// Rounds to three decimal places.
 fn rounded(rate: f64) -> f64 {
     (rate * 1_000.0).round() / 1_000.0
 }
--- a/crates/fleet/src/feeders.rs
+++ b/crates/fleet/src/feeders.rs
@@ -1,95 +1,100 @@
-//! Which gateways follow the table for the others: a tree of two steps at most.
+//! Distribution tree of the gateways: which gateways follow the table directly, and which take its
+//! changes from another gateway.
 //!
-//! In: the gateways that are known, with what their machines can carry. Out: the place
-//! of each in the tree, and the order in which it asks others for changes of the table.
+//! Input: the known gateways with the capacity of their machines. Output: the position of each
+//! gateway in the tree, and the order in which it requests changes of the table from others.
 //!
 //! Two or three roots follow the table, whatever the number of gateways. Up to
-//! [`MOST_WITHOUT_MIDDLES`] gateways ask these; of more, some in the middle ask the roots
-//! and all others ask those. Every gateway orders all alike, the strongest machines first
-//! and equal ones by the same hash, so all agree without a word as far as they know the
-//! same gateways. What is told has an age, so gateways that do not agree cannot feed each
-//! other in a circle: nobody confirms what goes round, and it is soon too old to be taken.
+//! `MAX_GATEWAYS_WITHOUT_INTERMEDIATES` gateways are children of the roots. Above that, some
+//! intermediate gateways are children of the roots, and all other gateways are children of these.
+//! All gateways compute the same order, by descending capacity and then by the same hash, so they
+//! agree without communication as far as they know the same gateways. Changes carry an age, so
+//! gateways that disagree cannot supply each other in a cycle: no gateway in the cycle can confirm
+//! the content, and it soon becomes too old to be applied.
 
 use std::cmp::Reverse;
 
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Roots of a small fleet: one may be gone.
-const FEW_ROOTS: usize = 2;
-/// Roots of a large one: each feeds several gateways that feed others.
-const MANY_ROOTS: usize = 3;
-/// In a fleet of up to so many gateways feeding costs little, so the one that places
-/// models may feed others too.
-const SMALL_FLEET: usize = 16;
-/// Up to so many gateways ask the roots.
-const MOST_WITHOUT_MIDDLES: usize = 64;
-/// A gateway in the middle feeds so many at most: each costs it some ten messages a second.
-const MOST_FED: usize = 24;
-/// Leaves ask gateways of their own zone if each of these then feeds so many at most, half as
-/// many again as on average. Bytes between zones are what feeding costs most: 2.0 GB in a day
-/// of 985 gateways, and 0.25 to 0.39 of worth at 300.
-const MOST_FED_IN_ZONE: usize = 36;
-/// Gateways that a leaf asks first.
-const PARENTS_OF_A_LEAF: usize = 2;
-/// Gateways that are asked at most, one after the other.
-const MOST_ASKED: usize = 3;
-/// Rows that a whole core can pass on, in megabits a second; measured: a feeder used 0.3
-/// cores for 13 megabits a second.
-const MEGABITS_PER_CORE: f64 = 40.0;
-
-/// A gateway that may feed others.
+/// Number of roots of a small fleet: one of them may fail.
+const SMALL_FLEET_ROOTS: usize = 2;
+/// Number of roots of a large fleet, in which each root supplies several intermediate gateways.
+const LARGE_FLEET_ROOTS: usize = 3;
+/// Number of gateways up to which supplying children costs little, so that the placement holder
+/// may be a parent too.
+const SMALL_FLEET_SIZE: usize = 16;
+/// Number of gateways up to which all of them are children of the roots.
+const MAX_GATEWAYS_WITHOUT_INTERMEDIATES: usize = 64;
+/// Average number of children of an intermediate gateway, which determines how many there are.
+/// Each child costs its parent some ten messages per second.
+const CHILDREN_PER_INTERMEDIATE: usize = 24;
+/// Maximum average number of children of a zone's intermediate gateways for which the zone's leaves
+/// take their parents from their own zone; half as many again as [`CHILDREN_PER_INTERMEDIATE`].
+/// Traffic between zones is the largest cost of the distribution: 2.0 GB in a day of 985 gateways,
+/// and 0.25 to 0.39 of the bench's score at 300 gateways.
+const MAX_CHILDREN_IN_ZONE: usize = 36;
+/// Number of intermediate gateways that a leaf requests changes from before it tries a root.
+const PARENTS_PER_LEAF: usize = 2;
+/// Maximum number of gateways that a gateway requests changes from, one after the other.
+const MAX_PARENTS: usize = 3;
+/// Rate at which one core can forward rows, in megabits per second. As measured, a parent used 0.3
+/// cores for 13 megabits per second.
+const MEGABITS_PER_SECOND_PER_CORE: f64 = 40.0;
+
+/// A gateway that may be a parent of others.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// Its name.
+    /// The gateway's name.
     pub name: &'a str,
-    /// Capacity of its machine's link in megabits a second; 0 if it is not known.
+    /// Capacity of the machine's network link, in megabits per second; 0 if unknown.
     pub link_megabits: u32,
-    /// Processor that it has, in thousandths of a core; 0 if it is not known.
+    /// Processor capacity of the gateway, in thousandths of a core; 0 if unknown.
     pub millicores: u32,
-    /// Its zone; none if it is not known.
+    /// The gateway's zone; `None` if unknown.
     pub zone: Option<&'a str>,
-    /// It places models, which is work enough.
+    /// Whether the gateway is the placement holder, which is work enough in a large fleet.
     pub places_models: bool,
 }
 
 impl Candidate<'_> {
-    /// What it could pass on, in kilobits a second.
+    /// Rate at which the gateway could forward rows, in kilobits per second.
     fn capacity(&self) -> u64 {
-        let by_processor = f64::from(self.millicores) * MEGABITS_PER_CORE;
+        let by_processor = f64::from(self.millicores) * MEGABITS_PER_SECOND_PER_CORE;
         (u64::from(self.link_megabits) * 1_000).min(by_processor as u64)
     }
 }
 
-/// A gateway's place in the tree.
+/// A gateway's position in the distribution tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Place {
-    /// It follows the table itself.
+    /// The gateway follows the table itself.
     #[default]
     Root,
-    /// It is fed by roots and feeds others.
+    /// An intermediate gateway: its parents are roots, and it has children.
     Middle,
-    /// It is fed by roots, in a small fleet.
+    /// The gateway's parents are roots, and the fleet has no intermediate gateways.
     LeafOfRoot,
-    /// It is fed by gateways in the middle.
+    /// The gateway's parents are intermediate gateways.
     LeafOfMiddle,
 }
 
-/// Where one gateway takes the table's changes from.
+/// Gateways from which one gateway takes the table's changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FeedOrder {
-    /// Its place.
+    /// The gateway's position in the tree.
     pub place: Place,
-    /// Indices of the gateways that it asks, in this order; empty at a root.
+    /// Indices of the possible parents, in the order in which they are tried; empty at a root.
     pub asks: Vec<usize>,
-    /// Indices of all roots, the best first.
+    /// Indices of all roots, in rank order.
     pub roots: Vec<usize>,
 }
 
 impl FeedOrder {
-    /// The order of the gateway `own` among all candidates, itself included. A gateway
-    /// that is not among them asks all the same; one that knows nobody follows the table.
+    /// Determines the position and the parents of the gateway `own` among all candidates, which
+    /// include it. A gateway that is not among the candidates is a leaf; one that knows no
+    /// candidates is a root.
     pub fn new(own: &str, candidates: &[Candidate<'_>]) -> Self {
-        let is_small = candidates.len() <= SMALL_FLEET;
+        let is_small = candidates.len() <= SMALL_FLEET_SIZE;
         let mut ranked: Vec<usize> = (0..candidates.len()).collect();
         ranked.sort_by_key(|index| {
             let candidate = &candidates[*index];
@@ -103,39 +108,39 @@
         });
         let tree = Tree::new(ranked);
         let is_own = |index: &usize| candidates[*index].name == own;
-        let place = tree.place(is_own);
-        let asks = match place {
+        let position = tree.position(is_own);
+        let parents = match position {
             Place::Root => Vec::new(),
-            Place::Middle | Place::LeafOfRoot => tree.asks_of_roots(own),
-            Place::LeafOfMiddle => tree.asks_of_middles(own, candidates),
+            Place::Middle | Place::LeafOfRoot => tree.parents_at_roots(own),
+            Place::LeafOfMiddle => tree.parents_of_leaf(own, candidates),
         };
-        let asks = asks.into_iter().filter(|index| !is_own(index));
+        let parents = parents.into_iter().filter(|index| !is_own(index));
         FeedOrder {
-            place,
-            asks: asks.take(MOST_ASKED).collect(),
+            place: position,
+            asks: parents.take(MAX_PARENTS).collect(),
             roots: tree.roots().to_vec(),
         }
     }
 }
 
-/// All gateways, the best feeders first.
+/// All gateways, ordered by their suitability as a parent.
 struct Tree {
     ranked: Vec<usize>,
     roots: usize,
-    middles: usize,
+    intermediates: usize,
 }
 
 impl Tree {
     fn new(ranked: Vec<usize>) -> Self {
         let count = ranked.len();
-        let (roots, middles) = if count <= MOST_WITHOUT_MIDDLES {
-            (FEW_ROOTS, 0)
+        let (roots, intermediates) = if count <= MAX_GATEWAYS_WITHOUT_INTERMEDIATES {
+            (SMALL_FLEET_ROOTS, 0)
         } else {
-            (MANY_ROOTS, count.div_ceil(MOST_FED))
+            (LARGE_FLEET_ROOTS, count.div_ceil(CHILDREN_PER_INTERMEDIATE))
         };
         Tree {
             roots: roots.min(count),
-            middles,
+            intermediates,
             ranked,
         }
     }
@@ -144,60 +149,67 @@
         &self.ranked[..self.roots]
     }
 
-    fn middles(&self) -> &[usize] {
-        &self.ranked[self.roots..self.roots + self.middles]
+    fn intermediates(&self) -> &[usize] {
+        &self.ranked[self.roots..self.roots + self.intermediates]
     }
 
-    fn place(&self, is_own: impl Fn(&usize) -> bool) -> Place {
+    fn position(&self, is_own: impl Fn(&usize) -> bool) -> Place {
         if self.roots == 0 || self.roots().iter().any(&is_own) {
             Place::Root
-        } else if self.middles().iter().any(&is_own) {
+        } else if self.intermediates().iter().any(&is_own) {
             Place::Middle
-        } else if self.middles == 0 {
+        } else if self.intermediates == 0 {
             Place::LeafOfRoot
         } else {
             Place::LeafOfMiddle
         }
     }
 
-    /// The roots, beginning with another one for each name, and then the next in rank,
-    /// which follows the table when it is asked.
-    fn asks_of_roots(&self, own: &str) -> Vec<usize> {
-        let mut asks = rotated(self.roots(), own);
-        asks.extend(&self.ranked[self.roots..]);
-        asks
+    /// The roots, rotated by the gateway's name so that the load spreads, and then the next
+    /// gateways in rank, which follow the table once they receive a request.
+    fn parents_at_roots(&self, own: &str) -> Vec<usize> {
+        let mut parents = rotated(self.roots(), own);
+        parents.extend(&self.ranked[self.roots..]);
+        parents
     }
 
-    /// Two gateways in the middle, and then a root.
-    fn asks_of_middles(&self, own: &str, candidates: &[Candidate<'_>]) -> Vec<usize> {
-        let near = self.middles_in_zone(own, candidates);
-        let mut asks = rotated(near.as_deref().unwrap_or(self.middles()), own);
-        asks.truncate(PARENTS_OF_A_LEAF);
-        asks.extend(rotated(self.roots(), own));
-        asks
+    /// Two intermediate gateways, and then the roots.
+    fn parents_of_leaf(&self, own: &str, candidates: &[Candidate<'_>]) -> Vec<usize> {
+        let zone_intermediates = self.intermediates_in_zone(own, candidates);
+        let mut parents = rotated(
+            zone_intermediates
+                .as_deref()
+                .unwrap_or(self.intermediates()),
+            own,
+        );
+        parents.truncate(PARENTS_PER_LEAF);
+        parents.extend(rotated(self.roots(), own));
+        parents
     }
 
-    /// Gateways in the middle of a gateway's own zone, if there are enough for all in it.
-    fn middles_in_zone(&self, own: &str, candidates: &[Candidate<'_>]) -> Option<Vec<usize>> {
+    /// Intermediate gateways in the zone of the gateway `own`, if there are enough of them for all
+    /// gateways of the zone.
+    fn intermediates_in_zone(&self, own: &str, candidates: &[Candidate<'_>]) -> Option<Vec<usize>> {
         let own = candidates.iter().find(|candidate| candidate.name == own)?;
         let zone = own.zone?;
-        let is_near = |candidate: &Candidate<'_>| candidate.zone == Some(zone);
-        let middles = self.middles().iter().copied();
-        let near: Vec<usize> = middles
-            .filter(|index| is_near(&candidates[*index]))
+        let is_in_zone = |candidate: &Candidate<'_>| candidate.zone == Some(zone);
+        let intermediates = self.intermediates().iter().copied();
+        let zone_intermediates: Vec<usize> = intermediates
+            .filter(|index| is_in_zone(&candidates[*index]))
             .collect();
-        let fed = candidates
+        let zone_size = candidates
             .iter()
-            .filter(|candidate| is_near(candidate))
+            .filter(|candidate| is_in_zone(candidate))
             .count();
-        let are_enough = near.len() >= PARENTS_OF_A_LEAF && fed <= near.len() * MOST_FED_IN_ZONE;
-        are_enough.then_some(near)
+        let is_enough = zone_intermediates.len() >= PARENTS_PER_LEAF
+            && zone_size <= zone_intermediates.len() * MAX_CHILDREN_IN_ZONE;
+        is_enough.then_some(zone_intermediates)
     }
 }
 
 fn rotated(indices: &[usize], own: &str) -> Vec<usize> {
     let mut rotated = indices.to_vec();
-    let first = xxh3_64(own.as_bytes()) as usize % rotated.len().max(1);
-    rotated.rotate_left(first);
+    let offset = xxh3_64(own.as_bytes()) as usize % rotated.len().max(1);
+    rotated.rotate_left(offset);
     rotated
 }
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -1,35 +1,36 @@
-//! What names a request that comes again: the same call with the same body.
+//! Identifies repeated requests: the same call with the same body.
 //!
-//! A caller's next try bears a new id, and nothing in it names the caller, so tries are
-//! told to be the same by what they ask for. Verdicts hang on fingerprints, so nobody may be
-//! able to make another request that has a given one: they come from a cryptographic hash,
-//! and need no secret that all gateways share.
+//! A caller's retry has a new request id, and no part of a request identifies the caller, so
+//! retries are recognised by their content. The quarantine acts on fingerprints, so it must be
+//! infeasible to construct another request with a given fingerprint. Fingerprints are therefore
+//! computed by a cryptographic hash, which needs no secret shared by all gateways.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Keeps fingerprints apart from hashes that others make of the same bytes.
+/// Context string that separates fingerprints from other hashes of the same bytes.
 const CONTEXT: &str = "gorsebank request fingerprint 1";
-/// Bytes that are kept of the hash: no two requests share them by chance, and finding a
-/// second request for a given one takes 2^128 tries.
-const BYTES: usize = 16;
-/// Bytes that a log line tells.
-const BYTES_TOLD: usize = 6;
+/// Number of bytes of the hash that are kept: accidental collisions do not occur, and finding a
+/// second request for a given fingerprint takes 2^128 attempts.
+const FINGERPRINT_BYTES: usize = 16;
+/// Number of bytes that are written to log lines.
+const LOGGED_BYTES: usize = 6;
 
-/// Names a request by what it asks for.
+/// Identifies a request by its content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fingerprint([u8; BYTES]);
+pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
 impl Fingerprint {
-    /// The fingerprint of a request's parts, in a fixed order; `[a, bc]` and `[ab, c]` differ.
+    /// The fingerprint of a request's parts, in a fixed order. The boundaries of parts matter:
+    /// `[a, bc]` and `[ab, c]` differ.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
-        let mut bytes = [0; BYTES];
+        let mut bytes = [0; FINGERPRINT_BYTES];
         hasher.finalize_xof().fill(&mut bytes);
         Fingerprint(bytes)
     }
@@ -37,8 +38,8 @@
 
 impl fmt::Display for Fingerprint {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut told = self.0.iter().take(BYTES_TOLD);
-        told.try_for_each(|byte| write!(formatter, "{byte:02x}"))
+        let mut logged = self.0.iter().take(LOGGED_BYTES);
+        logged.try_for_each(|byte| write!(formatter, "{byte:02x}"))
     }
 }
 
--- a/crates/fleet/src/joining.rs
+++ b/crates/fleet/src/joining.rs
@@ -1,29 +1,30 @@
-//! When a gateway that starts together with all others knows enough of them.
+//! Detects when a gateway knows enough other gateways while all of them start at the same time.
 //!
-//! In: how many gateways each look at the table of members has shown. Out: whether to look again.
+//! Input: the number of gateways in each read of the table of members. Output: whether the table
+//! should be read again.
 //!
-//! The table takes the rows of hundreds of gateways one after the other, for seconds. Whoever
-//! begins with the first few that stand there takes one of these, weak as it may be, for the one
-//! that feeds all: 985 gateways asked the first thirteen for 10,000 rows, and a third of them
-//! was ready after 24 s.
+//! The table stores the rows of hundreds of gateways one after the other, which takes seconds. A
+//! gateway that starts with the first few rows selects its parents among these, however weak they
+//! are: 985 gateways requested 10,000 rows from the first thirteen, and only a third of them were
+//! ready after 24 s.
 
-/// So many gateways feed each other in any order without harm.
-const FEW: usize = 64;
-/// A list that has grown by less than this part is whole, or nearly so: what is still to come
-/// changes little in who feeds whom.
-const GROWTH: f64 = 0.1;
+/// Number of gateways below which the choice of parents does no harm, whatever rows are known.
+const SMALL_FLEET_SIZE: usize = 64;
+/// Relative growth between two reads below which the list is complete or nearly so. The missing
+/// rows hardly change which gateways become parents.
+const MAX_GROWTH: f64 = 0.1;
 
-/// Looks at the table of members so far.
+/// Growth of the list of members over the reads so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Joining {
-    known: usize,
+    last_count: usize,
 }
 
 impl Joining {
-    /// A look has shown so many gateways. True if no other look is needed.
+    /// Records the number of gateways in a read. Returns true if no further read is needed.
     pub fn has_settled(&mut self, gateways: usize) -> bool {
-        let former = std::mem::replace(&mut self.known, gateways);
-        let grown = gateways.saturating_sub(former) as f64;
-        gateways < FEW || grown < former as f64 * GROWTH
+        let previous = std::mem::replace(&mut self.last_count, gateways);
+        let grown = gateways.saturating_sub(previous) as f64;
+        gateways < SMALL_FLEET_SIZE || grown < previous as f64 * MAX_GROWTH
     }
 }
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -1,38 +1,39 @@
-//! Prompts as chains of parts, and which of them a back end has read.
+//! Cached prompt prefixes of a back end.
 //!
-//! In: the parts that a request names. Out: how many tokens a back end has to
-//! read anew. A part is kept only together with every part before it.
+//! Input: the parts of the prompts that the back end was sent. Output: the number of a prompt's
+//! tokens that the back end has not cached. A part is cached only together with all parts before
+//! it.
 
 use std::collections::HashMap;
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_world::{AdapterId, ModelId};
 
-/// Parts that are remembered of one back end.
-const MOST_PARTS: usize = 512;
-/// A part that was not sent for so long is forgotten first, in milliseconds.
-const PART_LIFETIME: u64 = 30_000;
+/// Maximum number of parts that are remembered of one back end.
+const MAX_PARTS: usize = 512;
+/// Time after which a part that was not sent again is removed if there are too many.
+const PART_LIFETIME_MS: u64 = 30_000;
 
 /// One part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Its name; the same text has the same name.
+    /// Identifies the part's text: equal texts have equal ids.
     pub id: String,
-    /// Its length in tokens.
+    /// Length of the part in tokens.
     pub tokens: u32,
 }
 
-/// A prompt.
+/// A prompt as a sequence of parts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Parts that other requests may have in common with it, in order.
+    /// Parts that other requests may share, in order.
     pub shared: Vec<PromptPart>,
-    /// Tokens that belong to the request itself.
+    /// Number of tokens that belong to this request only.
     pub own_tokens: u32,
 }
 
 impl Prompt {
-    /// A prompt of these parts; the last one belongs to the request itself.
+    /// A prompt of these parts; the last one belongs to this request only.
     pub fn new(mut parts: Vec<PromptPart>) -> Self {
         let own = parts.pop();
         Prompt {
@@ -43,7 +44,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Key {
+struct PartKey {
     model: ModelId,
     adapter: Option<AdapterId>,
     part: String,
@@ -52,11 +53,11 @@
 /// Parts that a back end was sent, by model and adapter.
 #[derive(Debug, Default)]
 pub struct KeptParts {
-    sent: HashMap<Key, Timestamp>,
+    last_sent: HashMap<PartKey, Timestamp>,
 }
 
 impl KeptParts {
-    /// The back end is sent a prompt.
+    /// Records that the back end is sent a prompt.
     pub fn note(
         &mut self,
         now: Timestamp,
@@ -65,32 +66,34 @@
         prompt: &Prompt,
     ) {
         for part in &prompt.shared {
-            self.sent.insert(key(model, adapter, part), now);
+            self.last_sent.insert(part_key(model, adapter, part), now);
         }
-        if self.sent.len() > MOST_PARTS {
-            self.sent.retain(|_, sent| now.since(*sent) < PART_LIFETIME);
+        if self.last_sent.len() > MAX_PARTS {
+            self.last_sent
+                .retain(|_, sent| now.since(*sent) < PART_LIFETIME_MS);
         }
-        if self.sent.len() > MOST_PARTS {
-            self.sent.clear();
+        if self.last_sent.len() > MAX_PARTS {
+            self.last_sent.clear();
         }
     }
 
-    /// Tokens of the prompt that the back end has to read anew.
+    /// Number of the prompt's tokens that the back end has not cached.
     pub fn fresh_tokens(
         &self,
         model: &ModelId,
         adapter: Option<&AdapterId>,
         prompt: &Prompt,
     ) -> u32 {
-        let is_kept = |part: &&PromptPart| self.sent.contains_key(&key(model, adapter, part));
-        let kept = prompt.shared.iter().take_while(is_kept).count();
-        let unread = prompt.shared.iter().skip(kept);
-        unread.map(|part| part.tokens).sum::<u32>() + prompt.own_tokens
+        let is_cached =
+            |part: &&PromptPart| self.last_sent.contains_key(&part_key(model, adapter, part));
+        let cached = prompt.shared.iter().take_while(is_cached).count();
+        let uncached = prompt.shared.iter().skip(cached);
+        uncached.map(|part| part.tokens).sum::<u32>() + prompt.own_tokens
     }
 }
 
-fn key(model: &ModelId, adapter: Option<&AdapterId>, part: &PromptPart) -> Key {
-    Key {
+fn part_key(model: &ModelId, adapter: Option<&AdapterId>, part: &PromptPart) -> PartKey {
+    PartKey {
         model: model.clone(),
         adapter: adapter.cloned(),
         part: part.id.clone(),
--- a/crates/fleet/src/quarantine/blame.rs
+++ b/crates/fleet/src/quarantine/blame.rs
@@ -1,39 +1,46 @@
-//! Which of the requests that were at back ends when these ended are to blame.
+//! Determines which of the requests that were running on back ends when these crashed caused the
+//! crashes.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
 use super::BackEndHash;
 use crate::Fingerprint;
 
-/// A request that was there when so many back ends ended, and was never served, ends back
-/// ends. With two, callers that try twice would be blamed for what ran beside them.
+/// Number of crashes after which a request that was running at all of them, and was never served,
+/// counts as their cause. With two, callers that retry once would have requests quarantined that
+/// merely ran at the same time.
 pub const ENDS_TO_BLAME: usize = 3;
 
-/// The requests to blame, by the back ends at whose end each was there.
+/// The requests that caused crashes; `crashes` lists the back ends at whose crash each request was
+/// running.
 ///
-/// Whoever was there most often comes first, and all ends at which it was there are put down
-/// to it. What was merely beside it has no end left that nobody explains, and is let go. Two
-/// requests that were always there together are both blamed: nothing tells them apart.
-pub fn blame(ends: &HashMap<Fingerprint, BTreeSet<BackEndHash>>) -> HashSet<Fingerprint> {
-    let mut suspects: Vec<(Fingerprint, &BTreeSet<BackEndHash>)> = ends
+/// The request that was running at the most crashes comes first, and all of its crashes are
+/// attributed to it. A request that merely ran at the same time has no unexplained crashes left and
+/// is not blamed. Two requests that always ran at the same time are both blamed, since nothing
+/// tells them apart.
+pub fn blame(crashes: &HashMap<Fingerprint, BTreeSet<BackEndHash>>) -> HashSet<Fingerprint> {
+    let mut suspects: Vec<(Fingerprint, &BTreeSet<BackEndHash>)> = crashes
         .iter()
-        .filter(|(_, ends)| ends.len() >= ENDS_TO_BLAME)
-        .map(|(fingerprint, ends)| (*fingerprint, ends))
+        .filter(|(_, crashes)| crashes.len() >= ENDS_TO_BLAME)
+        .map(|(fingerprint, crashes)| (*fingerprint, crashes))
         .collect();
     let mut explained: BTreeSet<BackEndHash> = BTreeSet::new();
     let mut blamed = HashSet::new();
     loop {
-        let unexplained = |ends: &BTreeSet<BackEndHash>| ends.difference(&explained).count();
-        let most = suspects.iter().map(|(_, ends)| unexplained(ends)).max();
+        let unexplained = |crashes: &BTreeSet<BackEndHash>| crashes.difference(&explained).count();
+        let most = suspects
+            .iter()
+            .map(|(_, crashes)| unexplained(crashes))
+            .max();
         let Some(most) = most.filter(|most| *most > 0) else {
             return blamed;
         };
-        let (now_blamed, others): (Vec<_>, Vec<_>) = suspects
+        let (most_frequent, others): (Vec<_>, Vec<_>) = suspects
             .into_iter()
-            .partition(|(_, ends)| unexplained(ends) == most);
-        for (fingerprint, ends) in now_blamed {
+            .partition(|(_, crashes)| unexplained(crashes) == most);
+        for (fingerprint, crashes) in most_frequent {
             blamed.insert(fingerprint);
-            explained.extend(ends);
+            explained.extend(crashes);
         }
         suspects = others;
     }
--- a/crates/fleet/src/quarantine/mod.rs
+++ b/crates/fleet/src/quarantine/mod.rs
@@ -1,16 +1,16 @@
-//! Requests that are kept away from back ends, since back ends end under them.
+//! Quarantine of requests that crash back ends: gateways do not send these requests to back ends.
 //!
-//! A request may end whatever process runs it, and its caller comes back with it, at any
-//! gateway. What ran beside it ends too, comes back too, and must be served. So gateways tell
-//! each other under which requests back ends ended, and which of those were served; each
-//! decides by the same rules.
+//! A request may crash any process that executes it, and its caller sends it again, to any gateway.
+//! Requests that run at the same time fail too and are also sent again, but these must be served.
+//! Gateways therefore notify each other which requests were running when back ends crashed, and
+//! which of these requests were served. Each gateway decides by the same rules.
 //!
-//! In: ends and whole answers, of this gateway's requests and as others tell them. Out: the
-//! verdict on a request, and what is to be told on. What was told counts by age, so no clock
-//! is compared between gateways.
+//! Input: crashes and complete responses for this gateway's requests, and notices of other
+//! gateways. Output: whether a request is quarantined, and the notices to send. Notices carry an
+//! age, so that no clocks are compared between gateways.
 //!
-//! Invariants: an end counts once however often it is told; a request that was served counts
-//! as innocent of all that ended before; nothing grows beyond the bounds below.
+//! Invariants: a crash counts once, however often a notice of it is received. A request that was
+//! served is cleared of all earlier crashes. No collection grows beyond the bounds below.
 
 mod blame;
 mod recent;
@@ -28,31 +28,32 @@
 
 pub use blame::{ENDS_TO_BLAME, blame};
 
-/// A verdict stands so long after the last end, in milliseconds; then one more try is let
-/// through, since an engine or an adapter may have been mended. If a back end ends under it,
-/// the verdict stands again at once.
+/// Time after the last crash for which a request stays quarantined. Then one more attempt is
+/// permitted, since an engine or an adapter may have been repaired. If a back end crashes under
+/// it, the request is quarantined again at once.
 pub const VERDICT_TIME: u64 = 600_000;
-/// An end is remembered so long, in milliseconds: three verdicts.
-const MEMORY: u64 = 3 * VERDICT_TIME;
-/// Events that are remembered at most, about 200 bytes each; the oldest go first. Each takes
-/// a request that was at a back end when it ended, so a flood of requests that end back ends
-/// makes no more than their slots.
-const MOST_EVENTS: usize = 4_096;
-/// Verdicts that are kept where they outlast all processes, at most; with [`ENDS_KEPT`] of
-/// about 100 bytes each they fit into a row of 64 kB.
-const MOST_KEPT: usize = 60;
-/// Ends of one request that are kept: more than blame needs, since some may be put down to
-/// another request.
-const ENDS_KEPT: usize = 2 * ENDS_TO_BLAME;
-/// Acquittals of one request that lie closer than this are one, in milliseconds, unless the
-/// later one clears an end: each hop adds the time that it took.
-const SAME_ACQUITTAL: u64 = 1_000;
-
-/// A back end's name as it is told. Names that collide would count one end too few.
+/// Time for which an event is kept: three times the duration of a quarantine entry.
+const RETENTION_MS: u64 = 3 * VERDICT_TIME;
+/// Maximum number of events, of about 200 bytes each; the oldest are dropped first. Each crash
+/// event needs a request that was running at a back end when it crashed, so a flood of requests
+/// that crash back ends causes no more events than the back ends have slots.
+const MAX_EVENTS: usize = 4_096;
+/// Maximum number of quarantine entries that are persisted. With [`MAX_PERSISTED_CRASHES`] crashes
+/// of about 100 bytes each they fit into a row of 64 kB.
+const MAX_PERSISTED_ENTRIES: usize = 60;
+/// Number of crashes per request that are persisted: more than are needed to quarantine it, since
+/// some may turn out to be caused by another request.
+const MAX_PERSISTED_CRASHES: usize = 2 * ENDS_TO_BLAME;
+/// Time within which repeated clearances of a request count as one unless the later one clears a
+/// crash, since each hop between gateways adds its own delay.
+const SAME_CLEARANCE_MS: u64 = 1_000;
+
+/// Hash of a back end's name and start time, as it is sent to other gateways. A collision only
+/// counts one crash too few.
 pub type BackEndHash = u64;
 
-/// A back end's name as it is told. Each life of one that starts again under its name ends for
-/// itself.
+/// The hash of an incarnation of a back end. Crashes of different incarnations under one name count
+/// separately.
 pub fn hash(back_end: &BackEndId, born: Option<Born>) -> BackEndHash {
     let name = xxh3_64(back_end.as_str().as_bytes());
     born.map_or(name, |Born(start)| {
@@ -63,42 +64,42 @@
 /// What happened to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// This back end's process ended while the request was there.
+    /// The process of this back end exited while it was running the request.
     Ended(BackEndHash),
-    /// A back end answered it whole.
+    /// A back end sent the complete response.
     Served,
 }
 
-/// What one gateway tells another of a request.
+/// Notice from one gateway to another about the outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldOutcome {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// What happened to it.
+    /// The outcome of the request.
     pub outcome: RunOutcome,
-    /// How long ago, in milliseconds.
+    /// Time since the outcome, in milliseconds.
     pub age: u64,
 }
 
-/// How far one gateway knows what another one tells.
+/// Position up to which one gateway has received another gateway's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
-    /// The teller's process.
+    /// Random number that identifies the sender's process.
     pub process: u64,
-    /// Events of it that are known.
+    /// Number of the sender's events that were received.
     pub events: u64,
 }
 
-/// Who told of an event.
+/// Origin of an event in the distribution tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// This gateway saw it, or one that it feeds told of it.
+    /// The event was observed by this gateway, or received from one of its children.
     Below,
-    /// The gateway that feeds this one, or another root, told of it.
+    /// The event was received from this gateway's parent, or from another root.
     Beside,
 }
 
-/// An event, in the order in which this gateway learned of it.
+/// An event. Events are stored in the order in which this gateway received them.
 #[derive(Clone, Copy, Debug)]
 struct Event {
     fingerprint: Fingerprint,
@@ -107,156 +108,158 @@
     source: Source,
 }
 
-/// What is known of requests under which back ends ended.
+/// The known crashes, and the requests that are quarantined because of them.
 #[derive(Debug)]
 pub struct Quarantine {
     process: u64,
     events: VecDeque<Event>,
-    /// Events that were forgotten: the number of the first one kept.
-    forgotten: u64,
-    known: HashSet<(Fingerprint, BackEndHash)>,
-    /// Ends that count against each request, and when they were.
-    ends: HashMap<Fingerprint, BTreeMap<BackEndHash, Timestamp>>,
-    acquitted: HashMap<Fingerprint, Timestamp>,
-    served: RecentlyServed,
-    /// Requests that are kept away, and when the last end under each was.
-    verdicts: HashMap<Fingerprint, Timestamp>,
-    verdict_changes: u64,
+    /// Number of events that were dropped, and so the number of the first event that is kept.
+    dropped: u64,
+    known_crashes: HashSet<(Fingerprint, BackEndHash)>,
+    /// Crashes that count against each request, with their times.
+    crashes: HashMap<Fingerprint, BTreeMap<BackEndHash, Timestamp>>,
+    cleared: HashMap<Fingerprint, Timestamp>,
+    recently_served: RecentlyServed,
+    /// Quarantined requests, with the time of the last crash under each.
+    quarantined: HashMap<Fingerprint, Timestamp>,
+    quarantine_changes: u64,
 }
 
 impl Quarantine {
-    /// Nothing is known yet. `process` is a random number.
+    /// Starts without any events. `process` is a random number.
     pub fn new(process: u64) -> Self {
         Quarantine {
             process,
             events: VecDeque::new(),
-            forgotten: 0,
-            known: HashSet::new(),
-            ends: HashMap::new(),
-            acquitted: HashMap::new(),
-            served: RecentlyServed::default(),
-            verdicts: HashMap::new(),
-            verdict_changes: 0,
+            dropped: 0,
+            known_crashes: HashSet::new(),
+            crashes: HashMap::new(),
+            cleared: HashMap::new(),
+            recently_served: RecentlyServed::default(),
+            quarantined: HashMap::new(),
+            quarantine_changes: 0,
         }
     }
 
-    /// How much longer the request is kept away from back ends, in milliseconds; none if it
-    /// may be sent.
+    /// Remaining time for which the request is quarantined, in milliseconds; `None` if it may be
+    /// sent to back ends.
     pub fn verdict(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<u64> {
-        let last_end = *self.verdicts.get(&fingerprint)?;
-        let left = VERDICT_TIME.saturating_sub(since_before_start(now).since(last_end));
+        let last_crash = *self.quarantined.get(&fingerprint)?;
+        let left = VERDICT_TIME.saturating_sub(shifted(now).since(last_crash));
         (left > 0).then_some(left)
     }
 
-    /// How many requests there is a verdict on.
+    /// Number of quarantined requests.
     pub fn verdict_count(&self) -> usize {
-        self.verdicts.len()
+        self.quarantined.len()
     }
 
-    /// How often other requests than before were kept away.
+    /// How often the set of quarantined requests has changed.
     pub fn verdict_changes(&self) -> u64 {
-        self.verdict_changes
+        self.quarantine_changes
     }
 
-    /// A back end ended while this gateway's request was there.
+    /// Records that a back end crashed while it was running this gateway's request.
     pub fn note_end(&mut self, now: Timestamp, fingerprint: Fingerprint, back_end: BackEndHash) {
-        let now = since_before_start(now);
+        let now = shifted(now);
         let outcome = RunOutcome::Ended(back_end);
-        self.take_in(now, fingerprint, outcome, now, Source::Below);
+        self.add_event(now, fingerprint, outcome, now, Source::Below);
     }
 
-    /// A back end answered this gateway's request whole, and lives.
+    /// Records that a back end sent the complete response to this gateway's request and is alive.
     pub fn note_served(&mut self, now: Timestamp, fingerprint: Fingerprint) {
-        let now = since_before_start(now);
-        self.served.note(now, fingerprint);
-        if self.ends.contains_key(&fingerprint) {
-            self.take_in(now, fingerprint, RunOutcome::Served, now, Source::Below);
+        let now = shifted(now);
+        self.recently_served.record(now, fingerprint);
+        if self.crashes.contains_key(&fingerprint) {
+            self.add_event(now, fingerprint, RunOutcome::Served, now, Source::Below);
         }
     }
 
-    /// Another gateway tells of events. True if any was news.
-    pub fn take(&mut self, now: Timestamp, told: &[ToldOutcome], source: Source) -> bool {
-        let now = since_before_start(now);
-        let mut is_news = false;
-        for event in told.iter().filter(|event| event.age < MEMORY) {
-            let at = now - event.age;
-            is_news |= self.take_in(now, event.fingerprint, event.outcome, at, source);
+    /// Merges the notices of another gateway. Returns true if any of them was new.
+    pub fn take(&mut self, now: Timestamp, notices: &[ToldOutcome], source: Source) -> bool {
+        let now = shifted(now);
+        let mut is_new = false;
+        for notice in notices.iter().filter(|notice| notice.age < RETENTION_MS) {
+            let at = now - notice.age;
+            is_new |= self.add_event(now, notice.fingerprint, notice.outcome, at, source);
         }
-        is_news
+        is_new
     }
 
-    /// Where one is who knows everything that this gateway does.
+    /// The position of a gateway that has received all events of this one.
     pub fn position(&self) -> Position {
         Position {
             process: self.process,
-            events: self.forgotten + self.events.len() as u64,
+            events: self.dropped + self.events.len() as u64,
         }
     }
 
-    /// Whether there is anything to tell one who is at this position.
+    /// Whether there are events after this position.
     pub fn is_ahead_of(&self, position: Option<Position>) -> bool {
         !self.events.is_empty() && position != Some(self.position())
     }
 
-    /// Events after a position; all that are remembered if it is another process's.
+    /// Notices of the events after a position; of all events if the position is that of another
+    /// process.
     pub fn since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
-        let now = since_before_start(now);
-        self.from(position)
-            .map(|event| event.told_at(now))
+        let now = shifted(now);
+        self.events_after(position)
+            .map(|event| event.notice(now))
             .collect()
     }
 
-    /// The same, of what this gateway and those that it feeds saw.
+    /// Like [`Quarantine::since`], but only the events observed by this gateway and the gateways
+    /// below it.
     pub fn seen_below_since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
-        let now = since_before_start(now);
-        self.from(position)
+        let now = shifted(now);
+        self.events_after(position)
             .filter(|event| event.source == Source::Below)
-            .map(|event| event.told_at(now))
+            .map(|event| event.notice(now))
             .collect()
     }
 
-    /// The ends that verdicts hang on, the newest of each request: to be kept where they
-    /// outlast this process. At most `MOST_KEPT` verdicts are included, latest expiry first.
+    /// The newest crashes of each quarantined request, to be persisted so that they outlast this
+    /// process. At most `MAX_PERSISTED_ENTRIES` requests are included, those with the latest expiry first.
     pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
-        let now = since_before_start(now);
-        let verdicts = self.verdicts.iter();
-        let mut newest_verdicts: Vec<(Timestamp, Fingerprint)> = verdicts
-            .map(|(fingerprint, last_end)| (*last_end, *fingerprint))
+        let now = shifted(now);
+        let quarantined = self.quarantined.iter();
+        let mut newest_entries: Vec<(Timestamp, Fingerprint)> = quarantined
+            .map(|(fingerprint, last_crash)| (*last_crash, *fingerprint))
             .collect();
-        // Ties are broken by fingerprint, so that gateways with the same verdicts select the
+        // Ties are broken by fingerprint, so that gateways with the same entries select the
         // same subset.
-        newest_verdicts.sort_unstable_by_key(|verdict| Reverse(*verdict));
-        newest_verdicts.truncate(MOST_KEPT);
-        newest_verdicts
+        newest_entries.sort_unstable_by_key(|entry| Reverse(*entry));
+        newest_entries.truncate(MAX_PERSISTED_ENTRIES);
+        newest_entries
             .into_iter()
-            .flat_map(|(_, fingerprint)| self.newest_ends(now, fingerprint))
+            .flat_map(|(_, fingerprint)| self.newest_crashes(now, fingerprint))
             .collect()
     }
 
-    fn newest_ends(&self, now: Timestamp, fingerprint: Fingerprint) -> Vec<ToldOutcome> {
-        let ends = self.ends.get(&fingerprint).into_iter().flatten();
-        let mut told: Vec<ToldOutcome> = ends
+    fn newest_crashes(&self, now: Timestamp, fingerprint: Fingerprint) -> Vec<ToldOutcome> {
+        let crashes = self.crashes.get(&fingerprint).into_iter().flatten();
+        let mut notices: Vec<ToldOutcome> = crashes
             .map(|(back_end, at)| ToldOutcome {
                 fingerprint,
                 outcome: RunOutcome::Ended(*back_end),
                 age: now.since(*at),
             })
             .collect();
-        told.sort_by_key(|end| end.age);
-        told.truncate(ENDS_KEPT);
-        told
+        notices.sort_by_key(|crash| crash.age);
+        notices.truncate(MAX_PERSISTED_CRASHES);
+        notices
     }
 
-    fn from(&self, position: Option<Position>) -> impl Iterator<Item = &Event> {
+    fn events_after(&self, position: Option<Position>) -> impl Iterator<Item = &Event> {
         let known = position
             .filter(|position| position.process == self.process)
             .map_or(0, |position| position.events);
-        let first = known.saturating_sub(self.forgotten);
+        let first = known.saturating_sub(self.dropped);
         self.events.iter().skip(first as usize)
     }
 
-    /// True if it was news.
-    fn take_in(
+    /// Returns true if the event was new.
+    fn add_event(
         &mut self,
         now: Timestamp,
         fingerprint: Fingerprint,
@@ -264,12 +267,12 @@
         at: Timestamp,
         source: Source,
     ) -> bool {
-        self.forget_old(now);
-        let is_news = match outcome {
-            RunOutcome::Ended(back_end) => self.accuse(fingerprint, back_end, at),
-            RunOutcome::Served => self.acquit(fingerprint, at),
+        self.remove_expired(now);
+        let is_new = match outcome {
+            RunOutcome::Ended(back_end) => self.add_crash(fingerprint, back_end, at),
+            RunOutcome::Served => self.clear_crashes(fingerprint, at),
         };
-        if !is_news {
+        if !is_new {
             return false;
         }
         self.events.push_back(Event {
@@ -278,110 +281,123 @@
             at,
             source,
         });
-        // A request that many callers make may be at several back ends that end at once. The
-        // gateways that served it of late say so before it is kept away for long.
-        if matches!(outcome, RunOutcome::Ended(_)) && self.served.contains(now, fingerprint) {
-            self.take_in(now, fingerprint, RunOutcome::Served, now, Source::Below);
+        // A request that many callers send may be running at several back ends that crash at
+        // once. Gateways that have served it recently therefore clear it at once, before it is
+        // quarantined for long.
+        if matches!(outcome, RunOutcome::Ended(_))
+            && self.recently_served.contains(now, fingerprint)
+        {
+            self.add_event(now, fingerprint, RunOutcome::Served, now, Source::Below);
         }
         true
     }
 
-    /// True if it was not known.
-    fn accuse(&mut self, fingerprint: Fingerprint, back_end: BackEndHash, at: Timestamp) -> bool {
-        if !self.known.insert((fingerprint, back_end)) {
+    /// Returns true if the crash was not known.
+    fn add_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        back_end: BackEndHash,
+        at: Timestamp,
+    ) -> bool {
+        if !self.known_crashes.insert((fingerprint, back_end)) {
             return false;
         }
-        let acquitted = self.acquitted.get(&fingerprint);
-        if acquitted.is_none_or(|acquitted| at > *acquitted) {
-            let ends = self.ends.entry(fingerprint).or_default();
-            ends.insert(back_end, at);
-            if ends.len() >= ENDS_TO_BLAME {
-                self.judge();
+        let cleared = self.cleared.get(&fingerprint);
+        if cleared.is_none_or(|cleared| at > *cleared) {
+            let crashes = self.crashes.entry(fingerprint).or_default();
+            crashes.insert(back_end, at);
+            if crashes.len() >= ENDS_TO_BLAME {
+                self.update_quarantined();
             }
         }
         true
     }
 
-    /// True if it was not known.
-    fn acquit(&mut self, fingerprint: Fingerprint, at: Timestamp) -> bool {
-        let known = self.acquitted.get(&fingerprint).copied();
-        let is_same = known.is_some_and(|known| at.since(known) < SAME_ACQUITTAL);
-        let ends = self.ends.get(&fingerprint).into_iter().flatten();
-        let clears = ends.into_iter().any(|(_, ended)| *ended <= at);
+    /// Returns true if the clearance was not known.
+    fn clear_crashes(&mut self, fingerprint: Fingerprint, at: Timestamp) -> bool {
+        let known = self.cleared.get(&fingerprint).copied();
+        let is_same = known.is_some_and(|known| at.since(known) < SAME_CLEARANCE_MS);
+        let crashes = self.crashes.get(&fingerprint).into_iter().flatten();
+        let clears = crashes.into_iter().any(|(_, crashed_at)| *crashed_at <= at);
         if is_same && !clears {
             return false;
         }
-        self.acquitted
+        self.cleared
             .insert(fingerprint, known.map_or(at, |known| known.max(at)));
-        if let Some(ends) = self.ends.get_mut(&fingerprint) {
-            ends.retain(|_, ended| *ended > at);
-            if ends.is_empty() {
-                self.ends.remove(&fingerprint);
+        if let Some(crashes) = self.crashes.get_mut(&fingerprint) {
+            crashes.retain(|_, crashed_at| *crashed_at > at);
+            if crashes.is_empty() {
+                self.crashes.remove(&fingerprint);
             }
         }
-        if self.verdicts.contains_key(&fingerprint) {
-            self.judge();
+        if self.quarantined.contains_key(&fingerprint) {
+            self.update_quarantined();
         }
         true
     }
 
-    /// Only requests with ends enough are looked at: a flood of others costs nothing here.
-    fn judge(&mut self) {
-        let suspects = self.ends.iter();
+    /// Updates the set of quarantined requests. Only requests with enough crashes are examined, so
+    /// a flood of other requests adds no cost.
+    fn update_quarantined(&mut self) {
+        let suspects = self.crashes.iter();
         let suspects: HashMap<Fingerprint, BTreeSet<BackEndHash>> = suspects
-            .filter(|(_, ends)| ends.len() >= ENDS_TO_BLAME)
-            .map(|(fingerprint, ends)| (*fingerprint, ends.keys().copied().collect()))
+            .filter(|(_, crashes)| crashes.len() >= ENDS_TO_BLAME)
+            .map(|(fingerprint, crashes)| (*fingerprint, crashes.keys().copied().collect()))
             .collect();
-        let last_end = |fingerprint: Fingerprint| {
-            let last = self.ends.get(&fingerprint)?.values().max()?;
+        let last_crash = |fingerprint: Fingerprint| {
+            let last = self.crashes.get(&fingerprint)?.values().max()?;
             Some((fingerprint, *last))
         };
-        let verdicts: HashMap<_, _> = blame(&suspects).into_iter().filter_map(last_end).collect();
-        let same = verdicts.len() == self.verdicts.len()
-            && verdicts
+        let quarantined: HashMap<_, _> = blame(&suspects)
+            .into_iter()
+            .filter_map(last_crash)
+            .collect();
+        let same = quarantined.len() == self.quarantined.len()
+            && quarantined
                 .keys()
-                .all(|known| self.verdicts.contains_key(known));
-        self.verdict_changes += u64::from(!same);
-        self.verdicts = verdicts;
+                .all(|known| self.quarantined.contains_key(known));
+        self.quarantine_changes += u64::from(!same);
+        self.quarantined = quarantined;
     }
 
-    fn forget_old(&mut self, now: Timestamp) {
+    fn remove_expired(&mut self, now: Timestamp) {
         while let Some(oldest) = self.events.front().copied() {
-            if self.events.len() < MOST_EVENTS && now.since(oldest.at) < MEMORY {
+            if self.events.len() < MAX_EVENTS && now.since(oldest.at) < RETENTION_MS {
                 return;
             }
             self.events.pop_front();
-            self.forgotten += 1;
+            self.dropped += 1;
             match oldest.outcome {
                 RunOutcome::Ended(back_end) => {
-                    self.known.remove(&(oldest.fingerprint, back_end));
-                    self.forget_end(oldest.fingerprint, back_end);
+                    self.known_crashes.remove(&(oldest.fingerprint, back_end));
+                    self.remove_crash(oldest.fingerprint, back_end);
                 }
                 RunOutcome::Served => {
-                    self.acquitted.remove(&oldest.fingerprint);
+                    self.cleared.remove(&oldest.fingerprint);
                 }
             }
         }
     }
 
-    fn forget_end(&mut self, fingerprint: Fingerprint, back_end: BackEndHash) {
-        let Some(ends) = self.ends.get_mut(&fingerprint) else {
+    fn remove_crash(&mut self, fingerprint: Fingerprint, back_end: BackEndHash) {
+        let Some(crashes) = self.crashes.get_mut(&fingerprint) else {
             return;
         };
-        ends.remove(&back_end);
-        if ends.is_empty() {
-            self.ends.remove(&fingerprint);
+        crashes.remove(&back_end);
+        if crashes.is_empty() {
+            self.crashes.remove(&fingerprint);
         }
     }
 }
 
-/// Time that begins before this process did, so that older events have a place in it.
-fn since_before_start(now: Timestamp) -> Timestamp {
-    now + MEMORY
+/// Shifts a time so that the zero point lies before the start of this process, and older events
+/// have non-negative times.
+fn shifted(now: Timestamp) -> Timestamp {
+    now + RETENTION_MS
 }
 
 impl Event {
-    fn told_at(&self, now: Timestamp) -> ToldOutcome {
+    fn notice(&self, now: Timestamp) -> ToldOutcome {
         ToldOutcome {
             fingerprint: self.fingerprint,
             outcome: self.outcome,
--- a/crates/fleet/src/quarantine/recent.rs
+++ b/crates/fleet/src/quarantine/recent.rs
@@ -1,4 +1,4 @@
-//! Requests that were served of late.
+//! Requests that were served recently.
 
 use std::collections::HashSet;
 
@@ -6,44 +6,44 @@
 
 use crate::Fingerprint;
 
-/// A request that was served within this time, or up to twice as long ago, is vouched for,
-/// in milliseconds. Longer than that, a back end or an adapter may have changed.
-const VOUCH_TIME: u64 = 15_000;
-/// Requests that are remembered at most in one such time.
-const MOST: usize = 4_096;
+/// Length of an interval. A request counts as recently served for one to two intervals; after a
+/// longer time, a back end or an adapter may have changed.
+const INTERVAL_MS: u64 = 15_000;
+/// Maximum number of requests that are remembered per interval.
+const MAX_PER_INTERVAL: usize = 4_096;
 
-/// Requests that were served, in two spans of time.
+/// Requests that were served in the current and in the previous interval.
 #[derive(Debug, Default)]
 pub struct RecentlyServed {
-    present: HashSet<Fingerprint>,
-    former: HashSet<Fingerprint>,
-    since: Timestamp,
+    current: HashSet<Fingerprint>,
+    previous: HashSet<Fingerprint>,
+    interval_start: Timestamp,
 }
 
 impl RecentlyServed {
-    /// It was served.
-    pub fn note(&mut self, now: Timestamp, fingerprint: Fingerprint) {
-        self.turn(now);
-        if self.present.len() < MOST {
-            self.present.insert(fingerprint);
+    /// Records that the request was served.
+    pub fn record(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+        self.rotate(now);
+        if self.current.len() < MAX_PER_INTERVAL {
+            self.current.insert(fingerprint);
         }
     }
 
-    /// Whether it was served of late.
+    /// Whether the request was served recently.
     pub fn contains(&mut self, now: Timestamp, fingerprint: Fingerprint) -> bool {
-        self.turn(now);
-        self.present.contains(&fingerprint) || self.former.contains(&fingerprint)
+        self.rotate(now);
+        self.current.contains(&fingerprint) || self.previous.contains(&fingerprint)
     }
 
-    fn turn(&mut self, now: Timestamp) {
-        let age = now.since(self.since);
-        if age < VOUCH_TIME {
+    fn rotate(&mut self, now: Timestamp) {
+        let age = now.since(self.interval_start);
+        if age < INTERVAL_MS {
             return;
         }
-        self.former = std::mem::take(&mut self.present);
-        if age >= 2 * VOUCH_TIME {
-            self.former.clear();
+        self.previous = std::mem::take(&mut self.current);
+        if age >= 2 * INTERVAL_MS {
+            self.previous.clear();
         }
-        self.since = now;
+        self.interval_start = now;
     }
 }
--- a/crates/fleet/src/reading.rs
+++ b/crates/fleet/src/reading.rs
@@ -1,13 +1,13 @@
-//! How long an engine reads a prompt, fitted from what its streams show.
+//! Estimates how long an engine's prefill of a prompt takes, from observations of its streams.
 //!
-//! An engine reads prompts between the tokens of the streams it runs, so a long
-//! prompt makes all of them pause. Both times grow alike with the size of the
-//! model and the slowness of the engine. The time between two events is seen
-//! dozens of times in each stream; how much longer it takes to read a token is
-//! one number for all engines of a service.
+//! An engine prefills prompts between the tokens of its running streams, so a long prompt delays
+//! all of them. The prefill time per token and the gap between two events of a stream grow alike
+//! with the size of the model and the slowness of the engine. Gaps are observed dozens of times in
+//! each stream. The ratio of the prefill time of one token to the gap is one number for all engines
+//! of a service.
 //!
-//! In: gaps between events, times of first events, what other gateways have seen.
-//! Out: times of readings.
+//! Input: gaps between events, times of first events, and the observations of other gateways.
+//! Output: prefill times.
 
 use std::collections::HashMap;
 
@@ -16,121 +16,124 @@
 
 use crate::reading_row::{GapSample, ReadingRow, ReadingSample};
 
-/// One gap moves what is believed of the model by this part ...
+/// Step, relative to the estimate, by which one gap changes the estimate of the model.
 const MODEL_STEP: f64 = 0.04;
-/// ... and what is believed of the engine by this part.
+/// Step, relative to the estimate, by which one gap changes the estimate of the engine.
 const ENGINE_STEP: f64 = 0.015;
-/// With each gap an engine's slowness returns to that of the others so far: what
-/// all engines show is the model's.
-const ENGINE_RETURN: f64 = 0.01;
-/// One gap moves what is believed of a model at an engine by this part at first ...
-const FIRST_PAIR_STEP: f64 = 0.1;
-/// ... for so many events ...
-const FIRST_EVENTS: u32 = 20;
-/// ... and then by this part.
+/// Decay with which each gap moves an engine's slowness back towards 1, so that what is common to
+/// all engines is attributed to the model.
+const ENGINE_DECAY: f64 = 0.01;
+/// Relative step by which each of the first [`INITIAL_EVENTS`] gaps changes the estimate of a model
+/// at an engine.
+const INITIAL_PAIR_STEP: f64 = 0.1;
+/// Number of events for which [`INITIAL_PAIR_STEP`] applies.
+const INITIAL_EVENTS: u32 = 20;
+/// Relative step by which each later gap changes the estimate of a model at an engine.
 const PAIR_STEP: f64 = 0.02;
-/// So many own events of late are believed more than what others have seen.
-const OWN_EVENTS: u32 = 40;
-/// Events are of late for so long, in milliseconds.
-const OWN_LIFETIME: u64 = 5_000;
-/// What was seen is told for so long after the last event, in milliseconds.
-const SAMPLE_LIFETIME: u64 = 10_000;
-/// Nothing is remembered of an engine without events for so long, in milliseconds.
-const ENGINE_LIFETIME: u64 = 120_000;
-/// A reading that was faster than believed moves the estimate so far towards it.
+/// Number of recent own events from which the own estimate is preferred to that of other gateways.
+const MIN_OWN_EVENTS: u32 = 40;
+/// Maximum age of the last own event for which the own estimate is preferred.
+const OWN_LIFETIME_MS: u64 = 5_000;
+/// Maximum age of the last event for which an estimate is sent to other gateways.
+const SAMPLE_LIFETIME_MS: u64 = 10_000;
+/// Time without events after which an engine's estimates are dropped.
+const ENGINE_LIFETIME_MS: u64 = 120_000;
+/// Fraction of the difference by which a prefill that was faster than estimated changes the
+/// estimate.
 const FASTER_STEP: f64 = 0.3;
-/// One that was slower raises it by this part: most of them waited for something else.
+/// Relative step by which a prefill that was slower than estimated raises the estimate. The step is
+/// small, since most of these requests have waited for something else.
 const SLOWER_STEP: f64 = 0.02;
-/// Shorter readings say little, in tokens.
-const LEAST_TOKENS: u32 = 600;
-/// Gaps count as so long at least, in milliseconds.
-const LEAST_GAP: f64 = 0.5;
-/// An engine is slower or faster than others by these factors at most.
+/// Length of a prompt below which its prefill time is not used, since it says little.
+const MIN_TOKENS: u32 = 600;
+/// Lower bound of gaps.
+const MIN_GAP_MS: f64 = 0.5;
+/// Lower and upper bound of an engine's slowness relative to other engines.
 const SLOWNESS_BOUNDS: (f64, f64) = (0.2, 20.0);
 
-/// The streams of one model at one engine.
+/// Gaps of the streams of one model at one engine.
 #[derive(Clone, Copy, Debug)]
 struct PairGap {
-    /// Median time between two events, in milliseconds.
+    /// Estimated median of the gap between two events, in milliseconds.
     gap: f64,
     events: u32,
-    noted: Timestamp,
+    updated: Timestamp,
 }
 
 impl PairGap {
-    fn note(&mut self, now: Timestamp, gap: f64) {
-        let step = if self.events < FIRST_EVENTS {
-            FIRST_PAIR_STEP
+    fn record(&mut self, now: Timestamp, gap: f64) {
+        let step = if self.events < INITIAL_EVENTS {
+            INITIAL_PAIR_STEP
         } else {
             PAIR_STEP
         };
-        self.gap = (self.gap * (1.0 + step * direction(gap, self.gap))).max(LEAST_GAP);
+        self.gap = (self.gap * (1.0 + step * direction(gap, self.gap))).max(MIN_GAP_MS);
         self.events = self.events.saturating_add(1);
-        self.noted = now;
+        self.updated = now;
     }
 }
 
-/// What this gateway has seen of one engine.
+/// This gateway's observations of one engine.
 #[derive(Clone, Debug)]
-struct EngineReading {
-    /// How slow it is against others, whatever the model.
+struct EngineEstimates {
+    /// Slowness relative to other engines, independent of the model.
     slowness: f64,
     models: HashMap<ModelId, PairGap>,
 }
 
-impl Default for EngineReading {
+impl Default for EngineEstimates {
     fn default() -> Self {
-        EngineReading {
+        EngineEstimates {
             slowness: 1.0,
             models: HashMap::new(),
         }
     }
 }
 
-/// What is known of the engines of one service.
+/// Estimates for the engines of one service.
 #[derive(Clone, Debug, Default)]
 pub struct ReadingModel {
-    /// Median time between two events by model, in milliseconds.
+    /// Estimated median of the gap between two events by model, in milliseconds.
     gaps: HashMap<ModelId, f64>,
-    engines: HashMap<BackEndId, EngineReading>,
+    engines: HashMap<BackEndId, EngineEstimates>,
     gaps_per_token: Option<f64>,
-    told: ReadingRow,
+    received: ReadingRow,
 }
 
 impl ReadingModel {
-    /// Two events of a stream came `gap` milliseconds apart. The median of a
-    /// product of two factors is followed, the model's and the engine's, and that
-    /// of the model at the engine.
+    /// Records a gap of `gap` milliseconds between two events of a stream. The median gap is
+    /// estimated as the product of two factors, the model's gap and the engine's slowness, and
+    /// also for each pair of model and engine.
     pub fn note_gap(&mut self, now: Timestamp, engine: &BackEndId, model: &ModelId, gap: f64) {
-        let gap = gap.max(LEAST_GAP);
-        let seen = match self.engines.get_mut(engine) {
-            Some(seen) => seen,
+        let gap = gap.max(MIN_GAP_MS);
+        let estimates = match self.engines.get_mut(engine) {
+            Some(estimates) => estimates,
             None => self.engines.entry(engine.clone()).or_default(),
         };
-        match seen.models.get_mut(model) {
-            Some(pair) => pair.note(now, gap),
+        match estimates.models.get_mut(model) {
+            Some(pair) => pair.record(now, gap),
             None => {
                 let first = PairGap {
                     gap,
                     events: 1,
-                    noted: now,
+                    updated: now,
                 };
-                seen.models.insert(model.clone(), first);
+                estimates.models.insert(model.clone(), first);
             }
         }
-        let Some(usual) = self.gaps.get_mut(model) else {
-            let usual = (gap / seen.slowness).max(LEAST_GAP);
-            self.gaps.insert(model.clone(), usual);
+        let Some(model_gap) = self.gaps.get_mut(model) else {
+            let model_gap = (gap / estimates.slowness).max(MIN_GAP_MS);
+            self.gaps.insert(model.clone(), model_gap);
             return;
         };
-        let direction = direction(gap, *usual * seen.slowness);
-        *usual = (*usual * (1.0 + direction * MODEL_STEP)).max(LEAST_GAP);
-        let moved = seen.slowness * (1.0 + direction * ENGINE_STEP);
-        let returned = moved * moved.powf(-ENGINE_RETURN);
-        seen.slowness = returned.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
+        let direction = direction(gap, *model_gap * estimates.slowness);
+        *model_gap = (*model_gap * (1.0 + direction * MODEL_STEP)).max(MIN_GAP_MS);
+        let slowness = estimates.slowness * (1.0 + direction * ENGINE_STEP);
+        let decayed = slowness * slowness.powf(-ENGINE_DECAY);
+        estimates.slowness = decayed.clamp(SLOWNESS_BOUNDS.0, SLOWNESS_BOUNDS.1);
     }
 
-    /// A prompt of `tokens` had its first event after `latency` milliseconds.
+    /// Records that the first event for a prompt of `tokens` came after `latency` milliseconds.
     pub fn note_reading(
         &mut self,
         now: Timestamp,
@@ -139,7 +142,7 @@
         latency: f64,
         tokens: u32,
     ) {
-        if tokens < LEAST_TOKENS {
+        if tokens < MIN_TOKENS {
             return;
         }
         let Some(gap) = self.gap(now, engine, model) else {
@@ -153,7 +156,7 @@
         });
     }
 
-    /// Milliseconds in which the engine reads `tokens`, if that is known.
+    /// Estimated time in milliseconds of the engine's prefill of `tokens`, if it is known.
     pub fn time(
         &self,
         now: Timestamp,
@@ -161,56 +164,57 @@
         model: &ModelId,
         tokens: u32,
     ) -> Option<f64> {
-        let per_token = self.told.gaps_per_token.or(self.gaps_per_token)?;
+        let per_token = self.received.gaps_per_token.or(self.gaps_per_token)?;
         Some(per_token * f64::from(tokens) * self.gap(now, engine, model)?)
     }
 
-    /// What all gateways together have seen.
-    pub fn adopt(&mut self, told: ReadingRow) {
-        self.told = told;
+    /// Sets the merged observations of all gateways.
+    pub fn adopt(&mut self, received: ReadingRow) {
+        self.received = received;
     }
 
-    /// What this gateway, one of so many, tells of what it has seen of late. Forgets
-    /// engines that it no longer uses.
+    /// Recent observations of this gateway, which is one of `gateways`, for the other gateways.
+    /// Drops the estimates of engines that are no longer used.
     pub fn sample(&mut self, now: Timestamp, gateways: usize) -> ReadingSample {
-        let used = |pair: &PairGap| now.since(pair.noted) < ENGINE_LIFETIME;
+        let is_used = |pair: &PairGap| now.since(pair.updated) < ENGINE_LIFETIME_MS;
         self.engines
-            .retain(|_, engine| engine.models.values().any(used));
+            .retain(|_, engine| engine.models.values().any(is_used));
         let pairs = self.engines.iter().flat_map(|(id, engine)| {
             let models = engine.models.iter();
             models.map(move |(model, pair)| (id, model, pair))
         });
-        let fresh = pairs.filter(|(_, _, pair)| now.since(pair.noted) < SAMPLE_LIFETIME);
-        let seen = fresh.map(|(id, model, pair)| {
+        let fresh = pairs.filter(|(_, _, pair)| now.since(pair.updated) < SAMPLE_LIFETIME_MS);
+        let estimates = fresh.map(|(id, model, pair)| {
             let sample = GapSample {
                 gap: pair.gap,
                 events: pair.events,
             };
             (id.clone(), model.clone(), sample)
         });
-        ReadingSample::new(gateways, seen, self.gaps_per_token)
+        ReadingSample::new(gateways, estimates, self.gaps_per_token)
     }
 
-    /// Milliseconds between two events of a model's streams at an engine: own events
-    /// of late, else what others have seen, else what the engine is like
-    /// with other models and the model at other engines.
+    /// Gap in milliseconds between two events of a model's streams at an engine. The estimate is
+    /// taken from recent own events, else from other gateways' observations, else from the engine's
+    /// slowness with other models and the model's gap at other engines.
     pub fn gap(&self, now: Timestamp, engine: &BackEndId, model: &ModelId) -> Option<f64> {
-        let seen = self.engines.get(engine);
-        let pair = seen.and_then(|seen| seen.models.get(model));
-        let is_sure =
-            |pair: &&PairGap| pair.events >= OWN_EVENTS && now.since(pair.noted) < OWN_LIFETIME;
-        if let Some(pair) = pair.filter(is_sure) {
+        let estimates = self.engines.get(engine);
+        let pair = estimates.and_then(|estimates| estimates.models.get(model));
+        let is_reliable = |pair: &&PairGap| {
+            pair.events >= MIN_OWN_EVENTS && now.since(pair.updated) < OWN_LIFETIME_MS
+        };
+        if let Some(pair) = pair.filter(is_reliable) {
             return Some(pair.gap);
         }
-        if let Some(told) = self.told.gap(engine, model) {
-            return Some(told);
+        if let Some(gap) = self.received.gap(engine, model) {
+            return Some(gap);
         }
-        let slowness = seen.map_or(1.0, |seen| seen.slowness);
+        let slowness = estimates.map_or(1.0, |estimates| estimates.slowness);
         Some(self.gaps.get(model)? * slowness)
     }
 }
 
-/// Up or down: a median moves by the side on which a sample lies.
+/// Direction in which a sample moves an estimated median.
 fn direction(sample: f64, median: f64) -> f64 {
     if sample > median { 1.0 } else { -1.0 }
 }
--- a/crates/fleet/src/stated_limits.rs
+++ b/crates/fleet/src/stated_limits.rs
@@ -110,7 +110,7 @@
                 rate: limit.rate,
                 at: now - limit.age,
             };
-            let is_news = self.stated.get(&limit.back_end).is_none_or(|known| {
+            let is_newer = self.stated.get(&limit.back_end).is_none_or(|known| {
                 let min_difference = if known.rate == stated.rate {
                     SAME_STATEMENT_MS
                 } else {
@@ -118,7 +118,7 @@
                 };
                 stated.at > known.at + min_difference
             });
-            if is_news && self.set(limit.back_end, stated) {
+            if is_newer && self.set(limit.back_end, stated) {
                 changed.push(limit.back_end);
             }
         }
