--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -23,7 +23,7 @@
 /// Exponent with which an engine's relative gap between events enters the cost.
 const GAP_EXPONENT: i32 = 3;
 /// Cost factor of a back end without a free slot, which would queue or reject the request.
-const FULL_FACTOR: f64 = 3.0;
+const FULL_BACK_END_FACTOR: f64 = 3.0;
 /// Number of gateways above which each gateway compares only a sample of the back ends. The
 /// gateways' load figures of each other are half a second old, so without sampling all of them
 /// would choose the back end that was idle then.
@@ -86,7 +86,7 @@
     let failures = 1.0 + FAILURE_WEIGHT * candidate.failure_rate;
     let load = f64::from(candidate.running) + 1.0;
     let full = if candidate.is_full() {
-        FULL_FACTOR
+        FULL_BACK_END_FACTOR
     } else {
         1.0
     };
@@ -103,12 +103,16 @@
     }
 }
 
-/// The index of the cheapest of up to `most` candidates, which are sampled at random.
-pub fn cheapest_of(most: usize, candidates: &[Candidate], random: &mut impl Rng) -> Option<usize> {
-    if candidates.len() <= most {
+/// The index of the cheapest of up to `sample_size` candidates, which are sampled at random.
+pub fn cheapest_of(
+    sample_size: usize,
+    candidates: &[Candidate],
+    random: &mut impl Rng,
+) -> Option<usize> {
+    if candidates.len() <= sample_size {
         return cheapest(candidates, random);
     }
-    let sampled = rand::seq::index::sample(random, candidates.len(), most).into_vec();
+    let sampled = rand::seq::index::sample(random, candidates.len(), sample_size).into_vec();
     let compared: Vec<Candidate> = sampled.iter().map(|index| candidates[*index]).collect();
     let index = cheapest(&compared, random)?;
     Some(sampled[index])
--- a/crates/fleet/src/counting_seat.rs
+++ b/crates/fleet/src/counting_seat.rs
@@ -21,7 +21,7 @@
 /// Number of shards at which each tenant is charged. Their indices are consecutive.
 pub const HALVES: usize = 2;
 /// Delay that each gateway earlier in the order adds to the later ones' attempt to take a shard.
-const TURN_MS: u64 = 150;
+const DELAY_PER_RANK_MS: u64 = 150;
 /// Delay that each shard that a gateway holds adds to its attempt to take another one.
 const DELAY_PER_HELD_SHARD_MS: u64 = 450;
 /// Upper bound of the delay among the strongest gateways, and the additional delay of all other
@@ -143,11 +143,11 @@
     /// Delay in milliseconds after which the gateway, which holds `held` other shards, tries to
     /// take a free one. For each shard another gateway comes first.
     pub fn delay(&self, shard: usize, held: usize) -> u64 {
-        let turn_delay = self.position.map_or(MAX_DELAY_MS, |position| {
+        let rank_delay = self.position.map_or(MAX_DELAY_MS, |position| {
             let rank = (position + self.peers - shard % self.peers) % self.peers;
-            (TURN_MS * rank as u64).min(MAX_DELAY_MS)
+            (DELAY_PER_RANK_MS * rank as u64).min(MAX_DELAY_MS)
         });
         let strength_delay = if self.is_strong { 0 } else { MAX_DELAY_MS };
-        turn_delay + strength_delay + DELAY_PER_HELD_SHARD_MS * held as u64
+        rank_delay + strength_delay + DELAY_PER_HELD_SHARD_MS * held as u64
     }
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -63,13 +63,13 @@
 }
 
 impl Rate {
-    fn at(&self, now: Timestamp) -> f64 {
+    fn value_at(&self, now: Timestamp) -> f64 {
         let age = now.since(self.updated) as f64;
         self.value * (-age / RATE_TIME_CONSTANT_MS).exp()
     }
 
     fn record_arrival(&mut self, now: Timestamp) {
-        self.value = self.at(now) + 1_000.0 / RATE_TIME_CONSTANT_MS;
+        self.value = self.value_at(now) + 1_000.0 / RATE_TIME_CONSTANT_MS;
         self.updated = now;
     }
 }
@@ -192,18 +192,18 @@
         self.unmet_adapters.retain(|_, time| is_fresh(*time));
         let adapters = self.adapters.iter();
         let adapters = adapters
-            .map(|(adapter, rate)| (adapter.clone(), rounded(rate.at(now))))
+            .map(|(adapter, rate)| (adapter.clone(), round_to_thousandths(rate.value_at(now))))
             .filter(|(_, rate)| *rate >= MIN_RATE_PER_SECOND)
             .collect();
         ModelDemand {
-            rate: rounded(self.rate.at(now)),
-            urgent_rate: rounded(self.urgent_rate.at(now)),
+            rate: round_to_thousandths(self.rate.value_at(now)),
+            urgent_rate: round_to_thousandths(self.urgent_rate.value_at(now)),
             running: self.running,
             waiting: self.waiting.max(u32::from(self.unmet_at.is_some())),
             waiting_weight: if self.waiting == 0 && self.unmet_at.is_some() {
                 1.0
             } else {
-                rounded(self.waiting_weight)
+                round_to_thousandths(self.waiting_weight)
             },
             adapters,
             missing_adapters: self.unmet_adapters.keys().cloned().collect(),
@@ -221,6 +221,6 @@
 }
 
 /// Rounds to three decimal places.
-fn rounded(rate: f64) -> f64 {
+fn round_to_thousandths(rate: f64) -> f64 {
     (rate * 1_000.0).round() / 1_000.0
 }
--- a/crates/fleet/src/departures.rs
+++ b/crates/fleet/src/departures.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::BackEndHash;
-use crate::telling::{RETENTION_MS, newest_notices};
+use crate::telling::{RETENTION_MS, select_newest};
 
 /// Notice from one gateway to another that a back end is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -67,6 +67,6 @@
             back_end: *back_end,
             age: now.since(*at),
         });
-        newest_notices(notices, |notice| notice.age)
+        select_newest(notices, |notice| notice.age)
     }
 }
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -52,7 +52,7 @@
         };
         self.searched_len = 0;
         let bytes = self.buffer.split_to(end).freeze();
-        let id = event_id(&bytes);
+        let id = parse_event_id(&bytes);
         Some(WholeEvent { bytes, id })
     }
 
@@ -79,7 +79,7 @@
         .position(|window| window == pattern)
 }
 
-fn event_id(event: &[u8]) -> Option<String> {
+fn parse_event_id(event: &[u8]) -> Option<String> {
     event.split(|byte| *byte == b'\n').find_map(|line| {
         let value = line.strip_prefix(ID_FIELD)?;
         let text = std::str::from_utf8(value).ok()?;
--- a/crates/fleet/src/feeders.rs
+++ b/crates/fleet/src/feeders.rs
@@ -168,7 +168,7 @@
     /// The roots, rotated by the gateway's name so that the load spreads, and then the next
     /// gateways in rank, which follow the table once they receive a request.
     fn parents_at_roots(&self, own: &str) -> Vec<usize> {
-        let mut parents = rotated(self.roots(), own);
+        let mut parents = rotate_by_name(self.roots(), own);
         parents.extend(&self.ranked[self.roots..]);
         parents
     }
@@ -176,14 +176,14 @@
     /// Two intermediate gateways, and then the roots.
     fn parents_of_leaf(&self, own: &str, candidates: &[Candidate<'_>]) -> Vec<usize> {
         let zone_intermediates = self.intermediates_in_zone(own, candidates);
-        let mut parents = rotated(
+        let mut parents = rotate_by_name(
             zone_intermediates
                 .as_deref()
                 .unwrap_or(self.intermediates()),
             own,
         );
         parents.truncate(PARENTS_PER_LEAF);
-        parents.extend(rotated(self.roots(), own));
+        parents.extend(rotate_by_name(self.roots(), own));
         parents
     }
 
@@ -207,7 +207,7 @@
     }
 }
 
-fn rotated(indices: &[usize], own: &str) -> Vec<usize> {
+fn rotate_by_name(indices: &[usize], own: &str) -> Vec<usize> {
     let mut rotated = indices.to_vec();
     let offset = xxh3_64(own.as_bytes()) as usize % rotated.len().max(1);
     rotated.rotate_left(offset);
--- a/crates/fleet/src/fingerprint.rs
+++ b/crates/fleet/src/fingerprint.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Context string that separates fingerprints from other hashes of the same bytes.
-const CONTEXT: &str = "gorsebank request fingerprint 1";
+const HASH_CONTEXT: &str = "gorsebank request fingerprint 1";
 /// Number of bytes of the hash that are kept: accidental collisions do not occur, and finding a
 /// second request for a given fingerprint takes 2^128 attempts.
 const FINGERPRINT_BYTES: usize = 16;
@@ -25,7 +25,7 @@
     /// The fingerprint of a request's parts, in a fixed order. The boundaries of parts matter:
     /// `[a, bc]` and `[ab, c]` differ.
     pub fn of(parts: &[&[u8]]) -> Self {
-        let mut hasher = blake3::Hasher::new_derive_key(CONTEXT);
+        let mut hasher = blake3::Hasher::new_derive_key(HASH_CONTEXT);
         for part in parts {
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -43,9 +43,9 @@
 /// Granted fraction of the reserve above which the grants should be saved soon.
 const SAVE_THRESHOLD: f64 = 0.5;
 /// Width of a bin: grants within this time are stored as one.
-const BIN_MS: u64 = 100;
+const BIN_WIDTH_MS: u64 = 100;
 /// Width of a saved bin: saved grants within this time are merged into one.
-const SAVED_BIN_MS: u64 = 500;
+const SAVED_BIN_WIDTH_MS: u64 = 500;
 /// Delay after which a request that waits for a save is tried again.
 const SAVE_RETRY_DELAY: Duration = Duration::from_millis(30);
 
@@ -62,7 +62,7 @@
 
 impl LimitBound {
     /// Units that each of `shards` ledgers grants within any window.
-    fn granted(&self, limit: &TenantLimit, shards: f64) -> f64 {
+    fn granted_units(&self, limit: &TenantLimit, shards: f64) -> f64 {
         let own = limit.rate * self.window.as_secs_f64() + limit.burst;
         let over = self.overage * own + self.slack;
         (own + OVERAGE_FRACTION * over) / shards
@@ -152,7 +152,7 @@
         match self.bins.back_mut() {
             Some(bin) if !bin.is_uncertain && now <= bin.until => bin.cost += cost,
             _ => self.bins.push_back(Bin {
-                until: now + BIN_MS,
+                until: now + BIN_WIDTH_MS,
                 cost,
                 is_uncertain: false,
             }),
@@ -172,7 +172,7 @@
     }
 
     /// Time until this number of units has left the window.
-    fn wait_for(&self, now: Timestamp, window: u64, cost: f64) -> Duration {
+    fn wait_until_expired(&self, now: Timestamp, window: u64, cost: f64) -> Duration {
         let mut left = cost;
         let mut bins: Vec<&Bin> = self.bins.iter().collect();
         bins.sort_by_key(|bin| bin.until);
@@ -193,7 +193,7 @@
         for bin in bins {
             let age = now.since(bin.until);
             match saved.last_mut() {
-                Some(last) if age < last.age + SAVED_BIN_MS => last.cost += bin.cost,
+                Some(last) if age < last.age + SAVED_BIN_WIDTH_MS => last.cost += bin.cost,
                 _ => saved.push(SavedGrants {
                     age,
                     cost: bin.cost,
@@ -244,13 +244,13 @@
         limit: &TenantLimit,
         cost: f64,
     ) -> Taken {
-        let granted = self.bound.granted(limit, self.shards);
+        let granted = self.bound.granted_units(limit, self.shards);
         let window = self.window();
-        let usage = self.usage(now, tenant, granted);
+        let usage = self.usage_mut(now, tenant, granted);
         let total = usage.total();
         // A request larger than the limit is granted if it is the only one in the window.
         if total > 0.0 && total + cost > granted {
-            let wait = usage.wait_for(now, window, total + cost - granted);
+            let wait = usage.wait_until_expired(now, window, total + cost - granted);
             return if total - usage.uncertain() + cost > granted {
                 Taken::Beyond(wait)
             } else {
@@ -300,8 +300,8 @@
     ) -> SavedUse {
         let mut saved = BTreeMap::new();
         for (tenant, limit) in limits {
-            let granted = self.bound.granted(limit, self.shards);
-            let usage = self.usage(now, tenant, granted);
+            let granted = self.bound.granted_units(limit, self.shards);
+            let usage = self.usage_mut(now, tenant, granted);
             let reserve = usage.min_reserve.max(granted * RESERVE_FRACTION);
             usage.unsaved_in_flight = usage.unsaved;
             usage.reserve_in_flight = reserve;
@@ -328,7 +328,7 @@
 
     /// The usage of a tenant. If it is new, it is initialised with the grants that the previous
     /// ledger had saved and with those that it may have made since.
-    fn usage(&mut self, now: Timestamp, tenant: &TenantId, granted: f64) -> &mut TenantUsage {
+    fn usage_mut(&mut self, now: Timestamp, tenant: &TenantId, granted: f64) -> &mut TenantUsage {
         let window = self.window();
         let reserve = granted * RESERVE_FRACTION;
         let previous = &self.previous;
@@ -336,7 +336,7 @@
             .usages
             .entry(tenant.clone())
             .or_insert_with(|| TenantUsage {
-                bins: restored_bins(previous, tenant, reserve),
+                bins: restore_bins(previous, tenant, reserve),
                 reserve,
                 reserve_in_flight: reserve,
                 ..TenantUsage::default()
@@ -348,7 +348,7 @@
 
 /// Bins for the grants that the previous ledger had saved, and for the reserve that it may have
 /// granted since.
-fn restored_bins(previous: &PreviousLedger, tenant: &TenantId, reserve: f64) -> VecDeque<Bin> {
+fn restore_bins(previous: &PreviousLedger, tenant: &TenantId, reserve: f64) -> VecDeque<Bin> {
     let bin = |age: u64, cost, is_uncertain| Bin {
         until: Timestamp(previous.until.0.saturating_sub(age)),
         cost,
--- a/crates/fleet/src/quarantine/blame.rs
+++ b/crates/fleet/src/quarantine/blame.rs
@@ -1,5 +1,7 @@
 //! Determines which of the requests that were running on back ends when these crashed caused the
 //! crashes.
+//!
+//! Input: the crashes at which each request was running. Output: the requests to quarantine.
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
--- a/crates/fleet/src/quarantine/mod.rs
+++ b/crates/fleet/src/quarantine/mod.rs
@@ -145,7 +145,7 @@
     /// sent to back ends.
     pub fn verdict(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<u64> {
         let last_crash = *self.quarantined.get(&fingerprint)?;
-        let left = VERDICT_TIME.saturating_sub(shifted(now).since(last_crash));
+        let left = VERDICT_TIME.saturating_sub(shift(now).since(last_crash));
         (left > 0).then_some(left)
     }
 
@@ -161,14 +161,14 @@
 
     /// Records that a back end crashed while it was running this gateway's request.
     pub fn note_end(&mut self, now: Timestamp, fingerprint: Fingerprint, back_end: BackEndHash) {
-        let now = shifted(now);
+        let now = shift(now);
         let outcome = RunOutcome::Ended(back_end);
         self.add_event(now, fingerprint, outcome, now, Source::Below);
     }
 
     /// Records that a back end sent the complete response to this gateway's request and is alive.
     pub fn note_served(&mut self, now: Timestamp, fingerprint: Fingerprint) {
-        let now = shifted(now);
+        let now = shift(now);
         self.recently_served.record(now, fingerprint);
         if self.crashes.contains_key(&fingerprint) {
             self.add_event(now, fingerprint, RunOutcome::Served, now, Source::Below);
@@ -177,7 +177,7 @@
 
     /// Merges the notices of another gateway. Returns true if any of them was new.
     pub fn take(&mut self, now: Timestamp, notices: &[ToldOutcome], source: Source) -> bool {
-        let now = shifted(now);
+        let now = shift(now);
         let mut is_new = false;
         for notice in notices.iter().filter(|notice| notice.age < RETENTION_MS) {
             let at = now - notice.age;
@@ -202,7 +202,7 @@
     /// Notices of the events after a position; of all events if the position is that of another
     /// process.
     pub fn since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
-        let now = shifted(now);
+        let now = shift(now);
         self.events_after(position)
             .map(|event| event.notice(now))
             .collect()
@@ -211,7 +211,7 @@
     /// Like [`Quarantine::since`], but only the events observed by this gateway and the gateways
     /// below it.
     pub fn seen_below_since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
-        let now = shifted(now);
+        let now = shift(now);
         self.events_after(position)
             .filter(|event| event.source == Source::Below)
             .map(|event| event.notice(now))
@@ -221,7 +221,7 @@
     /// The newest crashes of each quarantined request, to be persisted so that they outlast this
     /// process. At most `MAX_PERSISTED_ENTRIES` requests are included, those with the latest expiry first.
     pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
-        let now = shifted(now);
+        let now = shift(now);
         let quarantined = self.quarantined.iter();
         let mut newest_entries: Vec<(Timestamp, Fingerprint)> = quarantined
             .map(|(fingerprint, last_crash)| (*last_crash, *fingerprint))
@@ -352,11 +352,11 @@
             .into_iter()
             .filter_map(last_crash)
             .collect();
-        let same = quarantined.len() == self.quarantined.len()
+        let is_unchanged = quarantined.len() == self.quarantined.len()
             && quarantined
                 .keys()
                 .all(|known| self.quarantined.contains_key(known));
-        self.quarantine_changes += u64::from(!same);
+        self.quarantine_changes += u64::from(!is_unchanged);
         self.quarantined = quarantined;
     }
 
@@ -392,7 +392,7 @@
 
 /// Shifts a time so that the zero point lies before the start of this process, and older events
 /// have non-negative times.
-fn shifted(now: Timestamp) -> Timestamp {
+fn shift(now: Timestamp) -> Timestamp {
     now + RETENTION_MS
 }
 
--- a/crates/fleet/src/quarantine/recent.rs
+++ b/crates/fleet/src/quarantine/recent.rs
@@ -1,4 +1,7 @@
 //! Requests that were served recently.
+//!
+//! Input: requests that were served. Output: whether a request was served within the last one or
+//! two intervals.
 
 use std::collections::HashSet;
 
--- a/crates/fleet/src/reading.rs
+++ b/crates/fleet/src/reading.rs
@@ -33,7 +33,7 @@
 /// Number of recent own events from which the own estimate is preferred to that of other gateways.
 const MIN_OWN_EVENTS: u32 = 40;
 /// Maximum age of the last own event for which the own estimate is preferred.
-const OWN_LIFETIME_MS: u64 = 5_000;
+const OWN_ESTIMATE_LIFETIME_MS: u64 = 5_000;
 /// Maximum age of the last event for which an estimate is sent to other gateways.
 const SAMPLE_LIFETIME_MS: u64 = 10_000;
 /// Time without events after which an engine's estimates are dropped.
@@ -201,7 +201,7 @@
         let estimates = self.engines.get(engine);
         let pair = estimates.and_then(|estimates| estimates.models.get(model));
         let is_reliable = |pair: &&PairGap| {
-            pair.events >= MIN_OWN_EVENTS && now.since(pair.updated) < OWN_LIFETIME_MS
+            pair.events >= MIN_OWN_EVENTS && now.since(pair.updated) < OWN_ESTIMATE_LIFETIME_MS
         };
         if let Some(pair) = pair.filter(is_reliable) {
             return Some(pair.gap);
--- a/crates/fleet/src/reading_row.rs
+++ b/crates/fleet/src/reading_row.rs
@@ -21,7 +21,7 @@
 /// Maximum number of pairs of engine and model in a row.
 const MAX_ROW_ENTRIES: usize = 1_000;
 /// Number of events above which a sample's weight does not increase.
-const MAX_WEIGHT: u32 = 100;
+const MAX_SAMPLE_WEIGHT: u32 = 100;
 /// Relative difference up to which two gaps count as equal.
 const GAP_TOLERANCE: f64 = 0.12;
 /// Step to which gaps are rounded before they are sent.
@@ -60,7 +60,7 @@
         observed.sort_by_key(|(_, _, sample)| std::cmp::Reverse(sample.events));
         let mut engines: BTreeMap<BackEndId, BTreeMap<ModelId, GapSample>> = BTreeMap::new();
         for (engine, model, sample) in observed.into_iter().take(max_samples) {
-            let gap = rounded(sample.gap);
+            let gap = round_gap(sample.gap);
             let sample = GapSample { gap, ..sample };
             engines.entry(engine).or_default().insert(model, sample);
         }
@@ -95,7 +95,7 @@
             per_token.extend(sample.gaps_per_token);
             for (engine, models) in &sample.engines {
                 for (model, observed) in models {
-                    let weight = f64::from(observed.events.min(MAX_WEIGHT));
+                    let weight = f64::from(observed.events.min(MAX_SAMPLE_WEIGHT));
                     let sum = sums.entry((engine, model)).or_default();
                     sum.0 += weight * observed.gap;
                     sum.1 += weight;
@@ -109,7 +109,7 @@
         let known = sums.into_iter().filter(|(_, (_, weight))| *weight > 0.0);
         for ((engine, model), (sum, weight)) in known.take(MAX_ROW_ENTRIES) {
             let models = row.engines.entry(engine.clone()).or_default();
-            models.insert(model.clone(), rounded(sum / weight));
+            models.insert(model.clone(), round_gap(sum / weight));
         }
         row
     }
@@ -136,21 +136,21 @@
     /// Whether the row differs from `published` so much that it should be written.
     pub fn is_news(&self, published: &ReadingRow) -> bool {
         let is_equal = |one: f64, other: f64| (one - other).abs() <= GAP_TOLERANCE * other;
-        let per_token = match (self.gaps_per_token, published.gaps_per_token) {
+        let is_ratio_equal = match (self.gaps_per_token, published.gaps_per_token) {
             (Some(one), Some(other)) => is_equal(one, other),
             (one, other) => one == other,
         };
-        let gaps = self.engines.iter().all(|(engine, models)| {
+        let are_gaps_equal = self.engines.iter().all(|(engine, models)| {
             models.iter().all(|(model, gap)| {
                 let known = published.gap(engine, model);
                 known.is_some_and(|known| is_equal(*gap, known))
             })
         });
-        let no_engine_gone = published
+        let are_engines_kept = published
             .engines
             .keys()
             .all(|id| self.engines.contains_key(id));
-        !(per_token && gaps && no_engine_gone)
+        !(is_ratio_equal && are_gaps_equal && are_engines_kept)
     }
 
     /// Gap in milliseconds between two events of a model's streams at an engine.
@@ -159,7 +159,7 @@
     }
 }
 
-fn rounded(gap: f64) -> f64 {
+fn round_gap(gap: f64) -> f64 {
     (gap / GAP_STEP_MS).round() * GAP_STEP_MS
 }
 
--- a/crates/fleet/src/running.rs
+++ b/crates/fleet/src/running.rs
@@ -17,7 +17,7 @@
 
 /// Time after which a count that was not received again is dropped. It limits how long a gateway
 /// that has changed to another parent is counted twice.
-const LIFETIME_MS: u64 = 1_200;
+const COUNT_LIFETIME_MS: u64 = 1_200;
 
 /// Short identifier of a back end: a hash, since full names would take most of the message's bytes.
 pub type BackEndHash = u32;
@@ -57,7 +57,7 @@
     /// Counts of this gateway and all gateways below it; `own` is this gateway's part.
     pub fn below(&mut self, now: Timestamp, own: &Counts) -> Counts {
         retain_fresh(&mut self.fed, now);
-        sum(self.fed.values().map(|(counts, _)| counts).chain([own]))
+        sum_counts(self.fed.values().map(|(counts, _)| counts).chain([own]))
     }
 
     /// Totals over all gateways, computed at a root from its own subtree and the other roots'
@@ -65,11 +65,12 @@
     pub fn at_root(&mut self, now: Timestamp, own: &Counts) -> Counts {
         let below = self.below(now, own);
         retain_fresh(&mut self.roots, now);
-        sum(self
-            .roots
-            .values()
-            .map(|(counts, _)| counts)
-            .chain([&below]))
+        sum_counts(
+            self.roots
+                .values()
+                .map(|(counts, _)| counts)
+                .chain([&below]),
+        )
     }
 
     /// Records the totals over all gateways; `own` is the part that this gateway contributed.
@@ -88,7 +89,7 @@
 
     /// Requests that other gateways have running at a back end; 0 if unknown.
     pub fn of_others(&self, now: Timestamp, back_end: BackEndHash) -> u32 {
-        let is_fresh = |received: Timestamp| now.since(received) < LIFETIME_MS;
+        let is_fresh = |received: Timestamp| now.since(received) < COUNT_LIFETIME_MS;
         if !self.others_received.is_some_and(is_fresh) {
             return 0;
         }
@@ -99,23 +100,23 @@
     /// gateway's current counts. `None` if no recent totals are known.
     pub fn sums(&self, now: Timestamp, own: &Counts) -> Option<Counts> {
         let received = self.others_received?;
-        if now.since(received) >= LIFETIME_MS {
+        if now.since(received) >= COUNT_LIFETIME_MS {
             return None;
         }
         let others = self.others.iter();
         let others: Counts = others
             .map(|(back_end, count)| (*back_end, u16::try_from(*count).unwrap_or(u16::MAX)))
             .collect();
-        Some(sum([&others, own]))
+        Some(sum_counts([&others, own]))
     }
 }
 
 fn retain_fresh(counts: &mut HashMap<String, (Counts, Timestamp)>, now: Timestamp) {
-    counts.retain(|_, (_, received)| now.since(*received) < LIFETIME_MS);
+    counts.retain(|_, (_, received)| now.since(*received) < COUNT_LIFETIME_MS);
 }
 
 /// Adds up several counts; the result is ordered by hash.
-fn sum<'a>(counts: impl IntoIterator<Item = &'a Counts>) -> Counts {
+fn sum_counts<'a>(counts: impl IntoIterator<Item = &'a Counts>) -> Counts {
     let mut sums: std::collections::BTreeMap<BackEndHash, u16> = std::collections::BTreeMap::new();
     for (back_end, count) in counts.into_iter().flatten() {
         let sum = sums.entry(*back_end).or_default();
--- a/crates/fleet/src/stated_limits.rs
+++ b/crates/fleet/src/stated_limits.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::quarantine::BackEndHash;
-use crate::telling::{RETENTION_MS, newest_notices};
+use crate::telling::{RETENTION_MS, select_newest};
 
 /// Time after which a back end with a limit is sent a request again, even if others could take
 /// the request, to learn its current limit. Gateways pass on statements within half of this time,
@@ -132,7 +132,7 @@
             rate: stated.rate,
             age: now.since(stated.at),
         });
-        newest_notices(stated, |limit| limit.age)
+        select_newest(stated, |limit| limit.age)
     }
 
     /// Stores a statement. Returns true if the limit in force has changed.
--- a/crates/fleet/src/telling.rs
+++ b/crates/fleet/src/telling.rs
@@ -1,5 +1,7 @@
 //! Retention of the announcements of back ends, and selection of the notices about them that a
 //! gateway sends to other gateways.
+//!
+//! Input: notices with their ages. Output: the newest of them.
 
 /// Time after which an announcement that was not repeated is dropped, in milliseconds: the back end
 /// may be gone, and if it is not, its next response states what applies.
@@ -12,7 +14,7 @@
 const MAX_NOTICES: usize = 200;
 
 /// The newest of these notices, up to `MAX_NOTICES`; `age` returns an age in milliseconds.
-pub fn newest_notices<T>(notices: impl Iterator<Item = T>, age: impl Fn(&T) -> u64) -> Vec<T> {
+pub fn select_newest<T>(notices: impl Iterator<Item = T>, age: impl Fn(&T) -> u64) -> Vec<T> {
     let mut notices: Vec<T> = notices.filter(|it| age(it) < MAX_SENT_AGE_MS).collect();
     notices.sort_by_key(&age);
     notices.truncate(MAX_NOTICES);
