--- a/crates/fleet/src/quarantine/mod.rs
+++ b/crates/fleet/src/quarantine/mod.rs
@@ -219,7 +219,8 @@
     }
 
     /// The newest crashes of each quarantined request, to be persisted so that they outlast this
-    /// process. At most `MAX_PERSISTED_ENTRIES` requests are included, those with the latest expiry first.
+    /// process. At most `MAX_PERSISTED_ENTRIES` requests are included, those with the latest expiry
+    /// first.
     pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
         let now = shift(now);
         let quarantined = self.quarantined.iter();
