--- a/crates/fleet/src/access.rs
+++ b/crates/fleet/src/access.rs
@@ -28,9 +28,9 @@
 pub struct KeyBounds {
     /// Time after which nothing runs any more under a key that the operator has revoked; `None` if
     /// only gateways that are connected to the table are bound.
-    pub taken_away: Option<Duration>,
+    pub revocation: Option<Duration>,
     /// Time after which a key that the operator has issued is accepted.
-    pub given: Duration,
+    pub issue: Duration,
 }
 
 /// Reason why a caller may not use a route.
@@ -41,7 +41,7 @@
     /// No tenant has the key.
     UnknownKey,
     /// The known keys are too old for a decision.
-    OldKnowledge,
+    StaleKeys,
 }
 
 impl Denial {
@@ -50,7 +50,7 @@
         match self {
             Denial::NoKey => "no_key",
             Denial::UnknownKey => "unknown_key",
-            Denial::OldKnowledge => "keys_not_confirmed",
+            Denial::StaleKeys => "keys_not_confirmed",
         }
     }
 }
@@ -74,16 +74,14 @@
     };
     let is_within = |max_age: Duration| age.is_some_and(|age| age <= max_age);
     let is_verified = bounds
-        .taken_away
+        .revocation
         .is_none_or(|bound| is_within(bound.mul_f64(REVOCATION_AGE_FRACTION)));
-    let holder = key.and_then(|key| tenants.holder(key));
+    let holder = key.and_then(|key| tenants.tenant_of_key(key));
     match (key, holder) {
-        (Some(_), _) if !is_verified => Err(Denial::OldKnowledge),
+        (Some(_), _) if !is_verified => Err(Denial::StaleKeys),
         (Some(_), Some(tenant)) => Ok(Some(tenant.clone())),
         _ if route.is_public => Ok(None),
-        _ if !is_within(bounds.given.mul_f64(UNKNOWN_KEY_AGE_FRACTION)) => {
-            Err(Denial::OldKnowledge)
-        }
+        _ if !is_within(bounds.issue.mul_f64(UNKNOWN_KEY_AGE_FRACTION)) => Err(Denial::StaleKeys),
         (Some(_), None) => Err(Denial::UnknownKey),
         (None, _) => Err(Denial::NoKey),
     }
--- a/crates/fleet/src/back_end.rs
+++ b/crates/fleet/src/back_end.rs
@@ -41,7 +41,7 @@
     /// Requests that the back end runs concurrently.
     pub slots: u32,
     /// Remaining warm-up time when the report was written, in milliseconds.
-    pub cold_left: u64,
+    pub warm_up_left_ms: u64,
     /// Whether the back end announces that it is about to shut down.
     pub draining: bool,
     /// Models and adapters that are loaded.
@@ -114,5 +114,5 @@
     /// Models whose load was ordered in a previous incarnation of the back end and may still
     /// begin: the next holder reserves memory for them.
     #[serde(rename = "left_over", default, skip_serializing_if = "Vec::is_empty")]
-    pub left_over: Vec<ModelId>,
+    pub orphaned_loads: Vec<ModelId>,
 }
--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -41,21 +41,21 @@
     /// Requests that the back end can run concurrently; 0 if unknown.
     pub slots: u32,
     /// Whether the back end is in the gateway's zone.
-    pub same_zone: bool,
+    pub is_in_same_zone: bool,
     /// Recent fraction of failed requests, 0 to 1.
     pub failure_rate: f64,
     /// Mean response time relative to the mean of the other candidates.
     pub relative_latency: f64,
     /// Whether the back end has the prompt's shared prefix in its cache.
-    pub warm_prompt: bool,
+    pub has_cached_prefix: bool,
     /// Whether an idle keep-alive connection to the back end is available.
-    pub connected: bool,
+    pub is_connected: bool,
     /// Duration for which the prefill of the prompt stalls the back end's running streams, as a
     /// fraction of the gap objective; 0 if unknown.
     pub stall: f64,
     /// Time between two events of the back end's streams, relative to the fastest candidate's; 1
     /// if unknown.
-    pub relative_pace: f64,
+    pub relative_gap: f64,
 }
 
 impl Candidate {
@@ -67,17 +67,17 @@
 
 /// The expected cost of sending one more request to the candidate.
 pub fn cost(candidate: &Candidate) -> f64 {
-    let zone = if candidate.same_zone {
+    let zone = if candidate.is_in_same_zone {
         1.0
     } else {
         OTHER_ZONE_FACTOR
     };
-    let prefix = if candidate.warm_prompt {
+    let prefix = if candidate.has_cached_prefix {
         CACHED_PREFIX_FACTOR
     } else {
         1.0
     };
-    let connect = if candidate.connected {
+    let connect = if candidate.is_connected {
         1.0
     } else {
         CONNECT_FACTOR
@@ -90,12 +90,12 @@
     } else {
         1.0
     };
-    let gap = candidate.relative_pace.powi(GAP_EXPONENT);
+    let gap = candidate.relative_gap.powi(GAP_EXPONENT);
     load * full * gap * zone * prefix * connect * stall * failures * candidate.relative_latency
 }
 
 /// Number of back ends that one of `gateways` gateways compares.
-pub fn most_compared(gateways: usize) -> usize {
+pub fn max_compared(gateways: usize) -> usize {
     if gateways > SAMPLING_THRESHOLD {
         SAMPLE_SIZE
     } else {
@@ -104,7 +104,7 @@
 }
 
 /// The index of the cheapest of up to `sample_size` candidates, which are sampled at random.
-pub fn cheapest_of(
+pub fn cheapest_of_sample(
     sample_size: usize,
     candidates: &[Candidate],
     random: &mut impl Rng,
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -27,7 +27,7 @@
 
 impl RequestKind {
     /// Whether the request may be retried after it may have been executed.
-    pub fn may_repeat(self) -> bool {
+    pub fn may_retry(self) -> bool {
         match self {
             RequestKind::Idempotent => true,
             RequestKind::Mutating => false,
@@ -57,7 +57,7 @@
     /// Objective for the response time.
     pub objective: Duration,
     /// Objective for the longest gap between two events of a stream.
-    pub pause_objective: Option<Duration>,
+    pub gap_objective: Option<Duration>,
     /// Priority rank; 0 is the most urgent.
     pub priority: u8,
     /// Maximum number of back ends to which one request is sent.
@@ -122,7 +122,7 @@
     pub max_connections: u32,
     /// Requests per second that a back end sustains while it is warming up, from all gateways
     /// together; `None` if a back end that is warming up is only slower.
-    pub cold_rate: Option<f64>,
+    pub warm_up_rate: Option<f64>,
     /// Set if the back ends are model engines.
     pub engine: Option<Engine>,
 }
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -9,7 +9,7 @@
 use gorsebank_world::{AdapterId, ModelId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use crate::reading_row::ReadingSample;
+use crate::prefill_speed::PrefillSpeedSample;
 
 /// Time constant of the moving average of the request rate.
 const RATE_TIME_CONSTANT_MS: f64 = 8_000.0;
@@ -53,7 +53,7 @@
         default,
         skip_serializing_if = "BTreeMap::is_empty"
     )]
-    pub reading: BTreeMap<ServiceId, ReadingSample>,
+    pub prefill_speed: BTreeMap<ServiceId, PrefillSpeedSample>,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -96,7 +96,7 @@
 
 impl Demand {
     /// Records the arrival of a request. It is urgent if its objective is shorter than a load.
-    pub fn arrived(
+    pub fn record_arrival(
         &mut self,
         now: Timestamp,
         service: &ServiceId,
@@ -142,7 +142,7 @@
 
     /// Records that no back end holds the model, or the given adapter of it. Returns true if the
     /// demand was not recorded as unmet before.
-    pub fn wish(
+    pub fn record_unmet(
         &mut self,
         now: Timestamp,
         service: &ServiceId,
@@ -158,7 +158,12 @@
     }
 
     /// Clears the unmet demand: a back end holds the model, or the given adapter of it.
-    pub fn fulfilled(&mut self, service: &ServiceId, model: &ModelId, adapter: Option<&AdapterId>) {
+    pub fn clear_unmet(
+        &mut self,
+        service: &ServiceId,
+        model: &ModelId,
+        adapter: Option<&AdapterId>,
+    ) {
         let entry = self.entry(service, model);
         entry.unmet_at = None;
         if let Some(adapter) = adapter {
--- a/crates/fleet/src/feeders.rs
+++ b/crates/fleet/src/distribution_tree.rs
@@ -43,7 +43,7 @@
 
 /// A gateway that may be a parent of others.
 #[derive(Clone, Copy, Debug)]
-pub struct Candidate<'a> {
+pub struct ParentCandidate<'a> {
     /// The gateway's name.
     pub name: &'a str,
     /// Capacity of the machine's network link, in megabits per second; 0 if unknown.
@@ -53,10 +53,10 @@
     /// The gateway's zone; `None` if unknown.
     pub zone: Option<&'a str>,
     /// Whether the gateway is the placement holder, which is work enough in a large fleet.
-    pub places_models: bool,
+    pub is_placement_holder: bool,
 }
 
-impl Candidate<'_> {
+impl ParentCandidate<'_> {
     /// Rate at which the gateway could forward rows, in kilobits per second.
     fn capacity(&self) -> u64 {
         let by_processor = f64::from(self.millicores) * MEGABITS_PER_SECOND_PER_CORE;
@@ -66,7 +66,7 @@
 
 /// A gateway's position in the distribution tree.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Place {
+pub enum TreePosition {
     /// The gateway follows the table itself.
     #[default]
     Root,
@@ -80,27 +80,27 @@
 
 /// Gateways from which one gateway takes the table's changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct FeedOrder {
+pub struct ParentOrder {
     /// The gateway's position in the tree.
-    pub place: Place,
+    pub position: TreePosition,
     /// Indices of the possible parents, in the order in which they are tried; empty at a root.
-    pub asks: Vec<usize>,
+    pub parents: Vec<usize>,
     /// Indices of all roots, in rank order.
     pub roots: Vec<usize>,
 }
 
-impl FeedOrder {
+impl ParentOrder {
     /// Determines the position and the parents of the gateway `own` among all candidates, which
     /// include it. A gateway that is not among the candidates is a leaf; one that knows no
     /// candidates is a root.
-    pub fn new(own: &str, candidates: &[Candidate<'_>]) -> Self {
+    pub fn new(own: &str, candidates: &[ParentCandidate<'_>]) -> Self {
         let is_small = candidates.len() <= SMALL_FLEET_SIZE;
         let mut ranked: Vec<usize> = (0..candidates.len()).collect();
         ranked.sort_by_key(|index| {
             let candidate = &candidates[*index];
             let name = candidate.name;
             (
-                candidate.places_models && !is_small,
+                candidate.is_placement_holder && !is_small,
                 Reverse(candidate.capacity()),
                 xxh3_64(name.as_bytes()),
                 name,
@@ -110,14 +110,14 @@
         let is_own = |index: &usize| candidates[*index].name == own;
         let position = tree.position(is_own);
         let parents = match position {
-            Place::Root => Vec::new(),
-            Place::Middle | Place::LeafOfRoot => tree.parents_at_roots(own),
-            Place::LeafOfMiddle => tree.parents_of_leaf(own, candidates),
+            TreePosition::Root => Vec::new(),
+            TreePosition::Middle | TreePosition::LeafOfRoot => tree.parents_at_roots(own),
+            TreePosition::LeafOfMiddle => tree.parents_of_leaf(own, candidates),
         };
         let parents = parents.into_iter().filter(|index| !is_own(index));
-        FeedOrder {
-            place: position,
-            asks: parents.take(MAX_PARENTS).collect(),
+        ParentOrder {
+            position,
+            parents: parents.take(MAX_PARENTS).collect(),
             roots: tree.roots().to_vec(),
         }
     }
@@ -153,15 +153,15 @@
         &self.ranked[self.roots..self.roots + self.intermediates]
     }
 
-    fn position(&self, is_own: impl Fn(&usize) -> bool) -> Place {
+    fn position(&self, is_own: impl Fn(&usize) -> bool) -> TreePosition {
         if self.roots == 0 || self.roots().iter().any(&is_own) {
-            Place::Root
+            TreePosition::Root
         } else if self.intermediates().iter().any(&is_own) {
-            Place::Middle
+            TreePosition::Middle
         } else if self.intermediates == 0 {
-            Place::LeafOfRoot
+            TreePosition::LeafOfRoot
         } else {
-            Place::LeafOfMiddle
+            TreePosition::LeafOfMiddle
         }
     }
 
@@ -174,7 +174,7 @@
     }
 
     /// Two intermediate gateways, and then the roots.
-    fn parents_of_leaf(&self, own: &str, candidates: &[Candidate<'_>]) -> Vec<usize> {
+    fn parents_of_leaf(&self, own: &str, candidates: &[ParentCandidate<'_>]) -> Vec<usize> {
         let zone_intermediates = self.intermediates_in_zone(own, candidates);
         let mut parents = rotate_by_name(
             zone_intermediates
@@ -189,10 +189,14 @@
 
     /// Intermediate gateways in the zone of the gateway `own`, if there are enough of them for all
     /// gateways of the zone.
-    fn intermediates_in_zone(&self, own: &str, candidates: &[Candidate<'_>]) -> Option<Vec<usize>> {
+    fn intermediates_in_zone(
+        &self,
+        own: &str,
+        candidates: &[ParentCandidate<'_>],
+    ) -> Option<Vec<usize>> {
         let own = candidates.iter().find(|candidate| candidate.name == own)?;
         let zone = own.zone?;
-        let is_in_zone = |candidate: &Candidate<'_>| candidate.zone == Some(zone);
+        let is_in_zone = |candidate: &ParentCandidate<'_>| candidate.zone == Some(zone);
         let intermediates = self.intermediates().iter().copied();
         let zone_intermediates: Vec<usize> = intermediates
             .filter(|index| is_in_zone(&candidates[*index]))
--- a/crates/fleet/src/departures.rs
+++ b/crates/fleet/src/drain_notices.rs
@@ -11,15 +11,15 @@
 use gorsebank_coordination::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::quarantine::BackEndHash;
-use crate::telling::{RETENTION_MS, select_newest};
+use crate::notices::{RETENTION_MS, select_newest};
+use crate::quarantine::IncarnationHash;
 
 /// Notice from one gateway to another that a back end is draining.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldDeparture {
+pub struct DrainNotice {
     /// The incarnation of the back end.
     #[serde(rename = "b")]
-    pub back_end: BackEndHash,
+    pub back_end: IncarnationHash,
     /// Time since the back end's announcement, in milliseconds.
     #[serde(rename = "a")]
     pub age: u64,
@@ -27,20 +27,20 @@
 
 /// The draining back ends that this gateway knows.
 #[derive(Debug, Default)]
-pub struct Departures {
-    announced: HashMap<BackEndHash, Timestamp>,
+pub struct DrainNotices {
+    announced: HashMap<IncarnationHash, Timestamp>,
 }
 
-impl Departures {
+impl DrainNotices {
     /// Records the announcement of a back end that it is draining. Returns true if it is new.
-    pub fn note(&mut self, now: Timestamp, back_end: BackEndHash) -> bool {
+    pub fn record(&mut self, now: Timestamp, back_end: IncarnationHash) -> bool {
         self.remove_expired(now);
         self.announced.insert(back_end, now).is_none()
     }
 
     /// Merges the notices of another gateway and returns the back ends that were not known to be
     /// draining. A known notice keeps its age, or gateways would pass it on to each other for ever.
-    pub fn take(&mut self, now: Timestamp, notices: &[ToldDeparture]) -> Vec<BackEndHash> {
+    pub fn merge(&mut self, now: Timestamp, notices: &[DrainNotice]) -> Vec<IncarnationHash> {
         self.remove_expired(now);
         let mut added = Vec::new();
         for notice in notices.iter().filter(|notice| notice.age < RETENTION_MS) {
@@ -57,13 +57,13 @@
     }
 
     /// Whether a back end has announced that it is draining.
-    pub fn contains(&self, back_end: BackEndHash) -> bool {
+    pub fn contains(&self, back_end: IncarnationHash) -> bool {
         self.announced.contains_key(&back_end)
     }
 
     /// The notices to send to other gateways.
-    pub fn told(&self, now: Timestamp) -> Vec<ToldDeparture> {
-        let notices = self.announced.iter().map(|(back_end, at)| ToldDeparture {
+    pub fn notices(&self, now: Timestamp) -> Vec<DrainNotice> {
+        let notices = self.announced.iter().map(|(back_end, at)| DrainNotice {
             back_end: *back_end,
             age: now.since(*at),
         });
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -16,7 +16,7 @@
 
 /// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvent {
+pub struct CompleteEvent {
     /// The event's bytes, including the empty line at the end.
     pub bytes: Bytes,
     /// The event's id, if it has one.
@@ -45,7 +45,7 @@
     }
 
     /// Returns the next complete event, if one has been received.
-    pub fn next_event(&mut self) -> Option<WholeEvent> {
+    pub fn next_event(&mut self) -> Option<CompleteEvent> {
         let Some(end) = self.find_end() else {
             self.searched_len = self.buffer.len().saturating_sub(EVENT_END_CR.len());
             return None;
@@ -53,7 +53,7 @@
         self.searched_len = 0;
         let bytes = self.buffer.split_to(end).freeze();
         let id = parse_event_id(&bytes);
-        Some(WholeEvent { bytes, id })
+        Some(CompleteEvent { bytes, id })
     }
 
     /// Whether bytes of an incomplete event are buffered.
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -39,7 +39,7 @@
 
 impl Health {
     /// Records a response that was received `latency` milliseconds after the request was sent.
-    pub fn answered(&mut self, now: Timestamp, latency: u64) {
+    pub fn record_response(&mut self, now: Timestamp, latency: u64) {
         self.update_failure_rate(now, 0.0);
         let latency = latency as f64;
         let previous = self.latency(now).unwrap_or(latency);
@@ -52,13 +52,13 @@
     }
 
     /// Records an error response of the back end.
-    pub fn failed(&mut self, now: Timestamp) {
+    pub fn record_failure(&mut self, now: Timestamp) {
         self.update_failure_rate(now, 1.0);
         self.pause_ms = 0;
     }
 
     /// Records a failed connection, a connection that broke, or a timeout.
-    pub fn unreachable(&mut self, now: Timestamp) {
+    pub fn record_unreachable(&mut self, now: Timestamp) {
         self.update_failure_rate(now, 1.0);
         self.pause_ms = (self.pause_ms * 2).clamp(MIN_PAUSE_MS, MAX_PAUSE_MS);
         self.paused_until = now + self.pause_ms;
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -24,7 +24,7 @@
 
 /// Relation of a received start time to the known incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum IncarnationMatch {
     /// The start time is that of the known incarnation, or is not stated.
     Same,
     /// The start time is that of another incarnation, which replaces the known one.
@@ -57,7 +57,7 @@
 
     /// Whether information with this start time may concern the known incarnation. Information
     /// without a start time may, since it was sent or requested before the start time was known.
-    pub fn may_be(&self, received: Option<Born>) -> bool {
+    pub fn may_match(&self, received: Option<Born>) -> bool {
         match (self.born, received) {
             (Some(known), Some(received)) => known == received,
             _ => true,
@@ -66,20 +66,20 @@
 
     /// Applies a received start time. A later one replaces the known one at once, an earlier one
     /// only if the known one was not received for `EARLIER_START_ACCEPTED_AFTER_MS`.
-    pub fn hear(&mut self, now: Timestamp, received: Option<Born>) -> Heard {
+    pub fn observe(&mut self, now: Timestamp, received: Option<Born>) -> IncarnationMatch {
         let (Some(known), Some(received)) = (self.born, received) else {
             self.born = self.born.or(received);
-            return Heard::Same;
+            return IncarnationMatch::Same;
         };
         if received == known {
             self.earlier = None;
-            return Heard::Same;
+            return IncarnationMatch::Same;
         }
         if received < known && !self.is_accepted(now, received) {
-            return Heard::Outdated;
+            return IncarnationMatch::Outdated;
         }
         *self = Incarnation::new(Some(received));
-        Heard::Other
+        IncarnationMatch::Other
     }
 
     /// Whether this earlier start time, and no other, has been received for long enough.
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -44,7 +44,7 @@
 
 /// Whether, and after which delay, a node is a candidate for the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum Candidacy {
     /// The node is no candidate; if it holds the lease, it hands it back.
     Never,
     /// The node takes the lease this number of milliseconds after the lease becomes free, so that
@@ -127,7 +127,7 @@
     }
 
     /// Makes the holder's next step a renewal, regardless of the time of the last one.
-    pub fn renew_soon(&mut self) {
+    pub fn request_renewal(&mut self) {
         self.renewal_requested = true;
     }
 
@@ -143,9 +143,9 @@
     }
 
     /// Determines the next step of a node with this candidacy.
-    pub fn step(&mut self, now: Timestamp, candidacy: Offer) -> LeaseStep {
+    pub fn step(&mut self, now: Timestamp, candidacy: Candidacy) -> LeaseStep {
         if let Role::Holder { renewed, .. } = self.role {
-            return self.holder_step(now, renewed, candidacy != Offer::Never);
+            return self.holder_step(now, renewed, candidacy != Candidacy::Never);
         }
         let next_read = self
             .last_read
@@ -162,8 +162,8 @@
             self.version_since + self.fraction_ms(TAKE_FRACTION)
         };
         let take_at = match candidacy {
-            Offer::Never => None,
-            Offer::After(delay) => Some(free_at + delay),
+            Candidacy::Never => None,
+            Candidacy::After(delay) => Some(free_at + delay),
         };
         let is_cooling_down = self
             .lost_at
@@ -208,7 +208,7 @@
     }
 
     /// Records a read of the row: its version (0 if it does not exist) and its content.
-    pub fn read(&mut self, now: Timestamp, version: u64, row: Option<&LeaseRow>) {
+    pub fn record_read(&mut self, now: Timestamp, version: u64, row: Option<&LeaseRow>) {
         let stale_after = self.fraction_ms(STALE_FRACTION);
         let was_stale = self.last_read.is_none_or(|at| now.since(at) > stale_after);
         self.last_read = Some(now);
@@ -244,7 +244,7 @@
     }
 
     /// Records that the write of `row` took effect as `version`.
-    pub fn written(&mut self, now: Timestamp, version: u64, row: &LeaseRow) {
+    pub fn record_write(&mut self, now: Timestamp, version: u64, row: &LeaseRow) {
         self.version = Some(version);
         self.version_since = now;
         self.last_read = Some(now);
@@ -259,12 +259,12 @@
 
     /// Records that the last write was not confirmed and may still take effect. The next step
     /// reads the row.
-    pub fn unanswered(&mut self) {
+    pub fn record_unconfirmed_write(&mut self) {
         self.version = None;
     }
 
     /// Records that the condition of the last write did not hold.
-    pub fn refused(&mut self) {
+    pub fn record_conflict(&mut self) {
         // The next step reads the row, which may show an earlier write of this process.
         self.version = None;
     }
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -71,7 +71,7 @@
 
 /// Decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum QuotaDecision {
     /// The request is within the limit and has been charged.
     Granted,
     /// The request exceeds the limit; there is capacity for it after this time.
@@ -106,7 +106,7 @@
 /// Saved usage of all tenants of a shard within the last window.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct SavedUse(BTreeMap<TenantId, SavedTenantUsage>);
+pub struct SavedUsage(BTreeMap<TenantId, SavedTenantUsage>);
 
 #[derive(Clone, Copy, Debug)]
 struct Bin {
@@ -209,7 +209,7 @@
 struct PreviousLedger {
     /// Upper bound of the times of the previous ledger's grants.
     until: Timestamp,
-    saved: SavedUse,
+    saved: SavedUsage,
 }
 
 /// Usage of all tenants of one quota shard.
@@ -226,7 +226,7 @@
 impl Ledger {
     /// A ledger that holds one of `shards` equal shares of each limit. Any previous ledger has
     /// ended by `now` and had saved `saved`.
-    pub fn new(bound: LimitBound, shards: usize, now: Timestamp, saved: SavedUse) -> Self {
+    pub fn new(bound: LimitBound, shards: usize, now: Timestamp, saved: SavedUsage) -> Self {
         Ledger {
             bound,
             shards: shards as f64,
@@ -237,13 +237,13 @@
     }
 
     /// Charges a request if it is within its tenant's limit.
-    pub fn take(
+    pub fn charge(
         &mut self,
         now: Timestamp,
         tenant: &TenantId,
         limit: &TenantLimit,
         cost: f64,
-    ) -> Taken {
+    ) -> QuotaDecision {
         let granted = self.bound.granted_units(limit, self.shards);
         let window = self.window();
         let usage = self.usage_mut(now, tenant, granted);
@@ -252,9 +252,9 @@
         if total > 0.0 && total + cost > granted {
             let wait = usage.wait_until_expired(now, window, total + cost - granted);
             return if total - usage.uncertain() + cost > granted {
-                Taken::Beyond(wait)
+                QuotaDecision::Beyond(wait)
             } else {
-                Taken::NotYet(wait)
+                QuotaDecision::NotYet(wait)
             };
         }
         let fits_reserve = usage.unsaved + cost <= usage.reserve;
@@ -266,15 +266,15 @@
         let needs_saving = !fits_reserve || usage.unsaved > usage.reserve * SAVE_THRESHOLD;
         self.needs_saving |= needs_saving;
         if fits_reserve {
-            Taken::Granted
+            QuotaDecision::Granted
         } else {
-            Taken::NotYet(SAVE_RETRY_DELAY)
+            QuotaDecision::NotYet(SAVE_RETRY_DELAY)
         }
     }
 
     /// Refunds a request that this ledger granted at `granted` and that is known not to have been
     /// executed. A charge that has left the window is not refunded.
-    pub fn give_back(&mut self, now: Timestamp, tenant: &TenantId, granted: Timestamp, cost: f64) {
+    pub fn refund(&mut self, now: Timestamp, tenant: &TenantId, granted: Timestamp, cost: f64) {
         let window = self.window();
         if now.since(granted) >= window {
             return;
@@ -293,11 +293,11 @@
     /// Starts a save and returns its content. `limits` are those of all tenants of the shard, so
     /// that charges that a previous ledger may have granted are passed on even for tenants without
     /// requests. From then on no more than the saved reserve, which follows the limit, is granted.
-    pub fn save<'a>(
+    pub fn begin_save<'a>(
         &mut self,
         now: Timestamp,
         limits: impl Iterator<Item = (&'a TenantId, &'a TenantLimit)>,
-    ) -> SavedUse {
+    ) -> SavedUsage {
         let mut saved = BTreeMap::new();
         for (tenant, limit) in limits {
             let granted = self.bound.granted_units(limit, self.shards);
@@ -310,11 +310,11 @@
             saved.insert(tenant.clone(), SavedTenantUsage { grants, reserve });
         }
         self.usages.retain(|tenant, _| saved.contains_key(tenant));
-        SavedUse(saved)
+        SavedUsage(saved)
     }
 
     /// Confirms that the last save has taken effect.
-    pub fn saved(&mut self) {
+    pub fn confirm_save(&mut self) {
         for usage in self.usages.values_mut() {
             usage.unsaved -= std::mem::take(&mut usage.unsaved_in_flight);
             usage.reserve = usage.reserve_in_flight;
--- a/crates/fleet/src/joining.rs
+++ b/crates/fleet/src/membership_convergence.rs
@@ -16,13 +16,13 @@
 
 /// Growth of the list of members over the reads so far.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Joining {
+pub struct MembershipConvergence {
     last_count: usize,
 }
 
-impl Joining {
+impl MembershipConvergence {
     /// Records the number of gateways in a read. Returns true if no further read is needed.
-    pub fn has_settled(&mut self, gateways: usize) -> bool {
+    pub fn observe(&mut self, gateways: usize) -> bool {
         let previous = std::mem::replace(&mut self.last_count, gateways);
         let grown = gateways.saturating_sub(previous) as f64;
         gateways < SMALL_FLEET_SIZE || grown < previous as f64 * MAX_GROWTH
--- a/crates/fleet/src/pacer.rs
+++ b/crates/fleet/src/pacer.rs
@@ -6,7 +6,7 @@
 //! the stated rate, so within any time span a back end receives at most
 //! `rate * (span + BURST_MS) + 1` requests from all gateways.
 //!
-//! Invariant: a send time that a pacing gateway assigns is at most [`AHEAD`] after the moment at
+//! Invariant: a send time that a pacing gateway assigns is at most [`MAX_LEAD_MS`] after the moment at
 //! which it stops, and the first send time of its successor is one interval later. A change of the
 //! pacing gateway therefore never exceeds the rate.
 
@@ -14,13 +14,13 @@
 
 use gorsebank_coordination::Timestamp;
 
-use crate::quarantine::BackEndHash;
+use crate::quarantine::IncarnationHash;
 
 /// Maximum time between an assignment and the assigned send time, in milliseconds.
-pub const AHEAD: u64 = 1_000;
+pub const MAX_LEAD_MS: u64 = 1_000;
 /// Burst allowance, in milliseconds: after an idle time, requests that would have been allowed
 /// within this time may be sent at once, since callers do not send at an even rate.
-pub const BURST: f64 = 100.0;
+pub const BURST_MS: f64 = 100.0;
 /// Minimum rate at which requests are sent even if a back end states a lower limit or 0, since only
 /// a response can show that it accepts more again.
 const MIN_RATE_PER_SECOND: f64 = 0.1;
@@ -43,7 +43,7 @@
 pub struct Pacer {
     started: Timestamp,
     /// The last assigned send time of each back end, in milliseconds of this process's clock.
-    last_send_time: HashMap<BackEndHash, f64>,
+    last_send_time: HashMap<IncarnationHash, f64>,
 }
 
 impl Pacer {
@@ -57,22 +57,22 @@
 
     /// Assigns a send time for one request to a back end with the limit `rate`, in requests per
     /// second. The request can wait `max_wait` milliseconds.
-    pub fn take(
+    pub fn assign(
         &mut self,
         now: Timestamp,
-        back_end: BackEndHash,
+        back_end: IncarnationHash,
         rate: f64,
         max_wait: u64,
     ) -> SendTime {
         let interval = 1_000.0 / rate.max(MIN_RATE_PER_SECOND);
         let now_ms = now.0 as f64;
         // The previous pacing gateway may have assigned the time one interval before this one.
-        let first = (self.started + AHEAD).0 as f64 + interval;
+        let first = (self.started + MAX_LEAD_MS).0 as f64 + interval;
         let last = self.last_send_time.get(&back_end).copied();
         let next = last.map_or(first, |last| last + interval);
-        let at = next.max(now_ms - BURST).max(first);
+        let at = next.max(now_ms - BURST_MS).max(first);
         let wait = (at - now_ms).max(0.0).ceil() as u64;
-        if wait > max_wait.min(AHEAD) {
+        if wait > max_wait.min(MAX_LEAD_MS) {
             return SendTime::Later(wait);
         }
         self.remove_expired(now);
--- a/crates/fleet/src/placement/engine/mod.rs
+++ b/crates/fleet/src/placement/engine/mod.rs
@@ -8,7 +8,7 @@
 //! The output is the next action at the engine and the row that gateways read.
 
 mod next;
-mod open_orders;
+mod unresolved_orders;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use gorsebank_coordination::Timestamp;
 use gorsebank_world::{AdapterId, BackEndId, ModelId, ServiceId};
 
-pub use open_orders::ORDER_LIFETIME_MS;
-use open_orders::UnresolvedOrders;
+pub use unresolved_orders::ORDER_LIFETIME_MS;
+use unresolved_orders::UnresolvedOrders;
 
 use super::goal::Goal;
 use super::{OrderKind, OrderResult};
 use crate::back_end::{BackEndReport, CopyTier, EngineReport, Holdings, PlacedRow, PlannedLoad};
 use crate::configuration::{Engine, ModelSpec};
-use crate::incarnation::{Born, Heard, Incarnation};
+use crate::incarnation::{Born, Incarnation, IncarnationMatch};
 
 /// Maximum number of times that an order without a response is repeated before the engine is
 /// polled.
@@ -110,22 +110,22 @@
     }
 
     /// Applies a discovery row, unless the row belongs to another incarnation.
-    pub fn observe(&mut self, now: Timestamp, report: &BackEndReport) -> Heard {
+    pub fn observe(&mut self, now: Timestamp, report: &BackEndReport) -> IncarnationMatch {
         let heard = self.match_incarnation(now, report.born);
-        if heard == Heard::Same {
+        if heard == IncarnationMatch::Same {
             self.observed = report.clone();
         }
         heard
     }
 
     /// Matches a reported start time against the known incarnation.
-    pub fn match_incarnation(&mut self, now: Timestamp, born: Option<Born>) -> Heard {
-        self.incarnation.hear(now, born)
+    pub fn match_incarnation(&mut self, now: Timestamp, born: Option<Born>) -> IncarnationMatch {
+        self.incarnation.observe(now, born)
     }
 
     /// Whether a message with this start time may belong to the present incarnation.
     pub fn may_be_incarnation(&self, start_time: Option<Born>) -> bool {
-        self.incarnation.may_be(start_time)
+        self.incarnation.may_match(start_time)
     }
 
     /// The start time of the present incarnation, if it is known.
@@ -178,7 +178,7 @@
                 .record_unlisted_orders(now + ORDER_LIFETIME_MS);
             return;
         }
-        for model in &row.left_over {
+        for model in &row.orphaned_loads {
             let order = OrderKind::LoadModel(model.clone());
             self.previous_orders.record_sent(now, order);
         }
@@ -531,7 +531,7 @@
             holdings,
             unloading: self.unloading.clone(),
             loading,
-            left_over: self.previous_orders.models().into_iter().cloned().collect(),
+            orphaned_loads: self.previous_orders.models().into_iter().cloned().collect(),
         })
     }
 }
--- a/crates/fleet/src/placement/load_window.rs
+++ b/crates/fleet/src/placement/load_concurrency.rs
@@ -49,28 +49,28 @@
 
 /// The estimate for one weight store, which is handed to the next holder.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FoundLimit {
+pub struct LoadConcurrencyEstimate {
     /// Number of loads that may be in progress at the same time.
     #[serde(rename = "at_once")]
-    pub at_once: f64,
+    pub max_loads: f64,
     /// Whether any load was slow because of too many concurrent loads.
     #[serde(rename = "has_been_slow")]
-    pub has_been_slow: bool,
+    pub has_been_saturated: bool,
 }
 
-impl Default for FoundLimit {
+impl Default for LoadConcurrencyEstimate {
     fn default() -> Self {
-        FoundLimit {
-            at_once: INITIAL_MAX_LOADS,
-            has_been_slow: false,
+        LoadConcurrencyEstimate {
+            max_loads: INITIAL_MAX_LOADS,
+            has_been_saturated: false,
         }
     }
 }
 
 /// The loads in progress and the estimated limit on their number.
 #[derive(Debug)]
-pub struct LoadWindow {
-    estimate: FoundLimit,
+pub struct LoadConcurrency {
+    estimate: LoadConcurrencyEstimate,
     active_loads: BTreeMap<BackEndId, ActiveLoad>,
     /// Largest number of concurrent loads of which one ran at full speed, and the time at which
     /// that was observed.
@@ -96,14 +96,14 @@
     }
 }
 
-impl LoadWindow {
+impl LoadConcurrency {
     /// Creates a window without loads. `estimate` is the one of a previous holder.
-    pub fn new(estimate: FoundLimit) -> Self {
+    pub fn new(estimate: LoadConcurrencyEstimate) -> Self {
         // The value comes from a stored row, which may contain any number.
-        let at_once = estimate.at_once.max(1.0);
-        LoadWindow {
-            estimate: FoundLimit {
-                at_once,
+        let at_once = estimate.max_loads.max(1.0);
+        LoadConcurrency {
+            estimate: LoadConcurrencyEstimate {
+                max_loads: at_once,
                 ..estimate
             },
             active_loads: BTreeMap::new(),
@@ -112,13 +112,13 @@
     }
 
     /// The present estimate.
-    pub fn found(&self) -> FoundLimit {
+    pub fn estimate(&self) -> LoadConcurrencyEstimate {
         self.estimate
     }
 
     /// Number of loads that may be in progress at the same time.
     fn max_loads(&self) -> usize {
-        self.estimate.at_once as usize
+        self.estimate.max_loads as usize
     }
 
     /// Whether another load may start besides the loads in progress and `reserved` others.
@@ -130,7 +130,7 @@
 
     /// Records a load that is about to be ordered on an engine that has accepted `sequence` orders.
     /// `uncontended_duration` is the duration of the load without other loads.
-    pub fn begin(
+    pub fn record_order(
         &mut self,
         now: Timestamp,
         engine: &BackEndId,
@@ -148,7 +148,7 @@
     }
 
     /// Records a load that a previous holder ordered at an unknown time.
-    pub fn inherit(&mut self, now: Timestamp, engine: &BackEndId) {
+    pub fn restore(&mut self, now: Timestamp, engine: &BackEndId) {
         let load = ActiveLoad {
             sequence: None,
             started_at: now,
@@ -159,7 +159,7 @@
     }
 
     /// Records that the order had no response, so the load may start at any time.
-    pub fn uncertain(&mut self, engine: &BackEndId) {
+    pub fn record_no_response(&mut self, engine: &BackEndId) {
         if let Some(load) = self.active_loads.get_mut(engine) {
             load.uncontended_duration = None;
         }
@@ -167,15 +167,15 @@
 
     /// Removes a load whose order was not accepted. It is kept if an earlier send of the order had
     /// no response, because the load may then have started; a report will show that.
-    pub fn dropped(&mut self, engine: &BackEndId) {
+    pub fn cancel_order(&mut self, engine: &BackEndId) {
         let may_have_started = |load: &ActiveLoad| load.uncontended_duration.is_none();
         if !self.active_loads.get(engine).is_some_and(may_have_started) {
-            self.forget(engine);
+            self.remove(engine);
         }
     }
 
     /// Removes the load of an engine that does not respond.
-    pub fn forget(&mut self, engine: &BackEndId) {
+    pub fn remove(&mut self, engine: &BackEndId) {
         self.active_loads.remove(engine);
     }
 
@@ -185,7 +185,7 @@
     }
 
     /// Records that an engine that has accepted `sequence` orders reports no order in progress.
-    pub fn idle(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
+    pub fn record_idle(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         let has_ended = |load: &ActiveLoad| {
             load.sequence
                 .is_none_or(|first_sequence| sequence >= first_sequence)
@@ -227,18 +227,18 @@
     /// Lowers the estimate towards the number of loads that would have run at full speed.
     fn decrease(&mut self, at_full_speed: f64) {
         let estimate = &mut self.estimate;
-        estimate.has_been_slow = true;
-        let at_full_speed = at_full_speed.clamp(1.0, estimate.at_once);
-        estimate.at_once += (at_full_speed - estimate.at_once) * SLOW_LOAD_WEIGHT;
+        estimate.has_been_saturated = true;
+        let at_full_speed = at_full_speed.clamp(1.0, estimate.max_loads);
+        estimate.max_loads += (at_full_speed - estimate.max_loads) * SLOW_LOAD_WEIGHT;
     }
 
     /// Raises the estimate after a load that filled the window ran at full speed.
     fn increase(&mut self) {
         let estimate = &mut self.estimate;
-        if estimate.has_been_slow {
-            estimate.at_once += GROWTH_LOADS;
+        if estimate.has_been_saturated {
+            estimate.max_loads += GROWTH_LOADS;
         } else {
-            estimate.at_once *= INITIAL_GROWTH_FACTOR;
+            estimate.max_loads *= INITIAL_GROWTH_FACTOR;
         }
     }
 }
--- a/crates/fleet/src/placement/pace.rs
+++ b/crates/fleet/src/placement/load_rate_limiter.rs
@@ -32,7 +32,7 @@
 
 /// The rate limit of loads from the weight store.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct LoadBound {
+pub struct LoadRateLimit {
     /// Time window over which loads are counted.
     pub window: Duration,
     /// Fraction of the weight store's rate that may be used; 1 for the whole rate.
@@ -41,9 +41,9 @@
     pub extra: f64,
 }
 
-impl Default for LoadBound {
+impl Default for LoadRateLimit {
     fn default() -> Self {
-        LoadBound {
+        LoadRateLimit {
             window: Duration::from_secs(5),
             overage: 1.0,
             extra: 0.0,
@@ -57,10 +57,10 @@
     pub engine: BackEndId,
     /// Time since the order, in milliseconds.
     #[serde(rename = "age")]
-    pub age: u64,
+    pub age_ms: u64,
     /// The sequence number of the order, if the load may not have started yet.
     #[serde(rename = "open", default, skip_serializing_if = "Option::is_none")]
-    pub open: Option<u64>,
+    pub unresolved_sequence: Option<u64>,
     /// The start time of the incarnation that was ordered to load; `None` if it is not known, or if
     /// that incarnation has ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -96,24 +96,24 @@
 
 /// The recent loads of one weight store and their rate limit.
 #[derive(Debug)]
-pub struct LoadPace {
-    bound: LoadBound,
+pub struct LoadRateLimiter {
+    bound: LoadRateLimit,
     loads: BTreeMap<BackEndId, Vec<OrderedLoad>>,
 }
 
-impl LoadPace {
+impl LoadRateLimiter {
     /// Creates the limiter of a holder that starts at `now` and knows the recent loads of previous
     /// holders.
-    pub fn new(now: Timestamp, bound: LoadBound, former: &[RecentLoad]) -> Self {
-        let mut pace = LoadPace {
+    pub fn new(now: Timestamp, bound: LoadRateLimit, former: &[RecentLoad]) -> Self {
+        let mut pace = LoadRateLimiter {
             bound,
             loads: BTreeMap::new(),
         };
         for load in former {
             let ordered_load = OrderedLoad {
-                ordered_at: now - load.age,
-                unresolved_sequence: load.open,
-                had_no_response: load.open.is_some(),
+                ordered_at: now - load.age_ms,
+                unresolved_sequence: load.unresolved_sequence,
+                had_no_response: load.unresolved_sequence.is_some(),
                 is_of_previous_incarnation: false,
             };
             let loads = pace.loads.entry(load.engine.clone()).or_default();
@@ -136,7 +136,7 @@
 
     /// Whether a load that was ordered from an engine with this sequence number still counts. The
     /// order may then be repeated without counting another load.
-    pub fn is_open(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
+    pub fn is_unresolved(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
         let counting_window_ms = self.counting_window_ms();
         let mut loads = self.loads.get(engine).into_iter().flatten();
         loads.any(|load| {
@@ -145,7 +145,7 @@
     }
 
     /// Records a load that is about to be ordered from an engine with this sequence number.
-    pub fn note(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
+    pub fn record_order(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         self.forget_old(now);
         let loads = self.loads.entry(engine.clone()).or_default();
         let former = loads
@@ -171,7 +171,7 @@
     }
 
     /// Applies the result of a load order.
-    pub fn ordered(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
+    pub fn apply_order_result(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
         let Some(loads) = self.loads.get_mut(engine) else {
             return;
         };
@@ -208,7 +208,7 @@
     }
 
     /// Records that a load order was not sent.
-    pub fn unsent(&mut self, engine: &BackEndId) {
+    pub fn cancel_order(&mut self, engine: &BackEndId) {
         if let Some(loads) = self.loads.get_mut(engine) {
             loads.retain(|load| load.unresolved_sequence.is_none() || load.had_no_response);
         }
@@ -216,7 +216,7 @@
 
     /// Records that an engine has accepted `sequence` orders. A load that was ordered with a lower
     /// sequence number has started by now, or never will.
-    pub fn taken(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
+    pub fn apply_sequence(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         let loads = self.loads.get_mut(engine).into_iter().flatten();
         for load in loads {
             let is_resolved = load
@@ -244,7 +244,7 @@
     }
 
     /// The recent loads, for the next holder. `born` returns the start times of engines.
-    pub fn recent(
+    pub fn recent_loads(
         &self,
         now: Timestamp,
         born: impl Fn(&BackEndId) -> Option<Born>,
@@ -258,8 +258,8 @@
             {
                 recent.push(RecentLoad {
                     engine: engine.clone(),
-                    age: now.since(load.ordered_at),
-                    open: load.unresolved_sequence,
+                    age_ms: now.since(load.ordered_at),
+                    unresolved_sequence: load.unresolved_sequence,
                     born: born(engine).filter(|_| !load.is_of_previous_incarnation),
                 });
             }
--- a/crates/fleet/src/placement/mod.rs
+++ b/crates/fleet/src/placement/mod.rs
@@ -13,10 +13,10 @@
 mod engine;
 mod forecast;
 mod goal;
-mod goals;
-mod load_ends;
-mod load_window;
-mod pace;
+mod load_concurrency;
+mod load_crashes;
+mod load_rate_limiter;
+mod load_selection;
 mod totals;
 mod weight_store;
 
@@ -28,14 +28,14 @@
 use crate::back_end::{BackEndReport, EngineReport, PlacedRow};
 use crate::configuration::{Configuration, Engine};
 use crate::demand::DemandRow;
-use crate::incarnation::{Born, Heard};
+use crate::incarnation::{Born, IncarnationMatch};
 
 use engine::EngineState;
 use forecast::Forecast;
-pub use goals::{DeferredLoad, Obstacle};
-pub use load_ends::LoadCrashRecord;
-pub use load_window::{FoundLimit, LoadWindow};
-pub use pace::{LoadBound, LoadPace, RecentLoad};
+pub use load_concurrency::{LoadConcurrency, LoadConcurrencyEstimate};
+pub use load_crashes::LoadCrashRecord;
+pub use load_rate_limiter::{LoadRateLimit, LoadRateLimiter, RecentLoad};
+pub use load_selection::{DeferredLoad, Obstacle};
 use totals::DemandTotals;
 use weight_store::WeightStore;
 pub use weight_store::{StoreRecord, StoreRecords};
@@ -100,7 +100,7 @@
 pub struct Planner {
     engines: BTreeMap<BackEndId, EngineState>,
     stores: BTreeMap<ServiceId, WeightStore>,
-    rate_limit: LoadBound,
+    rate_limit: LoadRateLimit,
     previous_records: StoreRecords,
     /// Engines for which the row of a previous holder names a load.
     engines_with_restored_loads: Vec<BackEndId>,
@@ -122,7 +122,7 @@
 impl Planner {
     /// Creates the planner of a holder that starts at `now`. `previous_records` contains the weight
     /// store records of previous holders.
-    pub fn new(now: Timestamp, rate_limit: LoadBound, previous_records: StoreRecords) -> Self {
+    pub fn new(now: Timestamp, rate_limit: LoadRateLimit, previous_records: StoreRecords) -> Self {
         Planner {
             rate_limit,
             previous_records,
@@ -162,7 +162,7 @@
         for (id, report) in present {
             match self.engines.get_mut(id) {
                 Some(engine) => {
-                    if engine.observe(now, report) == Heard::Other {
+                    if engine.observe(now, report) == IncarnationMatch::Other {
                         self.begin_incarnation(now, report.clone());
                     }
                 }
@@ -240,7 +240,7 @@
     }
 
     /// Restores the row of a previous holder. The engine is polled before any order is sent to it.
-    pub fn inherit(&mut self, id: &BackEndId, row: &PlacedRow) {
+    pub fn restore(&mut self, id: &BackEndId, row: &PlacedRow) {
         if row.loading.is_some() {
             self.engines_with_restored_loads.push(id.clone());
         }
@@ -295,7 +295,7 @@
             store
         });
         let forecast = Forecast::new(spec, totals);
-        let deferred = goals::set_goals(now, spec, totals, &forecast, &mut engines, store);
+        let deferred = load_selection::set_goals(now, spec, totals, &forecast, &mut engines, store);
         self.deferred.extend(deferred);
         adapters::assign(spec, totals, &forecast, &mut engines);
         for engine in engines {
@@ -306,21 +306,21 @@
     }
 
     /// Loads that the last plan deferred, with the reasons.
-    pub fn unmet_wishes(&self) -> &[DeferredLoad] {
+    pub fn deferred_loads(&self) -> &[DeferredLoad] {
         &self.deferred
     }
 
     /// Applies the response of an engine to a poll; `None` if the engine did not respond.
-    pub fn reported(&mut self, now: Timestamp, id: &BackEndId, report: Option<EngineReport>) {
+    pub fn apply_report(&mut self, now: Timestamp, id: &BackEndId, report: Option<EngineReport>) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         let start_time = report.as_ref().and_then(|report| report.born);
         let report = match engine.match_incarnation(now, start_time) {
-            Heard::Same => report,
+            IncarnationMatch::Same => report,
             // The response came over a connection to a process that has exited.
-            Heard::Outdated => None,
-            Heard::Other => {
+            IncarnationMatch::Outdated => None,
+            IncarnationMatch::Other => {
                 let observed = engine.restarted_as(start_time);
                 self.begin_incarnation(now, observed);
                 report
@@ -336,7 +336,7 @@
     }
 
     /// Applies the result of an order.
-    pub fn ordered(
+    pub fn apply_order_result(
         &mut self,
         now: Timestamp,
         id: &BackEndId,
--- a/crates/fleet/src/placement/weight_store.rs
+++ b/crates/fleet/src/placement/weight_store.rs
@@ -12,9 +12,9 @@
 use gorsebank_world::{BackEndId, ModelId, ServiceId};
 use serde::{Deserialize, Serialize};
 
-use super::load_ends::{LoadCrashRecord, LoadCrashes};
-use super::load_window::{FoundLimit, LoadWindow};
-use super::pace::{LoadBound, LoadPace, RecentLoad};
+use super::load_concurrency::{LoadConcurrency, LoadConcurrencyEstimate};
+use super::load_crashes::{LoadCrashRecord, LoadCrashes};
+use super::load_rate_limiter::{LoadRateLimit, LoadRateLimiter, RecentLoad};
 use super::{Obstacle, OrderResult};
 use crate::back_end::EngineReport;
 use crate::incarnation::Born;
@@ -29,7 +29,7 @@
     pub recent: Vec<RecentLoad>,
     /// The estimated number of loads that the store performs at full speed at the same time.
     #[serde(rename = "limit")]
-    pub concurrency: FoundLimit,
+    pub concurrency: LoadConcurrencyEstimate,
     /// Models during whose loads engines exited.
     #[serde(rename = "ended", default)]
     pub load_crashes: Vec<LoadCrashRecord>,
@@ -38,17 +38,17 @@
 /// One weight store as the placement holder uses it.
 #[derive(Debug)]
 pub struct WeightStore {
-    rate_limiter: LoadPace,
-    concurrency: LoadWindow,
+    rate_limiter: LoadRateLimiter,
+    concurrency: LoadConcurrency,
     crashes: LoadCrashes,
 }
 
 impl WeightStore {
     /// Creates the state for a holder that starts at `now`, from the record of previous holders.
-    pub fn new(now: Timestamp, rate_limit: LoadBound, previous: &StoreRecord) -> Self {
+    pub fn new(now: Timestamp, rate_limit: LoadRateLimit, previous: &StoreRecord) -> Self {
         WeightStore {
-            rate_limiter: LoadPace::new(now, rate_limit, &previous.recent),
-            concurrency: LoadWindow::new(previous.concurrency),
+            rate_limiter: LoadRateLimiter::new(now, rate_limit, &previous.recent),
+            concurrency: LoadConcurrency::new(previous.concurrency),
             crashes: LoadCrashes::new(now, &previous.load_crashes),
         }
     }
@@ -84,7 +84,7 @@
     /// previous incarnation that had no response may still be executed.
     pub fn record_restart(&mut self, now: Timestamp, engine: &BackEndId) {
         self.rate_limiter.record_restart(now, engine);
-        self.concurrency.forget(engine);
+        self.concurrency.remove(engine);
     }
 
     /// Retracts the exit of an engine that is in discovery again.
@@ -95,7 +95,7 @@
     /// Whether a load order with this sequence number may be repeated without counting another
     /// load.
     pub fn is_unresolved(&self, now: Timestamp, engine: &BackEndId, sequence: u64) -> bool {
-        self.rate_limiter.is_open(now, engine, sequence)
+        self.rate_limiter.is_unresolved(now, engine, sequence)
     }
 
     /// Records a load that is about to be ordered. `uncontended_duration` is the duration of the
@@ -107,25 +107,25 @@
         sequence: u64,
         uncontended_duration: Duration,
     ) {
-        self.rate_limiter.note(now, engine, sequence);
+        self.rate_limiter.record_order(now, engine, sequence);
         self.concurrency
-            .begin(now, engine, sequence, uncontended_duration);
+            .record_order(now, engine, sequence, uncontended_duration);
     }
 
     /// Applies the result of a load order.
     pub fn apply_order_result(&mut self, now: Timestamp, engine: &BackEndId, result: OrderResult) {
-        self.rate_limiter.ordered(now, engine, result);
+        self.rate_limiter.apply_order_result(now, engine, result);
         match result {
             OrderResult::Accepted => {}
-            OrderResult::Unanswered => self.concurrency.uncertain(engine),
-            _ => self.concurrency.dropped(engine),
+            OrderResult::Unanswered => self.concurrency.record_no_response(engine),
+            _ => self.concurrency.cancel_order(engine),
         }
     }
 
     /// Records that a load order was not sent.
     pub fn cancel_order(&mut self, engine: &BackEndId) {
-        self.rate_limiter.unsent(engine);
-        self.concurrency.dropped(engine);
+        self.rate_limiter.cancel_order(engine);
+        self.concurrency.cancel_order(engine);
     }
 
     /// Applies the response of an engine to a poll; `report` is `None` if the engine did not
@@ -138,21 +138,22 @@
         report: Option<&EngineReport>,
     ) {
         let Some(report) = report else {
-            return self.concurrency.forget(engine);
+            return self.concurrency.remove(engine);
         };
         if let Some(model) = loading.filter(|model| report.holdings.contains_key(*model)) {
             self.crashes.clear(model);
         }
-        self.rate_limiter.taken(now, engine, report.sequence);
+        self.rate_limiter
+            .apply_sequence(now, engine, report.sequence);
         if !report.busy {
-            self.concurrency.idle(now, engine, report.sequence);
+            self.concurrency.record_idle(now, engine, report.sequence);
         }
     }
 
     /// Restores a load from the row of a previous holder.
     pub fn restore(&mut self, now: Timestamp, engine: &BackEndId) {
         self.rate_limiter.record_restored_load(now, engine);
-        self.concurrency.inherit(now, engine);
+        self.concurrency.restore(now, engine);
     }
 
     /// Removes the concurrent loads of engines for which `known` is false.
@@ -163,8 +164,8 @@
     /// The record for the next holder. `born` returns the start times of engines.
     pub fn record(&self, now: Timestamp, born: impl Fn(&BackEndId) -> Option<Born>) -> StoreRecord {
         StoreRecord {
-            recent: self.rate_limiter.recent(now, born),
-            concurrency: self.concurrency.found(),
+            recent: self.rate_limiter.recent_loads(now, born),
+            concurrency: self.concurrency.estimate(),
             load_crashes: self.crashes.records(now),
         }
     }
--- a/crates/fleet/src/reading.rs
+++ b/crates/fleet/src/prefill.rs
@@ -14,7 +14,7 @@
 use gorsebank_coordination::Timestamp;
 use gorsebank_world::{BackEndId, ModelId};
 
-use crate::reading_row::{GapSample, ReadingRow, ReadingSample};
+use crate::prefill_speed::{GapSample, PrefillSpeedRow, PrefillSpeedSample};
 
 /// Step, relative to the estimate, by which one gap changes the estimate of the model.
 const MODEL_STEP: f64 = 0.04;
@@ -92,19 +92,19 @@
 
 /// Estimates for the engines of one service.
 #[derive(Clone, Debug, Default)]
-pub struct ReadingModel {
+pub struct PrefillModel {
     /// Estimated median of the gap between two events by model, in milliseconds.
     gaps: HashMap<ModelId, f64>,
     engines: HashMap<BackEndId, EngineEstimates>,
     gaps_per_token: Option<f64>,
-    received: ReadingRow,
+    received: PrefillSpeedRow,
 }
 
-impl ReadingModel {
+impl PrefillModel {
     /// Records a gap of `gap` milliseconds between two events of a stream. The median gap is
     /// estimated as the product of two factors, the model's gap and the engine's slowness, and
     /// also for each pair of model and engine.
-    pub fn note_gap(&mut self, now: Timestamp, engine: &BackEndId, model: &ModelId, gap: f64) {
+    pub fn record_gap(&mut self, now: Timestamp, engine: &BackEndId, model: &ModelId, gap: f64) {
         let gap = gap.max(MIN_GAP_MS);
         let estimates = match self.engines.get_mut(engine) {
             Some(estimates) => estimates,
@@ -134,7 +134,7 @@
     }
 
     /// Records that the first event for a prompt of `tokens` came after `latency` milliseconds.
-    pub fn note_reading(
+    pub fn record_prefill(
         &mut self,
         now: Timestamp,
         engine: &BackEndId,
@@ -157,7 +157,7 @@
     }
 
     /// Estimated time in milliseconds of the engine's prefill of `tokens`, if it is known.
-    pub fn time(
+    pub fn prefill_time(
         &self,
         now: Timestamp,
         engine: &BackEndId,
@@ -169,13 +169,13 @@
     }
 
     /// Sets the merged observations of all gateways.
-    pub fn adopt(&mut self, received: ReadingRow) {
+    pub fn set_merged(&mut self, received: PrefillSpeedRow) {
         self.received = received;
     }
 
     /// Recent observations of this gateway, which is one of `gateways`, for the other gateways.
     /// Drops the estimates of engines that are no longer used.
-    pub fn sample(&mut self, now: Timestamp, gateways: usize) -> ReadingSample {
+    pub fn sample(&mut self, now: Timestamp, gateways: usize) -> PrefillSpeedSample {
         let is_used = |pair: &PairGap| now.since(pair.updated) < ENGINE_LIFETIME_MS;
         self.engines
             .retain(|_, engine| engine.models.values().any(is_used));
@@ -191,7 +191,7 @@
             };
             (id.clone(), model.clone(), sample)
         });
-        ReadingSample::new(gateways, estimates, self.gaps_per_token)
+        PrefillSpeedSample::new(gateways, estimates, self.gaps_per_token)
     }
 
     /// Gap in milliseconds between two events of a model's streams at an engine. The estimate is
--- a/crates/fleet/src/reading_row.rs
+++ b/crates/fleet/src/prefill_speed.rs
@@ -38,7 +38,7 @@
 
 /// One gateway's observations of the engines of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReadingSample {
+pub struct PrefillSpeedSample {
     /// Gaps by engine and model.
     pub engines: BTreeMap<BackEndId, BTreeMap<ModelId, GapSample>>,
     /// Prefill time of one token, as a multiple of the gap.
@@ -46,7 +46,7 @@
     pub gaps_per_token: Option<f64>,
 }
 
-impl ReadingSample {
+impl PrefillSpeedSample {
     /// Selects the most used of the observed pairs, as many as a row of one of `gateways` gateways
     /// may contain.
     pub fn new(
@@ -64,7 +64,7 @@
             let sample = GapSample { gap, ..sample };
             engines.entry(engine).or_default().insert(model, sample);
         }
-        ReadingSample {
+        PrefillSpeedSample {
             engines,
             gaps_per_token,
         }
@@ -78,7 +78,7 @@
 
 /// Merged observations of all gateways of the engines of one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReadingRow {
+pub struct PrefillSpeedRow {
     /// Gaps in milliseconds by engine and model.
     pub engines: BTreeMap<BackEndId, BTreeMap<ModelId, f64>>,
     /// Prefill time of one token, as a multiple of the gap.
@@ -86,9 +86,9 @@
     pub gaps_per_token: Option<f64>,
 }
 
-impl ReadingRow {
+impl PrefillSpeedRow {
     /// Merges the samples of gateways, weighted by their numbers of events.
-    pub fn merge<'a>(samples: impl IntoIterator<Item = &'a ReadingSample>) -> Self {
+    pub fn merge<'a>(samples: impl IntoIterator<Item = &'a PrefillSpeedSample>) -> Self {
         let mut sums: BTreeMap<(&BackEndId, &ModelId), (f64, f64)> = BTreeMap::new();
         let mut per_token = Vec::new();
         for sample in samples {
@@ -102,7 +102,7 @@
                 }
             }
         }
-        let mut row = ReadingRow {
+        let mut row = PrefillSpeedRow {
             engines: BTreeMap::new(),
             gaps_per_token: median(per_token),
         };
@@ -116,7 +116,7 @@
 
     /// Adds the entries of an earlier row that this row lacks, for engines that still exist: no
     /// gateway may have used these engines recently.
-    pub fn keep(&mut self, earlier: &ReadingRow, exists: impl Fn(&BackEndId) -> bool) {
+    pub fn fill_from(&mut self, earlier: &PrefillSpeedRow, exists: impl Fn(&BackEndId) -> bool) {
         self.gaps_per_token = self.gaps_per_token.or(earlier.gaps_per_token);
         let mut remaining =
             MAX_ROW_ENTRIES.saturating_sub(self.engines.values().map(BTreeMap::len).sum());
@@ -134,7 +134,7 @@
     }
 
     /// Whether the row differs from `published` so much that it should be written.
-    pub fn is_news(&self, published: &ReadingRow) -> bool {
+    pub fn differs_from(&self, published: &PrefillSpeedRow) -> bool {
         let is_equal = |one: f64, other: f64| (one - other).abs() <= GAP_TOLERANCE * other;
         let is_ratio_equal = match (self.gaps_per_token, published.gaps_per_token) {
             (Some(one), Some(other)) => is_equal(one, other),
--- a/crates/fleet/src/prompt.rs
+++ b/crates/fleet/src/prompt.rs
@@ -52,13 +52,13 @@
 
 /// Parts that a back end was sent, by model and adapter.
 #[derive(Debug, Default)]
-pub struct KeptParts {
+pub struct CachedPrefixes {
     last_sent: HashMap<PartKey, Timestamp>,
 }
 
-impl KeptParts {
+impl CachedPrefixes {
     /// Records that the back end is sent a prompt.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Timestamp,
         model: &ModelId,
@@ -78,7 +78,7 @@
     }
 
     /// Number of the prompt's tokens that the back end has not cached.
-    pub fn fresh_tokens(
+    pub fn uncached_tokens(
         &self,
         model: &ModelId,
         adapter: Option<&AdapterId>,
--- a/crates/fleet/src/quarantine/blame.rs
+++ b/crates/fleet/src/quarantine/blame.rs
@@ -5,13 +5,13 @@
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-use super::BackEndHash;
+use super::IncarnationHash;
 use crate::Fingerprint;
 
 /// Number of crashes after which a request that was running at all of them, and was never served,
 /// counts as their cause. With two, callers that retry once would have requests quarantined that
 /// merely ran at the same time.
-pub const ENDS_TO_BLAME: usize = 3;
+pub const MIN_CRASHES: usize = 3;
 
 /// The requests that caused crashes; `crashes` lists the back ends at whose crash each request was
 /// running.
@@ -20,16 +20,19 @@
 /// attributed to it. A request that merely ran at the same time has no unexplained crashes left and
 /// is not blamed. Two requests that always ran at the same time are both blamed, since nothing
 /// tells them apart.
-pub fn blame(crashes: &HashMap<Fingerprint, BTreeSet<BackEndHash>>) -> HashSet<Fingerprint> {
-    let mut suspects: Vec<(Fingerprint, &BTreeSet<BackEndHash>)> = crashes
+pub fn attribute_crashes(
+    crashes: &HashMap<Fingerprint, BTreeSet<IncarnationHash>>,
+) -> HashSet<Fingerprint> {
+    let mut suspects: Vec<(Fingerprint, &BTreeSet<IncarnationHash>)> = crashes
         .iter()
-        .filter(|(_, crashes)| crashes.len() >= ENDS_TO_BLAME)
+        .filter(|(_, crashes)| crashes.len() >= MIN_CRASHES)
         .map(|(fingerprint, crashes)| (*fingerprint, crashes))
         .collect();
-    let mut explained: BTreeSet<BackEndHash> = BTreeSet::new();
+    let mut explained: BTreeSet<IncarnationHash> = BTreeSet::new();
     let mut blamed = HashSet::new();
     loop {
-        let unexplained = |crashes: &BTreeSet<BackEndHash>| crashes.difference(&explained).count();
+        let unexplained =
+            |crashes: &BTreeSet<IncarnationHash>| crashes.difference(&explained).count();
         let most = suspects
             .iter()
             .map(|(_, crashes)| unexplained(crashes))
--- a/crates/fleet/src/quarantine/mod.rs
+++ b/crates/fleet/src/quarantine/mod.rs
@@ -26,14 +26,14 @@
 use crate::{Born, Fingerprint};
 use recent::RecentlyServed;
 
-pub use blame::{ENDS_TO_BLAME, blame};
+pub use blame::{MIN_CRASHES, attribute_crashes};
 
 /// Time after the last crash for which a request stays quarantined. Then one more attempt is
 /// permitted, since an engine or an adapter may have been repaired. If a back end crashes under
 /// it, the request is quarantined again at once.
-pub const VERDICT_TIME: u64 = 600_000;
+pub const QUARANTINE_MS: u64 = 600_000;
 /// Time for which an event is kept: three times the duration of a quarantine entry.
-const RETENTION_MS: u64 = 3 * VERDICT_TIME;
+const RETENTION_MS: u64 = 3 * QUARANTINE_MS;
 /// Maximum number of events, of about 200 bytes each; the oldest are dropped first. Each crash
 /// event needs a request that was running at a back end when it crashed, so a flood of requests
 /// that crash back ends causes no more events than the back ends have slots.
@@ -43,18 +43,18 @@
 const MAX_PERSISTED_ENTRIES: usize = 60;
 /// Number of crashes per request that are persisted: more than are needed to quarantine it, since
 /// some may turn out to be caused by another request.
-const MAX_PERSISTED_CRASHES: usize = 2 * ENDS_TO_BLAME;
+const MAX_PERSISTED_CRASHES: usize = 2 * MIN_CRASHES;
 /// Time within which repeated clearances of a request count as one unless the later one clears a
 /// crash, since each hop between gateways adds its own delay.
 const SAME_CLEARANCE_MS: u64 = 1_000;
 
 /// Hash of a back end's name and start time, as it is sent to other gateways. A collision only
 /// counts one crash too few.
-pub type BackEndHash = u64;
+pub type IncarnationHash = u64;
 
 /// The hash of an incarnation of a back end. Crashes of different incarnations under one name count
 /// separately.
-pub fn hash(back_end: &BackEndId, born: Option<Born>) -> BackEndHash {
+pub fn incarnation_hash(back_end: &BackEndId, born: Option<Born>) -> IncarnationHash {
     let name = xxh3_64(back_end.as_str().as_bytes());
     born.map_or(name, |Born(start)| {
         xxh3_64_with_seed(&start.to_le_bytes(), name)
@@ -65,14 +65,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RunOutcome {
     /// The process of this back end exited while it was running the request.
-    Ended(BackEndHash),
+    Ended(IncarnationHash),
     /// A back end sent the complete response.
     Served,
 }
 
 /// Notice from one gateway to another about the outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldOutcome {
+pub struct OutcomeNotice {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The outcome of the request.
@@ -83,7 +83,7 @@
 
 /// Position up to which one gateway has received another gateway's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Position {
+pub struct EventPosition {
     /// Random number that identifies the sender's process.
     pub process: u64,
     /// Number of the sender's events that were received.
@@ -92,7 +92,7 @@
 
 /// Origin of an event in the distribution tree.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum EventSource {
     /// The event was observed by this gateway, or received from one of its children.
     Below,
     /// The event was received from this gateway's parent, or from another root.
@@ -105,7 +105,7 @@
     fingerprint: Fingerprint,
     outcome: RunOutcome,
     at: Timestamp,
-    source: Source,
+    source: EventSource,
 }
 
 /// The known crashes, and the requests that are quarantined because of them.
@@ -115,9 +115,9 @@
     events: VecDeque<Event>,
     /// Number of events that were dropped, and so the number of the first event that is kept.
     dropped: u64,
-    known_crashes: HashSet<(Fingerprint, BackEndHash)>,
+    known_crashes: HashSet<(Fingerprint, IncarnationHash)>,
     /// Crashes that count against each request, with their times.
-    crashes: HashMap<Fingerprint, BTreeMap<BackEndHash, Timestamp>>,
+    crashes: HashMap<Fingerprint, BTreeMap<IncarnationHash, Timestamp>>,
     cleared: HashMap<Fingerprint, Timestamp>,
     recently_served: RecentlyServed,
     /// Quarantined requests, with the time of the last crash under each.
@@ -143,40 +143,56 @@
 
     /// Remaining time for which the request is quarantined, in milliseconds; `None` if it may be
     /// sent to back ends.
-    pub fn verdict(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<u64> {
+    pub fn remaining_ms(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<u64> {
         let last_crash = *self.quarantined.get(&fingerprint)?;
-        let left = VERDICT_TIME.saturating_sub(shift(now).since(last_crash));
+        let left = QUARANTINE_MS.saturating_sub(shift(now).since(last_crash));
         (left > 0).then_some(left)
     }
 
     /// Number of quarantined requests.
-    pub fn verdict_count(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.quarantined.len()
     }
 
     /// How often the set of quarantined requests has changed.
-    pub fn verdict_changes(&self) -> u64 {
+    pub fn change_count(&self) -> u64 {
         self.quarantine_changes
     }
 
     /// Records that a back end crashed while it was running this gateway's request.
-    pub fn note_end(&mut self, now: Timestamp, fingerprint: Fingerprint, back_end: BackEndHash) {
+    pub fn record_crash(
+        &mut self,
+        now: Timestamp,
+        fingerprint: Fingerprint,
+        back_end: IncarnationHash,
+    ) {
         let now = shift(now);
         let outcome = RunOutcome::Ended(back_end);
-        self.add_event(now, fingerprint, outcome, now, Source::Below);
+        self.add_event(now, fingerprint, outcome, now, EventSource::Below);
     }
 
     /// Records that a back end sent the complete response to this gateway's request and is alive.
-    pub fn note_served(&mut self, now: Timestamp, fingerprint: Fingerprint) {
+    pub fn record_served(&mut self, now: Timestamp, fingerprint: Fingerprint) {
         let now = shift(now);
         self.recently_served.record(now, fingerprint);
         if self.crashes.contains_key(&fingerprint) {
-            self.add_event(now, fingerprint, RunOutcome::Served, now, Source::Below);
+            self.add_event(
+                now,
+                fingerprint,
+                RunOutcome::Served,
+                now,
+                EventSource::Below,
+            );
         }
     }
 
     /// Merges the notices of another gateway. Returns true if any of them was new.
-    pub fn take(&mut self, now: Timestamp, notices: &[ToldOutcome], source: Source) -> bool {
+    pub fn merge(
+        &mut self,
+        now: Timestamp,
+        notices: &[OutcomeNotice],
+        source: EventSource,
+    ) -> bool {
         let now = shift(now);
         let mut is_new = false;
         for notice in notices.iter().filter(|notice| notice.age < RETENTION_MS) {
@@ -187,33 +203,41 @@
     }
 
     /// The position of a gateway that has received all events of this one.
-    pub fn position(&self) -> Position {
-        Position {
+    pub fn position(&self) -> EventPosition {
+        EventPosition {
             process: self.process,
             events: self.dropped + self.events.len() as u64,
         }
     }
 
     /// Whether there are events after this position.
-    pub fn is_ahead_of(&self, position: Option<Position>) -> bool {
+    pub fn is_ahead_of(&self, position: Option<EventPosition>) -> bool {
         !self.events.is_empty() && position != Some(self.position())
     }
 
     /// Notices of the events after a position; of all events if the position is that of another
     /// process.
-    pub fn since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
+    pub fn notices_since(
+        &self,
+        now: Timestamp,
+        position: Option<EventPosition>,
+    ) -> Vec<OutcomeNotice> {
         let now = shift(now);
         self.events_after(position)
             .map(|event| event.notice(now))
             .collect()
     }
 
-    /// Like [`Quarantine::since`], but only the events observed by this gateway and the gateways
+    /// Like [`Quarantine::notices_since`], but only the events observed by this gateway and the gateways
     /// below it.
-    pub fn seen_below_since(&self, now: Timestamp, position: Option<Position>) -> Vec<ToldOutcome> {
+    pub fn subtree_notices_since(
+        &self,
+        now: Timestamp,
+        position: Option<EventPosition>,
+    ) -> Vec<OutcomeNotice> {
         let now = shift(now);
         self.events_after(position)
-            .filter(|event| event.source == Source::Below)
+            .filter(|event| event.source == EventSource::Below)
             .map(|event| event.notice(now))
             .collect()
     }
@@ -221,7 +245,7 @@
     /// The newest crashes of each quarantined request, to be persisted so that they outlast this
     /// process. At most `MAX_PERSISTED_ENTRIES` requests are included, those with the latest expiry
     /// first.
-    pub fn verdict_events(&self, now: Timestamp) -> Vec<ToldOutcome> {
+    pub fn entry_notices(&self, now: Timestamp) -> Vec<OutcomeNotice> {
         let now = shift(now);
         let quarantined = self.quarantined.iter();
         let mut newest_entries: Vec<(Timestamp, Fingerprint)> = quarantined
@@ -237,10 +261,10 @@
             .collect()
     }
 
-    fn newest_crashes(&self, now: Timestamp, fingerprint: Fingerprint) -> Vec<ToldOutcome> {
+    fn newest_crashes(&self, now: Timestamp, fingerprint: Fingerprint) -> Vec<OutcomeNotice> {
         let crashes = self.crashes.get(&fingerprint).into_iter().flatten();
-        let mut notices: Vec<ToldOutcome> = crashes
-            .map(|(back_end, at)| ToldOutcome {
+        let mut notices: Vec<OutcomeNotice> = crashes
+            .map(|(back_end, at)| OutcomeNotice {
                 fingerprint,
                 outcome: RunOutcome::Ended(*back_end),
                 age: now.since(*at),
@@ -251,7 +275,7 @@
         notices
     }
 
-    fn events_after(&self, position: Option<Position>) -> impl Iterator<Item = &Event> {
+    fn events_after(&self, position: Option<EventPosition>) -> impl Iterator<Item = &Event> {
         let known = position
             .filter(|position| position.process == self.process)
             .map_or(0, |position| position.events);
@@ -266,7 +290,7 @@
         fingerprint: Fingerprint,
         outcome: RunOutcome,
         at: Timestamp,
-        source: Source,
+        source: EventSource,
     ) -> bool {
         self.remove_expired(now);
         let is_new = match outcome {
@@ -288,7 +312,13 @@
         if matches!(outcome, RunOutcome::Ended(_))
             && self.recently_served.contains(now, fingerprint)
         {
-            self.add_event(now, fingerprint, RunOutcome::Served, now, Source::Below);
+            self.add_event(
+                now,
+                fingerprint,
+                RunOutcome::Served,
+                now,
+                EventSource::Below,
+            );
         }
         true
     }
@@ -297,7 +327,7 @@
     fn add_crash(
         &mut self,
         fingerprint: Fingerprint,
-        back_end: BackEndHash,
+        back_end: IncarnationHash,
         at: Timestamp,
     ) -> bool {
         if !self.known_crashes.insert((fingerprint, back_end)) {
@@ -307,7 +337,7 @@
         if cleared.is_none_or(|cleared| at > *cleared) {
             let crashes = self.crashes.entry(fingerprint).or_default();
             crashes.insert(back_end, at);
-            if crashes.len() >= ENDS_TO_BLAME {
+            if crashes.len() >= MIN_CRASHES {
                 self.update_quarantined();
             }
         }
@@ -341,15 +371,15 @@
     /// a flood of other requests adds no cost.
     fn update_quarantined(&mut self) {
         let suspects = self.crashes.iter();
-        let suspects: HashMap<Fingerprint, BTreeSet<BackEndHash>> = suspects
-            .filter(|(_, crashes)| crashes.len() >= ENDS_TO_BLAME)
+        let suspects: HashMap<Fingerprint, BTreeSet<IncarnationHash>> = suspects
+            .filter(|(_, crashes)| crashes.len() >= MIN_CRASHES)
             .map(|(fingerprint, crashes)| (*fingerprint, crashes.keys().copied().collect()))
             .collect();
         let last_crash = |fingerprint: Fingerprint| {
             let last = self.crashes.get(&fingerprint)?.values().max()?;
             Some((fingerprint, *last))
         };
-        let quarantined: HashMap<_, _> = blame(&suspects)
+        let quarantined: HashMap<_, _> = attribute_crashes(&suspects)
             .into_iter()
             .filter_map(last_crash)
             .collect();
@@ -380,7 +410,7 @@
         }
     }
 
-    fn remove_crash(&mut self, fingerprint: Fingerprint, back_end: BackEndHash) {
+    fn remove_crash(&mut self, fingerprint: Fingerprint, back_end: IncarnationHash) {
         let Some(crashes) = self.crashes.get_mut(&fingerprint) else {
             return;
         };
@@ -398,8 +428,8 @@
 }
 
 impl Event {
-    fn notice(&self, now: Timestamp) -> ToldOutcome {
-        ToldOutcome {
+    fn notice(&self, now: Timestamp) -> OutcomeNotice {
+        OutcomeNotice {
             fingerprint: self.fingerprint,
             outcome: self.outcome,
             age: now.since(self.at),
--- a/crates/fleet/src/counting_seat.rs
+++ b/crates/fleet/src/quota_shard.rs
@@ -17,9 +17,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// Number of quota shards. Each costs one write to the table every 1.5 s.
-pub const SEATS: usize = 6;
+pub const QUOTA_SHARDS: usize = 6;
 /// Number of shards at which each tenant is charged. Their indices are consecutive.
-pub const HALVES: usize = 2;
+pub const SHARDS_PER_TENANT: usize = 2;
 /// Delay that each gateway earlier in the order adds to the later ones' attempt to take a shard.
 const DELAY_PER_RANK_MS: u64 = 150;
 /// Delay that each shard that a gateway holds adds to its attempt to take another one.
@@ -31,9 +31,9 @@
 const LEASE_PREFIX: &str = "count-";
 
 /// The shards at which a tenant is charged.
-pub fn seats_of(tenant: &TenantId) -> [usize; HALVES] {
-    let pairs = (SEATS / HALVES) as u64;
-    let first = (xxh3_64(tenant.as_str().as_bytes()) % pairs) as usize * HALVES;
+pub fn shards_of(tenant: &TenantId) -> [usize; SHARDS_PER_TENANT] {
+    let pairs = (QUOTA_SHARDS / SHARDS_PER_TENANT) as u64;
+    let first = (xxh3_64(tenant.as_str().as_bytes()) % pairs) as usize * SHARDS_PER_TENANT;
     std::array::from_fn(|half| first + half)
 }
 
@@ -43,9 +43,9 @@
 }
 
 /// The shard of a lease; `None` if the lease is not that of a shard.
-pub fn seat_of_lease(name: &str) -> Option<usize> {
+pub fn shard_of_lease(name: &str) -> Option<usize> {
     let shard = name.strip_prefix(LEASE_PREFIX)?.parse().ok()?;
-    (shard < SEATS).then_some(shard)
+    (shard < QUOTA_SHARDS).then_some(shard)
 }
 
 /// The shard that charges the other half of the same tenants.
@@ -55,9 +55,9 @@
 
 /// A shard that a gateway should hand over, and the gateway that should take it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SeatToSpread<'a> {
+pub struct ShardToHandOver<'a> {
     /// The shard.
-    pub seat: usize,
+    pub shard: usize,
     /// Name of the gateway that should take the shard.
     pub to: &'a str,
 }
@@ -66,11 +66,11 @@
 /// of the same strength. No gateway keeps both shards of a tenant, since both would be lost with
 /// it, or more than one shard while another gateway has none. `holders` are the known holders of
 /// all shards.
-pub fn seat_to_spread<'a>(
+pub fn shard_to_hand_over<'a>(
     own: &str,
-    holders: &[Option<&str>; SEATS],
+    holders: &[Option<&str>; QUOTA_SHARDS],
     others: &[&'a str],
-) -> Option<SeatToSpread<'a>> {
+) -> Option<ShardToHandOver<'a>> {
     let held = |name: &str| {
         holders
             .iter()
@@ -81,7 +81,7 @@
         .iter()
         .copied()
         .min_by_key(|name| (held(name), *name))?;
-    let own_shards = (0..SEATS)
+    let own_shards = (0..QUOTA_SHARDS)
         .rev()
         .filter(|shard| holders[*shard] == Some(own));
     let holds_partner = |shard: &usize| holders[partner_of(*shard)] == Some(own);
@@ -91,12 +91,12 @@
         .next()
         .filter(|_| held(own) > 1 && held(to) == 0);
     let shard = second_shard.or(surplus)?;
-    Some(SeatToSpread { seat: shard, to })
+    Some(ShardToHandOver { shard, to })
 }
 
 /// A gateway that may hold a shard.
 #[derive(Clone, Copy, Debug)]
-pub struct SeatCandidate<'a> {
+pub struct ShardCandidate<'a> {
     /// The gateway's name.
     pub name: &'a str,
     /// Whether the gateway's processor is among the strongest.
@@ -105,7 +105,7 @@
 
 /// The position of the gateway `own` in the order in which gateways take free shards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SeatOrder {
+pub struct ShardOrder {
     /// Index among the gateways of the same strength; `None` if unknown.
     position: Option<usize>,
     /// Number of gateways of the same strength.
@@ -113,9 +113,9 @@
     is_strong: bool,
 }
 
-impl SeatOrder {
+impl ShardOrder {
     /// Determines the position of the gateway `own` among all known gateways.
-    pub fn new(own: &str, candidates: &[SeatCandidate<'_>]) -> Self {
+    pub fn new(own: &str, candidates: &[ShardCandidate<'_>]) -> Self {
         let is_strong = candidates
             .iter()
             .any(|candidate| candidate.name == own && candidate.is_strong);
@@ -125,7 +125,7 @@
             .map(|candidate| candidate.name)
             .collect();
         peers.sort_by_key(|name| (Reverse(xxh3_64(name.as_bytes())), *name));
-        SeatOrder {
+        ShardOrder {
             position: peers.iter().position(|name| *name == own),
             peers: peers.len(),
             is_strong,
@@ -134,9 +134,13 @@
 
     /// Delay in milliseconds after which the gateway, which holds the shards in `held`, tries to
     /// take a free one. It is longer if the gateway holds the other shard of the same tenants.
-    pub fn delay_beside(&self, shard: usize, held: &[bool; SEATS]) -> u64 {
+    pub fn delay_with_held_shards(&self, shard: usize, held: &[bool; QUOTA_SHARDS]) -> u64 {
         let count = held.iter().filter(|held| **held).count();
-        let partner = if held[partner_of(shard)] { HALVES } else { 0 };
+        let partner = if held[partner_of(shard)] {
+            SHARDS_PER_TENANT
+        } else {
+            0
+        };
         self.delay(shard, count + partner)
     }
 
--- a/crates/fleet/src/requested_pause.rs
+++ b/crates/fleet/src/requested_pause.rs
@@ -10,7 +10,7 @@
 
 use gorsebank_coordination::Timestamp;
 
-use crate::quarantine::BackEndHash;
+use crate::quarantine::IncarnationHash;
 
 /// Upper bound of a pause, so that one wrong response does not disable a back end for good.
 const MAX_PAUSE: Duration = Duration::from_secs(600);
@@ -46,14 +46,14 @@
 /// force while the back end's row is missing.
 #[derive(Debug, Default)]
 pub struct PausedBackEnds {
-    until: HashMap<BackEndHash, Timestamp>,
+    until: HashMap<IncarnationHash, Timestamp>,
 }
 
 impl PausedBackEnds {
     /// Records a requested pause. Responses on different connections can overtake each other, so
     /// a longer pause that was requested before stays in force. Returns true if the back end was
     /// not paused before.
-    pub fn note(&mut self, now: Timestamp, back_end: BackEndHash, pause: Duration) -> bool {
+    pub fn record(&mut self, now: Timestamp, back_end: IncarnationHash, pause: Duration) -> bool {
         self.until.retain(|_, until| now < *until);
         let until = now + milliseconds_rounded_up(pause);
         match self.until.entry(back_end) {
@@ -69,7 +69,7 @@
     }
 
     /// The remaining pause; `None` if the back end accepts requests.
-    pub fn left(&self, now: Timestamp, back_end: BackEndHash) -> Option<Duration> {
+    pub fn remaining(&self, now: Timestamp, back_end: IncarnationHash) -> Option<Duration> {
         let until = *self.until.get(&back_end)?;
         (now < until).then(|| Duration::from_millis(until.since(now)))
     }
--- a/crates/fleet/src/retry_window.rs
+++ b/crates/fleet/src/retry_window.rs
@@ -48,13 +48,13 @@
     }
 
     /// Records a request.
-    pub fn request(&mut self, now: Timestamp) {
+    pub fn record_request(&mut self, now: Timestamp) {
         self.expire(now);
         self.requests.push_back(now);
     }
 
     /// Spends one retry if the share of one of `nodes` nodes permits it. Returns whether it does.
-    pub fn withdraw(&mut self, now: Timestamp, nodes: usize) -> bool {
+    pub fn take(&mut self, now: Timestamp, nodes: usize) -> bool {
         let allowed = self.left(now, nodes) >= 1.0;
         if allowed {
             self.retries.push_back(now);
--- a/crates/fleet/src/running.rs
+++ b/crates/fleet/src/running.rs
@@ -45,25 +45,25 @@
 
 impl Running {
     /// Records the counts of a child, which include those of the child's children.
-    pub fn note_fed(&mut self, now: Timestamp, from: &str, counts: Counts) {
+    pub fn record_child(&mut self, now: Timestamp, from: &str, counts: Counts) {
         self.fed.insert(from.to_owned(), (counts, now));
     }
 
     /// Records the counts of another root, which include all gateways below that root.
-    pub fn note_root(&mut self, now: Timestamp, from: &str, counts: Counts) {
+    pub fn record_root(&mut self, now: Timestamp, from: &str, counts: Counts) {
         self.roots.insert(from.to_owned(), (counts, now));
     }
 
     /// Counts of this gateway and all gateways below it; `own` is this gateway's part.
-    pub fn below(&mut self, now: Timestamp, own: &Counts) -> Counts {
+    pub fn subtree_counts(&mut self, now: Timestamp, own: &Counts) -> Counts {
         retain_fresh(&mut self.fed, now);
         sum_counts(self.fed.values().map(|(counts, _)| counts).chain([own]))
     }
 
     /// Totals over all gateways, computed at a root from its own subtree and the other roots'
     /// counts.
-    pub fn at_root(&mut self, now: Timestamp, own: &Counts) -> Counts {
-        let below = self.below(now, own);
+    pub fn root_totals(&mut self, now: Timestamp, own: &Counts) -> Counts {
+        let below = self.subtree_counts(now, own);
         retain_fresh(&mut self.roots, now);
         sum_counts(
             self.roots
@@ -74,7 +74,7 @@
     }
 
     /// Records the totals over all gateways; `own` is the part that this gateway contributed.
-    pub fn note_sums(&mut self, now: Timestamp, sums: &Counts, own: &Counts) {
+    pub fn record_totals(&mut self, now: Timestamp, sums: &Counts, own: &Counts) {
         self.others = sums
             .iter()
             .map(|(back_end, count)| (*back_end, u32::from(*count)))
@@ -88,7 +88,7 @@
     }
 
     /// Requests that other gateways have running at a back end; 0 if unknown.
-    pub fn of_others(&self, now: Timestamp, back_end: BackEndHash) -> u32 {
+    pub fn running_elsewhere(&self, now: Timestamp, back_end: BackEndHash) -> u32 {
         let is_fresh = |received: Timestamp| now.since(received) < COUNT_LIFETIME_MS;
         if !self.others_received.is_some_and(is_fresh) {
             return 0;
@@ -98,7 +98,7 @@
 
     /// The last received totals over all gateways, for this gateway's children; `own` are this
     /// gateway's current counts. `None` if no recent totals are known.
-    pub fn sums(&self, now: Timestamp, own: &Counts) -> Option<Counts> {
+    pub fn forwarded_totals(&self, now: Timestamp, own: &Counts) -> Option<Counts> {
         let received = self.others_received?;
         if now.since(received) >= COUNT_LIFETIME_MS {
             return None;
--- a/crates/fleet/src/split.rs
+++ b/crates/fleet/src/split.rs
@@ -11,12 +11,12 @@
 
 /// The current position in a node's sequence, 0 to 1.
 #[derive(Clone, Copy, Debug)]
-pub struct Split(f64);
+pub struct WeightedSplit(f64);
 
-impl Split {
+impl WeightedSplit {
     /// Starts the sequence at `start`, 0 to 1.
     pub fn new(start: f64) -> Self {
-        Split(start.fract())
+        WeightedSplit(start.fract())
     }
 
     /// The service of the next request; `None` if all weights are 0.
--- a/crates/fleet/src/stated_limits.rs
+++ b/crates/fleet/src/stated_limits.rs
@@ -13,8 +13,8 @@
 use gorsebank_coordination::Timestamp;
 use serde::{Deserialize, Serialize};
 
-use crate::quarantine::BackEndHash;
-use crate::telling::{RETENTION_MS, select_newest};
+use crate::notices::{RETENTION_MS, select_newest};
+use crate::quarantine::IncarnationHash;
 
 /// Time after which a back end with a limit is sent a request again, even if others could take
 /// the request, to learn its current limit. Gateways pass on statements within half of this time,
@@ -26,7 +26,7 @@
 
 /// The rate limit that a response states.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Statement {
+pub enum StatedLimit {
     /// No limit is stated: the back end accepts all requests.
     #[default]
     Unlimited,
@@ -36,14 +36,14 @@
     Unreadable,
 }
 
-impl Statement {
+impl StatedLimit {
     /// Parses a rate in requests per second, a decimal number.
     pub fn parse(text: &[u8]) -> Self {
         let text = std::str::from_utf8(text).ok();
         let rate = text.and_then(|text| text.trim().parse().ok());
         match rate.filter(|rate| is_valid_rate(*rate)) {
-            Some(rate) => Statement::PerSecond(rate),
-            None => Statement::Unreadable,
+            Some(rate) => StatedLimit::PerSecond(rate),
+            None => StatedLimit::Unreadable,
         }
     }
 }
@@ -62,10 +62,10 @@
 
 /// Notice from one gateway to another about a back end's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldLimit {
+pub struct LimitNotice {
     /// The incarnation of the back end.
     #[serde(rename = "b")]
-    pub back_end: BackEndHash,
+    pub back_end: IncarnationHash,
     /// Requests per second; `None` if the back end has removed its limit.
     #[serde(rename = "r")]
     pub rate: Option<f64>,
@@ -77,33 +77,33 @@
 /// The rate limits that this gateway knows, by incarnation of the back ends.
 #[derive(Debug, Default)]
 pub struct StatedLimits {
-    stated: HashMap<BackEndHash, LatestStatement>,
+    stated: HashMap<IncarnationHash, LatestStatement>,
 }
 
 impl StatedLimits {
     /// Records the statement in a response to a request that was sent at `sent`. Returns true if
     /// the limit in force has changed.
-    pub fn note(
+    pub fn record(
         &mut self,
         now: Timestamp,
         sent: Timestamp,
-        back_end: BackEndHash,
-        statement: Statement,
+        back_end: IncarnationHash,
+        statement: StatedLimit,
     ) -> bool {
         let known = self.stated.get(&back_end).copied();
         let rate = match statement {
-            Statement::PerSecond(rate) => Some(rate),
-            Statement::Unlimited if known.is_some_and(|known| known.at <= sent) => None,
-            Statement::Unlimited | Statement::Unreadable => return false,
+            StatedLimit::PerSecond(rate) => Some(rate),
+            StatedLimit::Unlimited if known.is_some_and(|known| known.at <= sent) => None,
+            StatedLimit::Unlimited | StatedLimit::Unreadable => return false,
         };
         self.remove_expired(now);
         self.set(back_end, LatestStatement { rate, at: now })
     }
 
     /// Merges the notices of another gateway and returns the back ends whose limit has changed.
-    pub fn take(&mut self, now: Timestamp, notices: &[ToldLimit]) -> Vec<BackEndHash> {
+    pub fn merge(&mut self, now: Timestamp, notices: &[LimitNotice]) -> Vec<IncarnationHash> {
         let is_usable =
-            |limit: &&ToldLimit| limit.age < RETENTION_MS && limit.rate.is_none_or(is_valid_rate);
+            |limit: &&LimitNotice| limit.age < RETENTION_MS && limit.rate.is_none_or(is_valid_rate);
         let mut changed = Vec::new();
         for limit in notices.iter().filter(is_usable) {
             let stated = LatestStatement {
@@ -126,8 +126,8 @@
     }
 
     /// The notices to send to other gateways.
-    pub fn told(&self, now: Timestamp) -> Vec<ToldLimit> {
-        let stated = self.stated.iter().map(|(back_end, stated)| ToldLimit {
+    pub fn notices(&self, now: Timestamp) -> Vec<LimitNotice> {
+        let stated = self.stated.iter().map(|(back_end, stated)| LimitNotice {
             back_end: *back_end,
             rate: stated.rate,
             age: now.since(stated.at),
@@ -136,7 +136,7 @@
     }
 
     /// Stores a statement. Returns true if the limit in force has changed.
-    fn set(&mut self, back_end: BackEndHash, stated: LatestStatement) -> bool {
+    fn set(&mut self, back_end: IncarnationHash, stated: LatestStatement) -> bool {
         let previous = self.stated.insert(back_end, stated);
         previous.and_then(|previous| previous.rate) != stated.rate
     }
@@ -148,13 +148,13 @@
 
     /// Requests per second that a back end accepts from all gateways together; `None` if it has
     /// stated no limit.
-    pub fn rate(&self, back_end: BackEndHash) -> Option<f64> {
+    pub fn rate(&self, back_end: IncarnationHash) -> Option<f64> {
         self.stated.get(&back_end)?.rate
     }
 
     /// Whether a back end with a limit has made no statement for a while, so that it should be
     /// sent a request: only its responses show whether it accepts more again.
-    pub fn needs_statement(&self, now: Timestamp, back_end: BackEndHash) -> bool {
+    pub fn needs_refresh(&self, now: Timestamp, back_end: IncarnationHash) -> bool {
         let stated = self.stated.get(&back_end);
         stated.is_some_and(|stated| {
             stated.rate.is_some() && now.since(stated.at) >= REFRESH_INTERVAL_MS
@@ -162,7 +162,7 @@
     }
 
     /// Limits in force by back end, in requests per second.
-    pub fn in_force(&self) -> HashMap<BackEndHash, f64> {
+    pub fn in_force(&self) -> HashMap<IncarnationHash, f64> {
         let stated = self.stated.iter();
         stated
             .filter_map(|(back_end, stated)| Some((*back_end, stated.rate?)))
--- a/crates/fleet/src/tenant.rs
+++ b/crates/fleet/src/tenant.rs
@@ -36,7 +36,7 @@
     /// Requests are charged by tokens: those of the prompt and of the longest possible answer.
     Tokens {
         /// Charge for a request that states no number of tokens.
-        plain: f64,
+        default_cost: f64,
     },
 }
 
@@ -57,7 +57,12 @@
         match (self.unit, tokens) {
             (LimitUnit::Requests, _) => 1.0,
             (LimitUnit::Tokens { .. }, Some(tokens)) => tokens as f64,
-            (LimitUnit::Tokens { plain }, None) => plain,
+            (
+                LimitUnit::Tokens {
+                    default_cost: plain,
+                },
+                None,
+            ) => plain,
         }
     }
 }
@@ -88,7 +93,7 @@
 pub enum TenantsError {
     /// A tenant has no name.
     #[error("tenants[{index}]: the name is empty")]
-    NoName {
+    EmptyName {
         /// Position in the list.
         index: usize,
     },
@@ -124,7 +129,7 @@
     },
     /// A number of the quota is negative or not finite.
     #[error("tenants[{index}] `{name}`: the numbers of a limit must be finite and at least 0")]
-    WrongLimit {
+    InvalidLimit {
         /// Position of the tenant.
         index: usize,
         /// Name of the tenant.
@@ -171,10 +176,10 @@
     fn add(&mut self, index: usize, entry: TenantEntry) -> Result<(), TenantsError> {
         let name = entry.tenant.id.clone();
         if name.as_str().is_empty() {
-            return Err(TenantsError::NoName { index });
+            return Err(TenantsError::EmptyName { index });
         }
         if entry.tenant.limit.is_some_and(is_invalid) {
-            return Err(TenantsError::WrongLimit { index, name });
+            return Err(TenantsError::InvalidLimit { index, name });
         }
         let tenant = Arc::new(entry.tenant);
         if self.by_name.insert(name.clone(), tenant.clone()).is_some() {
@@ -200,7 +205,7 @@
     }
 
     /// The tenant that has the key.
-    pub fn holder(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
+    pub fn tenant_of_key(&self, key: &ApiKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(&self.digest(key))
     }
 
@@ -223,7 +228,9 @@
 fn is_invalid(limit: TenantLimit) -> bool {
     let plain = match limit.unit {
         LimitUnit::Requests => 0.0,
-        LimitUnit::Tokens { plain } => plain,
+        LimitUnit::Tokens {
+            default_cost: plain,
+        } => plain,
     };
     let values = [limit.rate, limit.burst, plain];
     values
--- a/crates/fleet/tests/choice.rs
+++ b/crates/fleet/tests/choice.rs
@@ -1,6 +1,6 @@
 //! The choice between back ends that could run a request.
 
-use gorsebank_fleet::choice::{Candidate, cheapest, cheapest_of, most_compared};
+use gorsebank_fleet::choice::{Candidate, cheapest, cheapest_of_sample, max_compared};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
@@ -8,13 +8,13 @@
     Candidate {
         running,
         slots,
-        same_zone: true,
+        is_in_same_zone: true,
         failure_rate: 0.0,
         relative_latency: 1.0,
-        warm_prompt: false,
-        connected: true,
+        has_cached_prefix: false,
+        is_connected: true,
         stall: 0.0,
-        relative_pace: 1.0,
+        relative_gap: 1.0,
     }
 }
 
@@ -34,11 +34,11 @@
 
 #[test]
 fn few_gateways_compare_all_back_ends_and_many_some() {
-    assert!(most_compared(6) > 1_000);
-    assert!(most_compared(300) < 10);
+    assert!(max_compared(6) > 1_000);
+    assert!(max_compared(300) < 10);
     let mut candidates = vec![candidate(9, 24); 20];
     candidates[4] = candidate(0, 24);
-    let all = cheapest_of(most_compared(6), &candidates, &mut random());
+    let all = cheapest_of_sample(max_compared(6), &candidates, &mut random());
     assert_eq!(all, Some(4));
 }
 
@@ -51,7 +51,7 @@
     let mut random = random();
     let mut chosen = [0u32; 10];
     for _ in 0..1_000 {
-        let index = cheapest_of(most_compared(300), &candidates, &mut random);
+        let index = cheapest_of_sample(max_compared(300), &candidates, &mut random);
         chosen[index.expect("one of them")] += 1;
     }
     assert!((200..450).contains(&chosen[4]), "{chosen:?}");
@@ -62,11 +62,11 @@
 #[test]
 fn a_back_end_in_this_zone_is_chosen_though_a_connection_has_to_be_made() {
     let near = Candidate {
-        connected: false,
+        is_connected: false,
         ..candidate(0, 8)
     };
     let far = Candidate {
-        same_zone: false,
+        is_in_same_zone: false,
         ..candidate(0, 8)
     };
     let mut random = random();
--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -12,7 +12,7 @@
         kind: RequestKind::Idempotent,
         timeout: Duration::from_secs(1),
         objective: Duration::from_millis(150),
-        pause_objective: None,
+        gap_objective: None,
         priority: 0,
         max_attempts: 2,
         services: vec![("top-up".into(), 1)],
@@ -65,8 +65,8 @@
 
 #[test]
 fn only_what_may_repeat_is_repeated() {
-    assert!(RequestKind::Idempotent.may_repeat());
-    assert!(!RequestKind::Mutating.may_repeat());
-    assert!(RequestKind::Stream { resumable: true }.may_repeat());
-    assert!(!RequestKind::Stream { resumable: false }.may_repeat());
+    assert!(RequestKind::Idempotent.may_retry());
+    assert!(!RequestKind::Mutating.may_retry());
+    assert!(RequestKind::Stream { resumable: true }.may_retry());
+    assert!(!RequestKind::Stream { resumable: false }.may_retry());
 }
--- a/crates/fleet/tests/events.rs
+++ b/crates/fleet/tests/events.rs
@@ -1,9 +1,9 @@
 //! Whole events, however the bytes arrive.
 
-use gorsebank_fleet::events::{EventSplitter, WholeEvent};
+use gorsebank_fleet::events::{CompleteEvent, EventSplitter};
 use proptest::prelude::*;
 
-fn split(pieces: &[&[u8]]) -> (Vec<WholeEvent>, bool) {
+fn split(pieces: &[&[u8]]) -> (Vec<CompleteEvent>, bool) {
     let mut splitter = EventSplitter::default();
     let mut events = Vec::new();
     for piece in pieces {
--- a/crates/fleet/tests/feeders.rs
+++ b/crates/fleet/tests/feeders.rs
@@ -2,38 +2,42 @@
 
 use std::collections::BTreeMap;
 
-use gorsebank_fleet::feeders::{Candidate, FeedOrder, Place};
+use gorsebank_fleet::distribution_tree::{ParentCandidate, ParentOrder, TreePosition};
 
 fn names(count: usize) -> Vec<String> {
     (0..count).map(|number| format!("node-{number}")).collect()
 }
 
-fn candidates(names: &[String]) -> Vec<Candidate<'_>> {
-    let candidate = |name| Candidate {
+fn candidates(names: &[String]) -> Vec<ParentCandidate<'_>> {
+    let candidate = |name| ParentCandidate {
         name,
         link_megabits: 100,
         millicores: 250,
         zone: None,
-        places_models: false,
+        is_placement_holder: false,
     };
     names.iter().map(|name| candidate(name)).collect()
 }
 
-fn at<'a>(known: &'a [Candidate<'_>], wanted: Place) -> Vec<&'a str> {
-    let is_there = |name: &&str| FeedOrder::new(name, known).place == wanted;
+fn at<'a>(known: &'a [ParentCandidate<'_>], wanted: TreePosition) -> Vec<&'a str> {
+    let is_there = |name: &&str| ParentOrder::new(name, known).position == wanted;
     known.iter().map(|it| it.name).filter(is_there).collect()
 }
 
 fn feeders(names: &[String]) -> Vec<&str> {
     let known = candidates(names);
-    let follows = |name: &&String| FeedOrder::new(name, &known).place == Place::Root;
+    let follows = |name: &&String| ParentOrder::new(name, &known).position == TreePosition::Root;
     names.iter().filter(follows).map(String::as_str).collect()
 }
 
 /// The names that a gateway asks, in order.
-fn asked<'a>(own: &str, known: &'a [Candidate<'_>]) -> Vec<&'a str> {
-    let order = FeedOrder::new(own, known);
-    order.asks.iter().map(|index| known[*index].name).collect()
+fn asked<'a>(own: &str, known: &'a [ParentCandidate<'_>]) -> Vec<&'a str> {
+    let order = ParentOrder::new(own, known);
+    order
+        .parents
+        .iter()
+        .map(|index| known[*index].name)
+        .collect()
 }
 
 #[test]
@@ -49,8 +53,8 @@
 fn gateways_of_a_small_fleet_ask_the_roots_first() {
     let names = names(40);
     let known = candidates(&names);
-    let roots = at(&known, Place::Root);
-    for own in at(&known, Place::LeafOfRoot) {
+    let roots = at(&known, TreePosition::Root);
+    for own in at(&known, TreePosition::LeafOfRoot) {
         let asked = asked(own, &known);
         assert_eq!(asked.len(), 3);
         assert!(asked[..2].iter().all(|it| roots.contains(it)), "{asked:?}");
@@ -62,12 +66,15 @@
 fn gateways_of_a_large_fleet_ask_two_in_the_middle_and_then_a_root() {
     let names = names(300);
     let known = candidates(&names);
-    let (roots, middles) = (at(&known, Place::Root), at(&known, Place::Middle));
+    let (roots, middles) = (
+        at(&known, TreePosition::Root),
+        at(&known, TreePosition::Middle),
+    );
     for own in &middles {
         let asked = asked(own, &known);
         assert!(asked.iter().all(|it| roots.contains(it)), "{asked:?}");
     }
-    for own in at(&known, Place::LeafOfMiddle) {
+    for own in at(&known, TreePosition::LeafOfMiddle) {
         let asked = asked(own, &known);
         assert!(
             asked[..2].iter().all(|it| middles.contains(it)),
@@ -101,12 +108,12 @@
         known[strong].millicores = 500;
         known[strong].link_megabits = 1_000;
     }
-    known[3].places_models = true;
+    known[3].is_placement_holder = true;
     // A large link is of no use to a weak machine, nor a strong one's small link.
     known[5].link_megabits = 10_000;
     known[9].millicores = 4_000;
     known[9].link_megabits = 5;
-    let roots = at(&known, Place::Root);
+    let roots = at(&known, TreePosition::Root);
     assert_eq!(roots, ["node-7", "node-13"]);
 }
 
@@ -127,10 +134,13 @@
 
 #[test]
 fn a_gateway_that_knows_nobody_follows_the_table() {
-    assert_eq!(FeedOrder::new("node-1", &[]).place, Place::Root);
+    assert_eq!(ParentOrder::new("node-1", &[]).position, TreePosition::Root);
     let names = names(1);
-    let order = FeedOrder::new("node-9", &candidates(&names));
-    assert_eq!((order.place, order.asks), (Place::LeafOfRoot, vec![0]));
+    let order = ParentOrder::new("node-9", &candidates(&names));
+    assert_eq!(
+        (order.position, order.parents),
+        (TreePosition::LeafOfRoot, vec![0])
+    );
 }
 
 #[test]
@@ -138,10 +148,10 @@
     for count in [1, 2, 6, 40, 69, 300] {
         let names = names(count);
         let known = candidates(&names);
-        let mut roots = at(&known, Place::Root);
+        let mut roots = at(&known, TreePosition::Root);
         roots.sort_unstable();
         for own in names.iter().map(String::as_str).chain(["unknown"]) {
-            let order = FeedOrder::new(own, &known);
+            let order = ParentOrder::new(own, &known);
             let named = order.roots.iter().map(|index| known[*index].name);
             let mut named: Vec<&str> = named.collect();
             named.sort_unstable();
@@ -163,7 +173,7 @@
         candidate.zone = Some(zone_of(candidate.name));
     }
     let mut fed: BTreeMap<&str, usize> = BTreeMap::new();
-    let leaves = at(&known, Place::LeafOfMiddle);
+    let leaves = at(&known, TreePosition::LeafOfMiddle);
     let mut near = 0;
     for own in &leaves {
         let first = asked(own, &known)[0];
@@ -176,11 +186,11 @@
 
     // A zone without any in the middle asks those of others.
     for candidate in &mut known {
-        let is_middle =
-            FeedOrder::new(candidate.name, &candidates(&names)).place != Place::LeafOfMiddle;
+        let is_middle = ParentOrder::new(candidate.name, &candidates(&names)).position
+            != TreePosition::LeafOfMiddle;
         candidate.zone = Some(if is_middle { "hall-a" } else { "hall-b" });
     }
-    for own in at(&known, Place::LeafOfMiddle).into_iter().take(20) {
+    for own in at(&known, TreePosition::LeafOfMiddle).into_iter().take(20) {
         assert_eq!(asked(own, &known).len(), 3);
     }
 }
--- a/crates/fleet/tests/incarnation.rs
+++ b/crates/fleet/tests/incarnation.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::{Born, Heard, Incarnation};
+use gorsebank_fleet::{Born, Incarnation, IncarnationMatch};
 use proptest::prelude::*;
 use support::{LOAD_TIME, Trouble, World, demand, moving_demand, play_without_overcommitment};
 
@@ -14,19 +14,22 @@
 #[test]
 fn a_later_start_takes_the_place_of_a_known_one_and_an_earlier_one_does_not() {
     let mut known = Incarnation::new(EARLY);
-    assert_eq!(known.hear(Timestamp(0), EARLY), Heard::Same);
-    assert_eq!(known.hear(Timestamp(1), LATE), Heard::Other);
+    assert_eq!(known.observe(Timestamp(0), EARLY), IncarnationMatch::Same);
+    assert_eq!(known.observe(Timestamp(1), LATE), IncarnationMatch::Other);
     assert_eq!(known.born(), LATE);
-    assert_eq!(known.hear(Timestamp(2), EARLY), Heard::Outdated);
+    assert_eq!(
+        known.observe(Timestamp(2), EARLY),
+        IncarnationMatch::Outdated
+    );
     assert_eq!(known.born(), LATE);
 }
 
 #[test]
 fn what_tells_no_start_speaks_of_the_life_that_is_known() {
     let mut known = Incarnation::new(None);
-    assert_eq!(known.hear(Timestamp(0), None), Heard::Same);
-    assert_eq!(known.hear(Timestamp(1), EARLY), Heard::Same);
-    assert_eq!(known.hear(Timestamp(2), None), Heard::Same);
+    assert_eq!(known.observe(Timestamp(0), None), IncarnationMatch::Same);
+    assert_eq!(known.observe(Timestamp(1), EARLY), IncarnationMatch::Same);
+    assert_eq!(known.observe(Timestamp(2), None), IncarnationMatch::Same);
     assert_eq!(known.born(), EARLY);
 }
 
@@ -34,11 +37,26 @@
 #[test]
 fn an_earlier_start_is_believed_when_nothing_contradicts_it() {
     let mut known = Incarnation::new(LATE);
-    assert_eq!(known.hear(Timestamp(0), EARLY), Heard::Outdated);
-    assert_eq!(known.hear(Timestamp(3_000), LATE), Heard::Same);
-    assert_eq!(known.hear(Timestamp(4_000), EARLY), Heard::Outdated);
-    assert_eq!(known.hear(Timestamp(7_000), EARLY), Heard::Outdated);
-    assert_eq!(known.hear(Timestamp(9_000), EARLY), Heard::Other);
+    assert_eq!(
+        known.observe(Timestamp(0), EARLY),
+        IncarnationMatch::Outdated
+    );
+    assert_eq!(
+        known.observe(Timestamp(3_000), LATE),
+        IncarnationMatch::Same
+    );
+    assert_eq!(
+        known.observe(Timestamp(4_000), EARLY),
+        IncarnationMatch::Outdated
+    );
+    assert_eq!(
+        known.observe(Timestamp(7_000), EARLY),
+        IncarnationMatch::Outdated
+    );
+    assert_eq!(
+        known.observe(Timestamp(9_000), EARLY),
+        IncarnationMatch::Other
+    );
     assert_eq!(known.born(), EARLY);
 }
 
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -1,6 +1,6 @@
 //! A start of a whole fleet: what each gateway knows of the others when it begins.
 
-use gorsebank_fleet::Joining;
+use gorsebank_fleet::MembershipConvergence;
 
 /// Rows that the table takes a second.
 const ROWS_PER_SECOND: f64 = 200.0;
@@ -10,11 +10,11 @@
 
 /// Looks of a gateway whose row was written at `written`, and how many others it knows then.
 fn join(fleet: usize, written: f64) -> (usize, usize) {
-    let mut joining = Joining::default();
+    let mut joining = MembershipConvergence::default();
     let mut at = written + FIRST_LOOK;
     for looks in 1.. {
         let known = fleet.min((at * ROWS_PER_SECOND) as usize);
-        if joining.has_settled(known) {
+        if joining.observe(known) {
             return (looks, known);
         }
         at += LOOK;
@@ -38,6 +38,6 @@
 
 #[test]
 fn a_small_fleet_begins_at_once() {
-    let mut joining = Joining::default();
-    assert!(joining.has_settled(9));
+    let mut joining = MembershipConvergence::default();
+    assert!(joining.observe(9));
 }
--- a/crates/fleet/tests/lease.rs
+++ b/crates/fleet/tests/lease.rs
@@ -2,7 +2,7 @@
 //! at no moment do two nodes give orders, and fences rise.
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::{LeaseKeeper, LeaseRow, LeaseStep, Offer};
+use gorsebank_fleet::{Candidacy, LeaseKeeper, LeaseRow, LeaseStep};
 use gorsebank_world::NodeId;
 use proptest::prelude::*;
 
@@ -55,18 +55,24 @@
     ]
 }
 
-fn offer() -> impl Strategy<Value = Offer> {
+fn offer() -> impl Strategy<Value = Candidacy> {
     prop_oneof![
-        8 => Just(Offer::After(0)),
-        1 => Just(Offer::Never),
+        8 => Just(Candidacy::After(0)),
+        1 => Just(Candidacy::Never),
     ]
 }
 
 fn turn(table: &mut Table, keeper: &mut LeaseKeeper, now: u64, fault: Fault) {
-    turn_with(table, keeper, now, fault, Offer::After(0));
+    turn_with(table, keeper, now, fault, Candidacy::After(0));
 }
 
-fn turn_with(table: &mut Table, keeper: &mut LeaseKeeper, now: u64, fault: Fault, offer: Offer) {
+fn turn_with(
+    table: &mut Table,
+    keeper: &mut LeaseKeeper,
+    now: u64,
+    fault: Fault,
+    offer: Candidacy,
+) {
     match keeper.step(Timestamp(now), offer) {
         LeaseStep::Wait(_) => {}
         LeaseStep::Read => {
@@ -76,22 +82,22 @@
                 } else {
                     0
                 };
-                keeper.read(Timestamp(now), version, table.row.as_ref());
+                keeper.record_read(Timestamp(now), version, table.row.as_ref());
             }
         }
         LeaseStep::Write { expected, row } => match fault {
-            Fault::Unreachable => keeper.unanswered(),
+            Fault::Unreachable => keeper.record_unconfirmed_write(),
             Fault::Late(delay) => {
                 table.late.push((now + delay, expected, row));
-                keeper.unanswered();
+                keeper.record_unconfirmed_write();
             }
             Fault::Lost => {
                 let _: Option<u64> = table.write(expected, row);
-                keeper.unanswered();
+                keeper.record_unconfirmed_write();
             }
             Fault::Fine => match table.write(expected, row.clone()) {
-                Some(version) => keeper.written(Timestamp(now), version, &row),
-                None => keeper.refused(),
+                Some(version) => keeper.record_write(Timestamp(now), version, &row),
+                None => keeper.record_conflict(),
             },
         },
     }
@@ -108,12 +114,12 @@
     turn(&mut table, &mut first, 0, Fault::Fine);
     turn(&mut table, &mut first, 1, Fault::Fine);
     assert_eq!(first.fence(Timestamp(2)), Some(1));
-    let LeaseStep::Write { expected, row } = first.step(Timestamp(3), Offer::Never) else {
+    let LeaseStep::Write { expected, row } = first.step(Timestamp(3), Candidacy::Never) else {
         panic!("a stopping holder hands the lease back");
     };
     assert_eq!(row.holder, None);
     let version = table.write(expected, row.clone()).expect("its own version");
-    first.written(Timestamp(4), version, &row);
+    first.record_write(Timestamp(4), version, &row);
     let mut second = keeper(2, 22);
     turn(&mut table, &mut second, 5, Fault::Fine);
     turn(&mut table, &mut second, 6, Fault::Fine);
@@ -131,7 +137,7 @@
         turn(&mut table, &mut first, 0, Fault::Fine);
         turn(&mut table, &mut first, 1, Fault::Fine);
         assert_eq!(first.fence(Timestamp(2)), Some(1));
-        turn_with(&mut table, &mut first, 3, fault, Offer::Never);
+        turn_with(&mut table, &mut first, 3, fault, Candidacy::Never);
         assert_eq!(first.fence(Timestamp(4)), None, "{fault:?}");
         let mut second = keeper(2, 22);
         for now in (5..10_000).step_by(50) {
@@ -141,7 +147,7 @@
                 &mut first,
                 now,
                 Fault::Unreachable,
-                Offer::Never,
+                Candidacy::Never,
             );
             turn(&mut table, &mut second, now, Fault::Fine);
             assert_eq!(first.fence(Timestamp(now)), None, "{fault:?} at {now}");
@@ -156,7 +162,13 @@
     let mut holder = keeper(1, 11);
     turn(&mut table, &mut holder, 0, Fault::Fine);
     turn(&mut table, &mut holder, 1, Fault::Fine);
-    turn_with(&mut table, &mut holder, 3, Fault::Unreachable, Offer::Never);
+    turn_with(
+        &mut table,
+        &mut holder,
+        3,
+        Fault::Unreachable,
+        Candidacy::Never,
+    );
     assert_eq!(holder.fence(Timestamp(4)), None);
     // The hand-back did not take effect, and now cannot any more: the row is another one.
     for now in (5..2_000).step_by(50) {
@@ -241,18 +253,18 @@
         process: 1,
         write: 7,
     };
-    other.read(Timestamp(0), 5, Some(&row));
-    other.read(Timestamp(300), 5, Some(&row));
+    other.record_read(Timestamp(0), 5, Some(&row));
+    other.record_read(Timestamp(300), 5, Some(&row));
     // The table was out of reach for 20 s; the holder may be about to renew.
-    other.read(Timestamp(20_000), 5, Some(&row));
-    let step = other.step(Timestamp(20_001), Offer::After(0));
+    other.record_read(Timestamp(20_000), 5, Some(&row));
+    let step = other.step(Timestamp(20_001), Candidacy::After(0));
     assert!(!matches!(step, LeaseStep::Write { .. }), "{step:?}");
     let mut now = 20_000;
     while now < 20_000 + LEASE * 2 {
         now += 300;
-        other.read(Timestamp(now), 5, Some(&row));
+        other.record_read(Timestamp(now), 5, Some(&row));
     }
-    let step = other.step(Timestamp(now), Offer::After(0));
+    let step = other.step(Timestamp(now), Candidacy::After(0));
     assert!(
         matches!(step, LeaseStep::Write { .. }),
         "nobody renewed it: {step:?}"
@@ -262,19 +274,19 @@
 #[test]
 fn a_weaker_machine_takes_the_lease_later_and_one_that_never_offers_itself_does_not() {
     let mut keeper = LeaseKeeper::new(NodeId::from("node-2"), 2, LEASE);
-    keeper.read(Timestamp(0), 0, None);
+    keeper.record_read(Timestamp(0), 0, None);
     let step = |keeper: &mut LeaseKeeper, now, offer| keeper.step(Timestamp(now), offer);
-    let later = Offer::After(2 * LEASE);
+    let later = Candidacy::After(2 * LEASE);
     assert!(!matches!(
         step(&mut keeper, 1, later),
         LeaseStep::Write { .. }
     ));
     assert!(!matches!(
-        step(&mut keeper, 1, Offer::Never),
+        step(&mut keeper, 1, Candidacy::Never),
         LeaseStep::Write { .. }
     ));
     assert!(matches!(
-        step(&mut keeper, 1, Offer::After(0)),
+        step(&mut keeper, 1, Candidacy::After(0)),
         LeaseStep::Write { .. }
     ));
 }
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -4,11 +4,12 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::counting_seat::{
-    HALVES, SEATS, SeatCandidate, SeatOrder, lease_name, seat_of_lease, seat_to_spread, seats_of,
+use gorsebank_fleet::ledger::SavedUsage;
+use gorsebank_fleet::quota_shard::{
+    QUOTA_SHARDS, SHARDS_PER_TENANT, ShardCandidate, ShardOrder, lease_name, shard_of_lease,
+    shard_to_hand_over, shards_of,
 };
-use gorsebank_fleet::ledger::SavedUse;
-use gorsebank_fleet::{Ledger, LimitBound, LimitUnit, Taken, TenantLimit};
+use gorsebank_fleet::{Ledger, LimitBound, LimitUnit, QuotaDecision, TenantLimit};
 use gorsebank_world::TenantId;
 use proptest::prelude::*;
 
@@ -22,7 +23,9 @@
     TenantLimit {
         rate,
         burst,
-        unit: LimitUnit::Tokens { plain: 200.0 },
+        unit: LimitUnit::Tokens {
+            default_cost: 200.0,
+        },
     }
 }
 
@@ -31,7 +34,7 @@
 
 /// A ledger of a part of each limit that nobody has saved anything for.
 fn ledger(parts: usize, since: u64) -> Ledger {
-    Ledger::new(BOUND, parts, Timestamp(since), SavedUse::default())
+    Ledger::new(BOUND, parts, Timestamp(since), SavedUsage::default())
 }
 
 fn tenant() -> TenantId {
@@ -89,10 +92,10 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        20 => (100.0f64..5_400.0, 0..HALVES).prop_map(|(cost, half)| Step::Ask(cost, half)),
+        20 => (100.0f64..5_400.0, 0..SHARDS_PER_TENANT).prop_map(|(cost, half)| Step::Ask(cost, half)),
         3 => (0usize..40).prop_map(Step::GiveBack),
-        1 => (0..HALVES).prop_map(Step::Replaced),
-        6 => (0..HALVES, save()).prop_map(|(half, save)| Step::Saved(half, save)),
+        1 => (0..SHARDS_PER_TENANT).prop_map(Step::Replaced),
+        6 => (0..SHARDS_PER_TENANT, save()).prop_map(|(half, save)| Step::Saved(half, save)),
     ]
 }
 
@@ -105,8 +108,8 @@
         steps in prop::collection::vec((step(), 0u64..300), 1..600),
     ) {
         let limit = limit(rate, rate * burst_seconds);
-        let mut ledgers = [ledger(HALVES, 0), ledger(HALVES, 0)];
-        let mut saved = [SavedUse::default(), SavedUse::default()];
+        let mut ledgers = [ledger(SHARDS_PER_TENANT, 0), ledger(SHARDS_PER_TENANT, 0)];
+        let mut saved = [SavedUsage::default(), SavedUsage::default()];
         let name = tenant();
         let mut now = 60_000;
         let mut grants: Vec<(u64, f64, usize)> = Vec::new();
@@ -117,25 +120,25 @@
                 Step::Ask(cost, first) => {
                     let mut halves = [first, 1 - first].into_iter();
                     let granted = halves.find(|half| {
-                        ledgers[*half].take(at, &tenant(), &limit, cost) == Taken::Granted
+                        ledgers[*half].charge(at, &tenant(), &limit, cost) == QuotaDecision::Granted
                     });
                     grants.extend(granted.map(|half| (now, cost, half)));
                 }
                 Step::GiveBack(ago) if ago < grants.len() => {
                     let (granted, cost, half) = grants.remove(grants.len() - 1 - ago);
-                    ledgers[half].give_back(at, &name, Timestamp(granted), cost);
+                    ledgers[half].refund(at, &name, Timestamp(granted), cost);
                 }
                 Step::GiveBack(_) => {}
                 Step::Replaced(half) => {
-                    ledgers[half] = Ledger::new(BOUND, HALVES, at, saved[half].clone());
+                    ledgers[half] = Ledger::new(BOUND, SHARDS_PER_TENANT, at, saved[half].clone());
                 }
                 Step::Saved(half, save) => {
-                    let use_now = ledgers[half].save(at, [(&name, &limit)].into_iter());
+                    let use_now = ledgers[half].begin_save(at, [(&name, &limit)].into_iter());
                     if !matches!(save, Save::Lost) {
                         saved[half] = use_now;
                     }
                     if matches!(save, Save::Answered) {
-                        ledgers[half].saved();
+                        ledgers[half].confirm_save();
                     }
                 }
             }
@@ -162,15 +165,15 @@
                 asked.pop();
                 continue;
             }
-            let mut taken = ledger.take(Timestamp(now), &name, &limit, cost);
-            if taken == Taken::NotYet(SAVING) {
-                ledger.save(Timestamp(now), [(&name, &limit)].into_iter());
-                ledger.saved();
-                taken = ledger.take(Timestamp(now), &name, &limit, cost);
+            let mut taken = ledger.charge(Timestamp(now), &name, &limit, cost);
+            if taken == QuotaDecision::NotYet(SAVING) {
+                ledger.begin_save(Timestamp(now), [(&name, &limit)].into_iter());
+                ledger.confirm_save();
+                taken = ledger.charge(Timestamp(now), &name, &limit, cost);
             }
-            prop_assert_eq!(taken, Taken::Granted);
-            ledger.save(Timestamp(now), [(&name, &limit)].into_iter());
-            ledger.saved();
+            prop_assert_eq!(taken, QuotaDecision::Granted);
+            ledger.begin_save(Timestamp(now), [(&name, &limit)].into_iter());
+            ledger.confirm_save();
         }
     }
 }
@@ -182,11 +185,11 @@
     let (mut ledger, name) = (ledger(1, 0), tenant());
     let mut granted = 0.0;
     for _ in 0..100 {
-        if ledger.take(Timestamp(60_000), &name, &limit, 1_500.0) == Taken::Granted {
+        if ledger.charge(Timestamp(60_000), &name, &limit, 1_500.0) == QuotaDecision::Granted {
             granted += 1_500.0;
         }
-        ledger.save(Timestamp(60_000), [(&name, &limit)].into_iter());
-        ledger.saved();
+        ledger.begin_save(Timestamp(60_000), [(&name, &limit)].into_iter());
+        ledger.confirm_save();
     }
     assert!(
         granted > 90_000.0 && granted <= allowed(&limit),
@@ -199,13 +202,15 @@
 fn what_cannot_be_saved_is_granted_up_to_a_part_of_the_limit() {
     let limit = limit(10_000.0, 10_000.0);
     let (mut ledger, name) = (ledger(1, 0), tenant());
-    let mut take = || ledger.take(Timestamp(60_000), &name, &limit, 1_500.0);
-    let granted = (0..100).filter(|_| take() == Taken::Granted).count();
+    let mut take = || ledger.charge(Timestamp(60_000), &name, &limit, 1_500.0);
+    let granted = (0..100)
+        .filter(|_| take() == QuotaDecision::Granted)
+        .count();
     assert!(
         granted as f64 * 1_500.0 < 0.35 * allowed(&limit),
         "{granted}"
     );
-    assert!(matches!(take(), Taken::NotYet(_)));
+    assert!(matches!(take(), QuotaDecision::NotYet(_)));
     assert!(ledger.needs_saving());
 }
 
@@ -214,24 +219,24 @@
     let limit = limit(10_000.0, 10_000.0);
     let (mut former, name) = (ledger(1, 0), tenant());
     let take = |ledger: &mut Ledger, now| {
-        ledger.save(Timestamp(now), [(&name, &limit)].into_iter());
-        ledger.saved();
-        ledger.take(Timestamp(now), &name, &limit, 5_000.0)
+        ledger.begin_save(Timestamp(now), [(&name, &limit)].into_iter());
+        ledger.confirm_save();
+        ledger.charge(Timestamp(now), &name, &limit, 5_000.0)
     };
     for now in (50_000..58_000).step_by(1_000) {
-        assert_eq!(take(&mut former, now), Taken::Granted);
+        assert_eq!(take(&mut former, now), QuotaDecision::Granted);
     }
-    let saved = former.save(Timestamp(58_000), [(&name, &limit)].into_iter());
+    let saved = former.begin_save(Timestamp(58_000), [(&name, &limit)].into_iter());
     let mut next = Ledger::new(BOUND, 1, Timestamp(59_000), saved);
     // Half of the limit was used; most of the rest is known to be left.
-    assert_eq!(take(&mut next, 59_000), Taken::Granted);
-    assert_eq!(take(&mut next, 59_001), Taken::Granted);
-    let mut last = Taken::Granted;
+    assert_eq!(take(&mut next, 59_000), QuotaDecision::Granted);
+    assert_eq!(take(&mut next, 59_001), QuotaDecision::Granted);
+    let mut last = QuotaDecision::Granted;
     for _ in 0..20 {
         last = take(&mut next, 59_002);
     }
     assert!(
-        matches!(last, Taken::NotYet(_)),
+        matches!(last, QuotaDecision::NotYet(_)),
         "it does not know whether that is beyond the limit: {last:?}"
     );
 }
@@ -243,32 +248,32 @@
         slack: 200.0,
         ..BOUND
     };
-    let mut ledger = Ledger::new(bound, 1, Timestamp(0), SavedUse::default());
+    let mut ledger = Ledger::new(bound, 1, Timestamp(0), SavedUsage::default());
     let name = tenant();
     let mut ask = |now| {
         // The first try tells that the reserve is too small.
-        let first = ledger.take(Timestamp(now), &name, &limit, 400.0);
-        ledger.save(Timestamp(now), [(&name, &limit)].into_iter());
-        ledger.saved();
-        if first != Taken::NotYet(SAVING) {
+        let first = ledger.charge(Timestamp(now), &name, &limit, 400.0);
+        ledger.begin_save(Timestamp(now), [(&name, &limit)].into_iter());
+        ledger.confirm_save();
+        if first != QuotaDecision::NotYet(SAVING) {
             return first;
         }
-        ledger.take(Timestamp(now), &name, &limit, 400.0)
+        ledger.charge(Timestamp(now), &name, &limit, 400.0)
     };
-    assert_eq!(ask(60_000), Taken::Granted);
-    assert!(matches!(ask(61_000), Taken::Beyond(_)));
-    assert_eq!(ask(70_000), Taken::Granted);
+    assert_eq!(ask(60_000), QuotaDecision::Granted);
+    assert!(matches!(ask(61_000), QuotaDecision::Beyond(_)));
+    assert_eq!(ask(70_000), QuotaDecision::Granted);
 }
 
 #[test]
 fn a_lower_limit_binds_at_once() {
     let mut ledger = ledger(1, 0);
     let (high, low) = (limit(50_000.0, 50_000.0), limit(2_700.0, 2_700.0));
-    let full = ledger.take(Timestamp(60_000), &tenant(), &high, 1_000.0);
-    assert_eq!(full, Taken::Granted);
+    let full = ledger.charge(Timestamp(60_000), &tenant(), &high, 1_000.0);
+    assert_eq!(full, QuotaDecision::Granted);
     let mut granted = 0.0;
     for now in (60_000..68_000).step_by(10) {
-        if ledger.take(Timestamp(now), &tenant(), &low, 1_000.0) == Taken::Granted {
+        if ledger.charge(Timestamp(now), &tenant(), &low, 1_000.0) == QuotaDecision::Granted {
             granted += 1_000.0;
         }
     }
@@ -278,41 +283,41 @@
 #[test]
 fn each_tenant_is_counted_at_two_seats_and_all_seats_are_used() {
     let tenants = (0..200).map(|number| TenantId::from(format!("tenant-{number}")));
-    let seats: Vec<usize> = tenants.flat_map(|tenant| seats_of(&tenant)).collect();
-    assert_eq!(seat_of_lease("placement"), None);
-    for seat in 0..SEATS {
-        assert_eq!(seat_of_lease(&lease_name(seat)), Some(seat));
+    let seats: Vec<usize> = tenants.flat_map(|tenant| shards_of(&tenant)).collect();
+    assert_eq!(shard_of_lease("placement"), None);
+    for seat in 0..QUOTA_SHARDS {
+        assert_eq!(shard_of_lease(&lease_name(seat)), Some(seat));
         assert!(seats.contains(&seat), "{seat}");
     }
-    let [first, second] = seats_of(&tenant());
+    let [first, second] = shards_of(&tenant());
     assert_ne!(first, second);
 }
 
 /// The gateways that come first for each seat.
 fn first_for_seats(strong: usize, all: usize) -> Vec<usize> {
     let names: Vec<String> = (0..all).map(|number| format!("node-{number}")).collect();
-    let candidates: Vec<SeatCandidate<'_>> = names
+    let candidates: Vec<ShardCandidate<'_>> = names
         .iter()
         .enumerate()
-        .map(|(index, name)| SeatCandidate {
+        .map(|(index, name)| ShardCandidate {
             name,
             is_strong: index < strong,
         })
         .collect();
-    let delay = |index: usize, seat| SeatOrder::new(&names[index], &candidates).delay(seat, 0);
+    let delay = |index: usize, seat| ShardOrder::new(&names[index], &candidates).delay(seat, 0);
     let first = |seat| (0..all).min_by_key(|index| delay(*index, seat));
-    (0..SEATS).filter_map(first).collect()
+    (0..QUOTA_SHARDS).filter_map(first).collect()
 }
 
 #[test]
 fn strong_gateways_come_first_and_each_has_a_seat_of_its_own() {
-    let mut first = first_for_seats(SEATS, 80);
+    let mut first = first_for_seats(QUOTA_SHARDS, 80);
     first.sort_unstable();
-    assert_eq!(first, (0..SEATS).collect::<Vec<usize>>());
-    for strong in 2..SEATS {
+    assert_eq!(first, (0..QUOTA_SHARDS).collect::<Vec<usize>>());
+    for strong in 2..QUOTA_SHARDS {
         let first = first_for_seats(strong, 40);
         assert!(first.iter().all(|index| *index < strong), "{first:?}");
-        for halves in first.chunks(HALVES) {
+        for halves in first.chunks(SHARDS_PER_TENANT) {
             assert_ne!(halves[0], halves[1], "one loss takes one half: {first:?}");
         }
     }
@@ -320,18 +325,18 @@
 
 #[test]
 fn a_gateway_that_holds_a_seat_leaves_others_to_others() {
-    let candidates = ["a", "b"].map(|name| SeatCandidate {
+    let candidates = ["a", "b"].map(|name| ShardCandidate {
         name,
         is_strong: true,
     });
-    let order = SeatOrder::new("a", &candidates);
+    let order = ShardOrder::new("a", &candidates);
     assert!(order.delay(0, 1) > order.delay(0, 0));
-    let stranger = SeatOrder::new("c", &candidates);
+    let stranger = ShardOrder::new("c", &candidates);
     assert!(stranger.delay(0, 0) > order.delay(0, 0).max(order.delay(1, 0)));
 }
 
 /// Lets gateways hand seats on until none has one too many.
-fn spread_out(mut holders: [usize; SEATS], gateways: usize) -> [usize; SEATS] {
+fn spread_out(mut holders: [usize; QUOTA_SHARDS], gateways: usize) -> [usize; QUOTA_SHARDS] {
     let names: Vec<String> = (0..gateways)
         .map(|number| format!("node-{number}"))
         .collect();
@@ -342,11 +347,11 @@
                 .filter(|other| *other != own)
                 .map(|other| names[other].as_str())
                 .collect();
-            seat_to_spread(&names[own], &known, &others)
+            shard_to_hand_over(&names[own], &known, &others)
         });
         let Some(step) = step else { return holders };
         let to = names.iter().position(|name| name == step.to);
-        holders[step.seat] = to.expect("one of them");
+        holders[step.shard] = to.expect("one of them");
     }
     panic!("seats are handed on for ever: {holders:?}");
 }
@@ -358,15 +363,18 @@
         first in prop::array::uniform6(0_usize..9),
     ) {
         let settled = spread_out(first.map(|holder| holder % gateways), gateways);
-        for halves in settled.chunks(HALVES) {
+        for halves in settled.chunks(SHARDS_PER_TENANT) {
             prop_assert_ne!(halves[0], halves[1], "{:?}", settled);
         }
         let seated = (0..gateways).filter(|gateway| settled.contains(gateway)).count();
-        prop_assert_eq!(seated, gateways.min(SEATS), "{:?}", settled);
+        prop_assert_eq!(seated, gateways.min(QUOTA_SHARDS), "{:?}", settled);
     }
 }
 
 #[test]
 fn a_gateway_alone_keeps_all_seats() {
-    assert_eq!(seat_to_spread("a", &[Some("a"); SEATS], &[]), None);
+    assert_eq!(
+        shard_to_hand_over("a", &[Some("a"); QUOTA_SHARDS], &[]),
+        None
+    );
 }
--- a/crates/fleet/tests/load_window.rs
+++ b/crates/fleet/tests/load_window.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::placement::{FoundLimit, LoadWindow};
+use gorsebank_fleet::placement::{LoadConcurrency, LoadConcurrencyEstimate};
 use gorsebank_world::BackEndId;
 
 const ALONE: Duration = Duration::from_millis(4_000);
@@ -17,7 +17,7 @@
 /// A weight store: a load takes longer by what was under way when it began.
 struct Store {
     full_speed: usize,
-    window: LoadWindow,
+    window: LoadConcurrency,
     under_way: Vec<(u64, BackEndId)>,
     begun: usize,
     most: usize,
@@ -27,7 +27,7 @@
     fn new(full_speed: usize) -> Self {
         Store {
             full_speed,
-            window: LoadWindow::new(FoundLimit::default()),
+            window: LoadConcurrency::new(LoadConcurrencyEstimate::default()),
             under_way: Vec::new(),
             begun: 0,
             most: 0,
@@ -41,7 +41,7 @@
             let due = |(at, _): &(u64, BackEndId)| *at <= now;
             let ended: Vec<_> = self.under_way.extract_if(.., |load| due(load)).collect();
             for (_, engine) in ended {
-                self.window.idle(Timestamp(now), &engine, 1);
+                self.window.record_idle(Timestamp(now), &engine, 1);
             }
             while self.window.allows(Timestamp(now), 0) {
                 self.begin(now);
@@ -53,7 +53,7 @@
     fn begin(&mut self, now: u64) {
         let id = engine(self.begun);
         self.begun += 1;
-        self.window.begin(Timestamp(now), &id, 0, ALONE);
+        self.window.record_order(Timestamp(now), &id, 0, ALONE);
         let crowd = self.under_way.len() + 1;
         let stretch = (crowd as f64 / self.full_speed as f64).max(1.0);
         let time = (ALONE.as_millis() as f64 * stretch) as u64;
@@ -81,41 +81,48 @@
 }
 
 /// Begins loads at engines from `first` on, and ends each after `time`.
-fn round(window: &mut LoadWindow, now: u64, engines: std::ops::Range<usize>, time: u64) {
+fn round(window: &mut LoadConcurrency, now: u64, engines: std::ops::Range<usize>, time: u64) {
     for number in engines.clone() {
-        window.begin(Timestamp(now), &engine(number), 0, ALONE);
+        window.record_order(Timestamp(now), &engine(number), 0, ALONE);
     }
     for number in engines {
-        window.idle(Timestamp(now + time + SEEN_LATE), &engine(number), 1);
+        window.record_idle(Timestamp(now + time + SEEN_LATE), &engine(number), 1);
     }
 }
 
 #[test]
 fn a_slow_engine_does_not_narrow_the_window() {
-    let mut window = LoadWindow::new(FoundLimit::default());
+    let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
     round(&mut window, 0, 0..8, 4_000);
-    let before = window.found();
+    let before = window.estimate();
     round(&mut window, 10_000, 10..16, 7_000);
-    assert_eq!(window.found(), before, "eight at once were seen to be well");
+    assert_eq!(
+        window.estimate(),
+        before,
+        "eight at once were seen to be well"
+    );
     round(&mut window, 40_000, 20..26, 7_000);
-    assert!(window.found().at_once < before.at_once, "it was long ago");
+    assert!(
+        window.estimate().max_loads < before.max_loads,
+        "it was long ago"
+    );
 }
 
 #[test]
 fn a_load_counts_until_its_engine_is_seen_without_an_order() {
-    let limit = FoundLimit {
-        at_once: 1.0,
-        has_been_slow: true,
+    let limit = LoadConcurrencyEstimate {
+        max_loads: 1.0,
+        has_been_saturated: true,
     };
-    let mut window = LoadWindow::new(limit);
-    window.begin(Timestamp(0), &engine(0), 4, ALONE);
+    let mut window = LoadConcurrency::new(limit);
+    window.record_order(Timestamp(0), &engine(0), 4, ALONE);
     assert!(!window.allows(Timestamp(5_000), 0));
-    window.idle(Timestamp(100), &engine(0), 4);
+    window.record_idle(Timestamp(100), &engine(0), 4);
     assert!(
         !window.allows(Timestamp(5_000), 0),
         "the report is older than the order"
     );
-    window.idle(Timestamp(4_000), &engine(0), 5);
+    window.record_idle(Timestamp(4_000), &engine(0), 5);
     assert!(window.allows(Timestamp(5_000), 0));
     assert!(
         !window.allows(Timestamp(5_000), 1),
@@ -125,30 +132,30 @@
 
 #[test]
 fn an_order_without_an_answer_counts_and_tells_nothing_of_the_store() {
-    let mut window = LoadWindow::new(FoundLimit::default());
-    let before = window.found();
+    let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
+    let before = window.estimate();
     for number in 0..8 {
-        window.begin(Timestamp(0), &engine(number), 0, ALONE);
-        window.uncertain(&engine(number));
+        window.record_order(Timestamp(0), &engine(number), 0, ALONE);
+        window.record_no_response(&engine(number));
     }
-    window.dropped(&engine(0));
+    window.cancel_order(&engine(0));
     assert!(!window.allows(Timestamp(12_000), 0), "it may have begun");
     assert!(window.allows(Timestamp(20_000), 7), "it never did");
     for number in 0..8 {
-        window.idle(Timestamp(30_000), &engine(number), 1);
+        window.record_idle(Timestamp(30_000), &engine(number), 1);
     }
     assert!(window.allows(Timestamp(5_000), 0));
-    assert_eq!(window.found(), before);
+    assert_eq!(window.estimate(), before);
 }
 
 #[test]
 fn engines_that_are_gone_or_silent_give_their_place_back() {
-    let mut window = LoadWindow::new(FoundLimit::default());
+    let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
     for number in 0..8 {
-        window.begin(Timestamp(0), &engine(number), 0, ALONE);
+        window.record_order(Timestamp(0), &engine(number), 0, ALONE);
     }
     assert!(!window.allows(Timestamp(5_000), 0));
-    window.forget(&engine(3));
+    window.remove(&engine(3));
     assert!(window.allows(Timestamp(5_000), 0));
     window.retain(|id| *id == engine(1));
     assert!(window.allows(Timestamp(5_000), 6));
@@ -156,24 +163,24 @@
 
 #[test]
 fn the_next_holder_counts_what_a_former_one_ordered() {
-    let limit = FoundLimit {
-        at_once: 2.0,
-        has_been_slow: true,
+    let limit = LoadConcurrencyEstimate {
+        max_loads: 2.0,
+        has_been_saturated: true,
     };
-    let mut window = LoadWindow::new(limit);
-    window.inherit(Timestamp(0), &engine(0));
-    window.inherit(Timestamp(0), &engine(1));
+    let mut window = LoadConcurrency::new(limit);
+    window.restore(Timestamp(0), &engine(0));
+    window.restore(Timestamp(0), &engine(1));
     assert!(!window.allows(Timestamp(5_000), 0));
-    window.idle(Timestamp(100), &engine(0), 7);
+    window.record_idle(Timestamp(100), &engine(0), 7);
     assert!(window.allows(Timestamp(5_000), 0));
 }
 
 #[test]
 fn a_row_that_makes_no_sense_allows_one_load() {
     for at_once in [0.0, -3.0, f64::NAN] {
-        let mut window = LoadWindow::new(FoundLimit {
-            at_once,
-            has_been_slow: true,
+        let mut window = LoadConcurrency::new(LoadConcurrencyEstimate {
+            max_loads: at_once,
+            has_been_saturated: true,
         });
         assert!(window.allows(Timestamp(0), 0), "{at_once}");
         round(&mut window, 0, 0..1, 30_000);
--- a/crates/fleet/tests/pace.rs
+++ b/crates/fleet/tests/pace.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::placement::{LoadBound, LoadPace, OrderResult, RecentLoad};
+use gorsebank_fleet::placement::{LoadRateLimit, LoadRateLimiter, OrderResult, RecentLoad};
 use gorsebank_world::BackEndId;
 
 /// 2 loads a second for 5 s with a tenth more and 3 on top are 14; 2 are left.
@@ -14,22 +14,22 @@
     BackEndId::from(format!("e{number}"))
 }
 
-fn pace(former: &[RecentLoad]) -> LoadPace {
-    let bound = LoadBound {
+fn pace(former: &[RecentLoad]) -> LoadRateLimiter {
+    let bound = LoadRateLimit {
         window: Duration::from_secs(5),
         overage: 1.1,
         extra: 3.0,
     };
-    LoadPace::new(Timestamp(0), bound, former)
+    LoadRateLimiter::new(Timestamp(0), bound, former)
 }
 
 /// Orders loads at engines from `first` on until no more are allowed.
-fn fill(pace: &mut LoadPace, now: u64, first: usize, result: OrderResult) -> usize {
+fn fill(pace: &mut LoadRateLimiter, now: u64, first: usize, result: OrderResult) -> usize {
     let mut count = 0;
     while pace.allows(Timestamp(now), RATE) {
         let id = engine(first + count);
-        pace.note(Timestamp(now), &id, 0);
-        pace.ordered(Timestamp(now), &id, result);
+        pace.record_order(Timestamp(now), &id, 0);
+        pace.apply_order_result(Timestamp(now), &id, result);
         count += 1;
     }
     count
@@ -57,9 +57,9 @@
 fn an_engine_that_took_another_order_settles_a_load_without_an_answer() {
     let mut pace = pace(&[]);
     fill(&mut pace, 0, 0, OrderResult::Unanswered);
-    pace.taken(Timestamp(1_000), &engine(0), 0);
+    pace.apply_sequence(Timestamp(1_000), &engine(0), 0);
     assert!(!pace.allows(Timestamp(6_600), RATE), "no order was taken");
-    pace.taken(Timestamp(1_000), &engine(0), 1);
+    pace.apply_sequence(Timestamp(1_000), &engine(0), 1);
     assert!(!pace.allows(Timestamp(6_400), RATE));
     assert!(pace.allows(Timestamp(6_600), RATE));
 }
@@ -68,10 +68,10 @@
 #[test]
 fn an_order_that_is_too_old_to_be_carried_out_is_not_repeated() {
     let mut pace = pace(&[]);
-    pace.note(Timestamp(0), &engine(0), 4);
-    pace.ordered(Timestamp(0), &engine(0), OrderResult::Unanswered);
-    assert!(pace.is_open(Timestamp(12_000), &engine(0), 4));
-    assert!(!pace.is_open(Timestamp(19_000), &engine(0), 4));
+    pace.record_order(Timestamp(0), &engine(0), 4);
+    pace.apply_order_result(Timestamp(0), &engine(0), OrderResult::Unanswered);
+    assert!(pace.is_unresolved(Timestamp(12_000), &engine(0), 4));
+    assert!(!pace.is_unresolved(Timestamp(19_000), &engine(0), 4));
 }
 
 #[test]
@@ -79,25 +79,25 @@
     let mut pace = pace(&[]);
     for number in 0..MOST - 1 {
         let id = engine(number);
-        pace.note(Timestamp(0), &id, 4);
-        pace.ordered(Timestamp(0), &id, OrderResult::Unanswered);
-        pace.note(Timestamp(400), &id, 4);
-        pace.ordered(Timestamp(400), &id, OrderResult::Accepted);
+        pace.record_order(Timestamp(0), &id, 4);
+        pace.apply_order_result(Timestamp(0), &id, OrderResult::Unanswered);
+        pace.record_order(Timestamp(400), &id, 4);
+        pace.apply_order_result(Timestamp(400), &id, OrderResult::Accepted);
     }
     assert!(pace.allows(Timestamp(500), RATE));
     assert!(pace.allows(Timestamp(6_000), RATE), "none is open any more");
-    assert!(pace.recent(Timestamp(6_000), |_| None).is_empty());
+    assert!(pace.recent_loads(Timestamp(6_000), |_| None).is_empty());
 }
 
 #[test]
 fn a_load_that_was_refused_or_not_sent_does_not_count() {
     let mut pace = pace(&[]);
     for number in 0..MOST {
-        pace.note(Timestamp(0), &engine(number), 0);
+        pace.record_order(Timestamp(0), &engine(number), 0);
         if number % 2 == 0 {
-            pace.ordered(Timestamp(0), &engine(number), OrderResult::Conflict);
+            pace.apply_order_result(Timestamp(0), &engine(number), OrderResult::Conflict);
         } else {
-            pace.unsent(&engine(number));
+            pace.cancel_order(&engine(number));
         }
     }
     assert_eq!(fill(&mut pace, 0, 20, OrderResult::Accepted), MOST);
@@ -109,10 +109,10 @@
     let mut pace = pace(&[]);
     for number in 0..MOST {
         let id = engine(number);
-        pace.note(Timestamp(0), &id, 0);
-        pace.ordered(Timestamp(0), &id, OrderResult::Unanswered);
-        pace.note(Timestamp(400), &id, 0);
-        pace.ordered(Timestamp(400), &id, OrderResult::Conflict);
+        pace.record_order(Timestamp(0), &id, 0);
+        pace.apply_order_result(Timestamp(0), &id, OrderResult::Unanswered);
+        pace.record_order(Timestamp(400), &id, 0);
+        pace.apply_order_result(Timestamp(400), &id, OrderResult::Conflict);
     }
     assert!(!pace.allows(Timestamp(500), RATE));
     assert!(pace.allows(Timestamp(6_000), RATE));
@@ -122,8 +122,8 @@
 fn the_next_holder_knows_what_began_and_what_may_begin() {
     let mut first = pace(&[]);
     fill(&mut first, 0, 0, OrderResult::Unanswered);
-    let mut next = pace(&first.recent(Timestamp(1_000), |_| None));
+    let mut next = pace(&first.recent_loads(Timestamp(1_000), |_| None));
     assert!(!next.allows(Timestamp(11_000), RATE));
-    next.taken(Timestamp(2_000), &engine(3), 1);
+    next.apply_sequence(Timestamp(2_000), &engine(3), 1);
     assert!(next.allows(Timestamp(8_000), RATE));
 }
--- a/crates/fleet/tests/pacer.rs
+++ b/crates/fleet/tests/pacer.rs
@@ -1,7 +1,7 @@
 //! Times at which gateways may send to back ends that state a limit.
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::pacer::{AHEAD, BURST, Pacer, SendTime};
+use gorsebank_fleet::pacer::{BURST_MS, MAX_LEAD_MS, Pacer, SendTime};
 use proptest::prelude::*;
 
 const ENGINE: u64 = 7;
@@ -11,13 +11,13 @@
 
 /// A gateway that has counted for long enough to give out times at any rate.
 fn settled() -> (Pacer, u64) {
-    (Pacer::new(Timestamp(0)), AHEAD + 10_000)
+    (Pacer::new(Timestamp(0)), MAX_LEAD_MS + 10_000)
 }
 
 #[test]
 fn times_follow_each_other_at_the_rate() {
     let (mut pacer, now) = settled();
-    let take = |pacer: &mut Pacer, now, most| pacer.take(Timestamp(now), ENGINE, 2.0, most);
+    let take = |pacer: &mut Pacer, now, most| pacer.assign(Timestamp(now), ENGINE, 2.0, most);
     // After a rest the first one counts as a tenth of a second old.
     assert_eq!(take(&mut pacer, now, 0), SendTime::In(0));
     assert_eq!(take(&mut pacer, now, 0), SendTime::Later(400));
@@ -33,11 +33,11 @@
 fn whoever_begins_to_count_leaves_room_for_what_the_former_one_gave_out() {
     let mut pacer = Pacer::new(Timestamp(5_000));
     assert_eq!(
-        pacer.take(Timestamp(5_200), ENGINE, 4.0, 0),
+        pacer.assign(Timestamp(5_200), ENGINE, 4.0, 0),
         SendTime::Later(1_050)
     );
     assert_eq!(
-        pacer.take(Timestamp(6_250), ENGINE, 4.0, 0),
+        pacer.assign(Timestamp(6_250), ENGINE, 4.0, 0),
         SendTime::In(0)
     );
 }
@@ -45,18 +45,24 @@
 #[test]
 fn each_back_end_has_its_own_times() {
     let (mut pacer, now) = settled();
-    assert_eq!(pacer.take(Timestamp(now), 1, 1.0, 0), SendTime::In(0));
-    assert_eq!(pacer.take(Timestamp(now), 2, 1.0, 0), SendTime::In(0));
-    assert_eq!(pacer.take(Timestamp(now), 1, 1.0, 0), SendTime::Later(900));
+    assert_eq!(pacer.assign(Timestamp(now), 1, 1.0, 0), SendTime::In(0));
+    assert_eq!(pacer.assign(Timestamp(now), 2, 1.0, 0), SendTime::In(0));
+    assert_eq!(
+        pacer.assign(Timestamp(now), 1, 1.0, 0),
+        SendTime::Later(900)
+    );
 }
 
 /// One that takes nothing has to be asked some time whether it still says so.
 #[test]
 fn a_back_end_that_takes_nothing_is_asked_now_and_then() {
     let (mut pacer, now) = settled();
-    assert_eq!(pacer.take(Timestamp(now), ENGINE, 0.0, 0), SendTime::In(0));
     assert_eq!(
-        pacer.take(Timestamp(now), ENGINE, 0.0, 0),
+        pacer.assign(Timestamp(now), ENGINE, 0.0, 0),
+        SendTime::In(0)
+    );
+    assert_eq!(
+        pacer.assign(Timestamp(now), ENGINE, 0.0, 0),
         SendTime::Later(10_000)
     );
 }
@@ -64,9 +70,12 @@
 #[test]
 fn a_rate_that_rises_counts_at_once() {
     let (mut pacer, now) = settled();
-    assert_eq!(pacer.take(Timestamp(now), ENGINE, 0.1, 0), SendTime::In(0));
     assert_eq!(
-        pacer.take(Timestamp(now + 100), ENGINE, 100.0, 0),
+        pacer.assign(Timestamp(now), ENGINE, 0.1, 0),
+        SendTime::In(0)
+    );
+    assert_eq!(
+        pacer.assign(Timestamp(now + 100), ENGINE, 100.0, 0),
         SendTime::In(0)
     );
 }
@@ -88,15 +97,15 @@
             if turn == 0 {
                 pacer = Pacer::new(Timestamp(now));
             }
-            if let SendTime::In(wait) = pacer.take(Timestamp(now), ENGINE, rate, most_wait) {
-                prop_assert!(wait <= most_wait.min(AHEAD));
+            if let SendTime::In(wait) = pacer.assign(Timestamp(now), ENGINE, rate, most_wait) {
+                prop_assert!(wait <= most_wait.min(MAX_LEAD_MS));
                 times.push((now + wait) as f64);
             }
         }
         times.sort_by(f64::total_cmp);
         for (index, begin) in times.iter().enumerate() {
             let within = times[index..].iter().filter(|time| **time - begin < USERS_SPAN);
-            let most = rate * (USERS_SPAN + BURST) / 1_000.0 + 1.0;
+            let most = rate * (USERS_SPAN + BURST_MS) / 1_000.0 + 1.0;
             prop_assert!(within.count() as f64 <= most, "more than {most}");
             prop_assert!(most <= rate * 6.0 + 5.0, "within what users allow");
         }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -88,7 +88,7 @@
         unloading: Some("m0".into()),
         ..PlacedRow::default()
     };
-    world.planner.inherit(&world.engines[0].id.clone(), &row);
+    world.planner.restore(&world.engines[0].id.clone(), &row);
     let actions = world.planner.plan(Timestamp(0), &configuration(), &[]);
     assert_eq!(actions.len(), 1);
     assert_eq!(actions[0].kind, ActionKind::Report);
@@ -369,7 +369,7 @@
     let mut gateway = gorsebank_fleet::Demand::default();
     let now = Timestamp(0);
     for (model, priority) in [("m3", 2), ("m9", 0)] {
-        gateway.arrived(now, &service, &model.into(), None, false);
+        gateway.record_arrival(now, &service, &model.into(), None, false);
         gateway.begin_waiting(&service, &model.into(), priority);
     }
     let rows = vec![gateway.row(now)];
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -5,7 +5,8 @@
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::Fingerprint;
 use gorsebank_fleet::quarantine::{
-    ENDS_TO_BLAME, Quarantine, RunOutcome, Source, ToldOutcome, VERDICT_TIME, blame, hash,
+    EventSource, MIN_CRASHES, OutcomeNotice, QUARANTINE_MS, Quarantine, RunOutcome,
+    attribute_crashes, incarnation_hash,
 };
 use proptest::prelude::*;
 
@@ -14,17 +15,23 @@
 }
 
 fn end(quarantine: &mut Quarantine, at: u64, number: u8, back_end: &str) {
-    quarantine.note_end(Timestamp(at), request(number), hash(&back_end.into(), None));
+    quarantine.record_crash(
+        Timestamp(at),
+        request(number),
+        incarnation_hash(&back_end.into(), None),
+    );
 }
 
 fn is_kept_away(quarantine: &Quarantine, at: u64, number: u8) -> bool {
-    quarantine.verdict(Timestamp(at), request(number)).is_some()
+    quarantine
+        .remaining_ms(Timestamp(at), request(number))
+        .is_some()
 }
 
 /// Tells everything that one knows to another.
 fn tell_all(at: u64, from: &Quarantine, to: &mut Quarantine) {
-    let told = from.since(Timestamp(at), None);
-    to.take(Timestamp(at), &told, Source::Beside);
+    let told = from.notices_since(Timestamp(at), None);
+    to.merge(Timestamp(at), &told, EventSource::Beside);
 }
 
 #[test]
@@ -44,8 +51,8 @@
     end(&mut quarantine, 2_000, 1, "i-2");
     assert!(!is_kept_away(&quarantine, 2_000, 1));
     end(&mut quarantine, 3_000, 1, "i-3");
-    let left = quarantine.verdict(Timestamp(4_000), request(1));
-    assert_eq!(left, Some(VERDICT_TIME - 1_000));
+    let left = quarantine.remaining_ms(Timestamp(4_000), request(1));
+    assert_eq!(left, Some(QUARANTINE_MS - 1_000));
 }
 
 /// Guards against storing an arbitrary subset when there are more verdicts than the row holds:
@@ -65,8 +72,8 @@
             );
         }
     }
-    assert_eq!(quarantine.verdict_count(), usize::from(VERDICTS));
-    let events = quarantine.verdict_events(Timestamp(200_000));
+    assert_eq!(quarantine.quarantined_count(), usize::from(VERDICTS));
+    let events = quarantine.entry_notices(Timestamp(200_000));
     let kept_requests: BTreeSet<Fingerprint> =
         events.iter().map(|event| event.fingerprint).collect();
     let newest_requests: BTreeSet<Fingerprint> = (40..VERDICTS).map(request).collect();
@@ -79,11 +86,11 @@
     for (at, back_end) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
         end(&mut quarantine, at, 1, back_end);
     }
-    let later = VERDICT_TIME + 2;
+    let later = QUARANTINE_MS + 2;
     assert!(is_kept_away(&quarantine, later - 1, 1));
     assert!(!is_kept_away(&quarantine, later, 1));
     end(&mut quarantine, later, 1, "i-4");
-    assert!(is_kept_away(&quarantine, later + VERDICT_TIME - 1, 1));
+    assert!(is_kept_away(&quarantine, later + QUARANTINE_MS - 1, 1));
 }
 
 #[test]
@@ -119,7 +126,7 @@
     for (at, back_end) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
         end(&mut quarantine, at, 1, back_end);
     }
-    quarantine.note_served(Timestamp(2_000), request(1));
+    quarantine.record_served(Timestamp(2_000), request(1));
     assert!(!is_kept_away(&quarantine, 2_000, 1));
     end(&mut quarantine, 40_000, 1, "i-4");
     end(&mut quarantine, 40_001, 1, "i-5");
@@ -133,7 +140,7 @@
 fn a_gateway_that_served_it_of_late_vouches_for_it_to_all() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
-    other.note_served(Timestamp(500), request(1));
+    other.record_served(Timestamp(500), request(1));
     for back_end in ["i-1", "i-2", "i-3"] {
         end(&mut one, 9_000, 1, back_end);
     }
@@ -149,7 +156,7 @@
 fn a_request_that_is_served_elsewhere_is_not_kept_away_however_many_end_at_once() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
-    other.note_served(Timestamp(500), request(1));
+    other.record_served(Timestamp(500), request(1));
     for (number, back_end) in ["i-1", "i-2", "i-3", "i-4", "i-5", "i-6"]
         .iter()
         .enumerate()
@@ -181,7 +188,7 @@
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
     end(&mut one, 0, 1, "i-1");
-    other.note_served(Timestamp(5), request(1));
+    other.record_served(Timestamp(5), request(1));
     for round in 0..10 {
         tell_all(10 + round, &one, &mut other);
         tell_all(10 + round, &other, &mut one);
@@ -197,23 +204,26 @@
     let mut quarantine = Quarantine::new(1);
     assert!(!quarantine.is_ahead_of(None), "there is nothing to tell");
     end(&mut quarantine, 0, 1, "i-1");
-    let told_above = ToldOutcome {
+    let told_above = OutcomeNotice {
         fingerprint: request(2),
         outcome: RunOutcome::Ended(7),
         age: 3,
     };
-    quarantine.take(Timestamp(5), &[told_above], Source::Beside);
-    assert_eq!(quarantine.since(Timestamp(5), None).len(), 2);
-    assert_eq!(quarantine.seen_below_since(Timestamp(5), None).len(), 1);
+    quarantine.merge(Timestamp(5), &[told_above], EventSource::Beside);
+    assert_eq!(quarantine.notices_since(Timestamp(5), None).len(), 2);
+    assert_eq!(
+        quarantine.subtree_notices_since(Timestamp(5), None).len(),
+        1
+    );
     let position = Some(quarantine.position());
     assert!(!quarantine.is_ahead_of(position));
-    assert!(quarantine.since(Timestamp(5), position).is_empty());
+    assert!(quarantine.notices_since(Timestamp(5), position).is_empty());
     end(&mut quarantine, 6, 1, "i-2");
-    assert_eq!(quarantine.since(Timestamp(9), position)[0].age, 3);
+    assert_eq!(quarantine.notices_since(Timestamp(9), position)[0].age, 3);
     let of_a_former_process = Quarantine::new(2).position();
     assert_eq!(
         quarantine
-            .since(Timestamp(9), Some(of_a_former_process))
+            .notices_since(Timestamp(9), Some(of_a_former_process))
             .len(),
         3
     );
@@ -227,9 +237,9 @@
         end(&mut old, 0, 1, back_end);
     }
     let mut young = Quarantine::new(2);
-    let told = old.since(Timestamp(VERDICT_TIME - 1_000), None);
-    young.take(Timestamp(10), &told, Source::Beside);
-    assert_eq!(young.verdict(Timestamp(10), request(1)), Some(1_000));
+    let told = old.notices_since(Timestamp(QUARANTINE_MS - 1_000), None);
+    young.merge(Timestamp(10), &told, EventSource::Beside);
+    assert_eq!(young.remaining_ms(Timestamp(10), request(1)), Some(1_000));
 }
 
 #[test]
@@ -238,13 +248,13 @@
     for number in 0..20_000_u32 {
         let fingerprint = Fingerprint::of(&[&number.to_le_bytes()]);
         let back_end = format!("i-{}", number / 64);
-        quarantine.note_end(
+        quarantine.record_crash(
             Timestamp(u64::from(number)),
             fingerprint,
-            hash(&back_end.into(), None),
+            incarnation_hash(&back_end.into(), None),
         );
     }
-    assert!(quarantine.since(Timestamp(20_000), None).len() <= 4_096);
+    assert!(quarantine.notices_since(Timestamp(20_000), None).len() <= 4_096);
     for back_end in ["i-a", "i-b", "i-c"] {
         end(&mut quarantine, 20_001, 1, back_end);
     }
@@ -262,13 +272,13 @@
         for (number, back_end) in there {
             ends.entry(request(number)).or_default().insert(back_end);
         }
-        let blamed = blame(&ends);
+        let blamed = attribute_crashes(&ends);
         for fingerprint in &blamed {
-            prop_assert!(ends[fingerprint].len() >= ENDS_TO_BLAME);
+            prop_assert!(ends[fingerprint].len() >= MIN_CRASHES);
         }
         let explained: BTreeSet<u64> = blamed.iter().flat_map(|it| ends[it].clone()).collect();
         for (fingerprint, ends) in &ends {
-            if ends.len() >= ENDS_TO_BLAME {
+            if ends.len() >= MIN_CRASHES {
                 prop_assert!(blamed.contains(fingerprint) || ends.is_subset(&explained));
             }
         }
--- a/crates/fleet/tests/reading.rs
+++ b/crates/fleet/tests/reading.rs
@@ -2,7 +2,7 @@
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::choice::{Candidate, cheapest};
-use gorsebank_fleet::{KeptParts, Prompt, PromptPart, ReadingModel, ReadingRow};
+use gorsebank_fleet::{CachedPrefixes, PrefillModel, PrefillSpeedRow, Prompt, PromptPart};
 use gorsebank_world::{BackEndId, ModelId};
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -24,13 +24,13 @@
     Candidate {
         running: in_flight,
         slots: 0,
-        same_zone: true,
+        is_in_same_zone: true,
         failure_rate: 0.0,
         relative_latency: 1.0,
-        warm_prompt: false,
-        connected: true,
+        has_cached_prefix: false,
+        is_connected: true,
         stall,
-        relative_pace,
+        relative_gap: relative_pace,
     }
 }
 
@@ -45,16 +45,16 @@
 }
 
 /// A model that has seen streams at engines of these speeds.
-fn learned(speeds: &[f64]) -> ReadingModel {
-    let mut reading = ReadingModel::default();
+fn learned(speeds: &[f64]) -> PrefillModel {
+    let mut reading = PrefillModel::default();
     for round in 0..300 {
         let number = round % speeds.len();
         // Every tenth event waits for the reading of another prompt.
         let waits = if round % 10 == 0 { 90.0 } else { 0.0 };
         let gap = (GAP + waits) * speeds[number];
-        reading.note_gap(NOW, &engine(number), &model(), gap);
+        reading.record_gap(NOW, &engine(number), &model(), gap);
         let latency = (1_000.0 * READ + waits) * speeds[number];
-        reading.note_reading(NOW, &engine(number), &model(), latency, 1_000);
+        reading.record_prefill(NOW, &engine(number), &model(), latency, 1_000);
     }
     reading
 }
@@ -63,7 +63,7 @@
 fn a_slow_engine_is_expected_to_read_longer() {
     let reading = learned(&[1.0, 1.3]);
     let time = |number: usize| {
-        let time = reading.time(NOW, &engine(number), &model(), 4_000);
+        let time = reading.prefill_time(NOW, &engine(number), &model(), 4_000);
         time.expect("something was learned")
     };
     assert!((170.0..250.0).contains(&time(0)), "{}", time(0));
@@ -74,10 +74,13 @@
 #[test]
 fn an_unknown_engine_is_expected_to_be_like_the_others() {
     let reading = learned(&[1.0, 1.0]);
-    let time = reading.time(NOW, &engine(7), &model(), 4_000);
+    let time = reading.prefill_time(NOW, &engine(7), &model(), 4_000);
     let time = time.expect("the model is known");
     assert!((150.0..300.0).contains(&time), "{time}");
-    assert_eq!(reading.time(NOW, &engine(7), &"other".into(), 10), None);
+    assert_eq!(
+        reading.prefill_time(NOW, &engine(7), &"other".into(), 10),
+        None
+    );
 }
 
 /// Found on tks-indoor, quiet-1: gateways that had sent nothing to a slow engine
@@ -86,12 +89,12 @@
 fn a_gateway_knows_a_slow_engine_from_what_others_saw() {
     let mut busy = learned(&[1.0, 1.3]);
     let mut other = learned(&[1.0, 1.3]);
-    let row = ReadingRow::merge(&[busy.sample(NOW, 9), other.sample(NOW, 9)]);
-    let mut new = ReadingModel::default();
-    assert_eq!(new.time(NOW, &engine(1), &model(), 4_000), None);
-    new.adopt(row);
+    let row = PrefillSpeedRow::merge(&[busy.sample(NOW, 9), other.sample(NOW, 9)]);
+    let mut new = PrefillModel::default();
+    assert_eq!(new.prefill_time(NOW, &engine(1), &model(), 4_000), None);
+    new.set_merged(row);
     let time = |number: usize| {
-        let time = new.time(NOW, &engine(number), &model(), 4_000);
+        let time = new.prefill_time(NOW, &engine(number), &model(), 4_000);
         time.expect("others have told")
     };
     let ratio = time(1) / time(0);
@@ -102,31 +105,31 @@
 #[test]
 fn own_events_of_late_are_believed_more_than_what_others_saw() {
     let mut reading = learned(&[1.0]);
-    let told = ReadingRow::merge(&[reading.sample(NOW, 9)]);
-    reading.adopt(told.clone());
-    let before = reading.time(NOW, &engine(0), &model(), 4_000);
+    let told = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
+    reading.set_merged(told.clone());
+    let before = reading.prefill_time(NOW, &engine(0), &model(), 4_000);
     for _ in 0..100 {
-        reading.note_gap(NOW, &engine(0), &model(), GAP * 3.0);
+        reading.record_gap(NOW, &engine(0), &model(), GAP * 3.0);
     }
-    let after = reading.time(NOW, &engine(0), &model(), 4_000);
+    let after = reading.prefill_time(NOW, &engine(0), &model(), 4_000);
     assert!(
         after > before.map(|time| time * 2.0),
         "{before:?} {after:?}"
     );
     let later = Timestamp(NOW.0 + 6_000);
-    let old = reading.time(later, &engine(0), &model(), 4_000);
-    let mut told_only = ReadingModel::default();
-    told_only.adopt(told);
-    let told = told_only.time(later, &engine(0), &model(), 4_000);
+    let old = reading.prefill_time(later, &engine(0), &model(), 4_000);
+    let mut told_only = PrefillModel::default();
+    told_only.set_merged(told);
+    let told = told_only.prefill_time(later, &engine(0), &model(), 4_000);
     assert_eq!(old, told, "then it counts no more");
 }
 
 #[test]
 fn a_row_is_news_only_when_it_says_something_else() {
     let mut reading = learned(&[1.0, 1.3]);
-    let told = ReadingRow::merge(&[reading.sample(NOW, 9)]);
-    assert!(told.is_news(&ReadingRow::default()));
-    assert!(!told.is_news(&told));
+    let told = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
+    assert!(told.differs_from(&PrefillSpeedRow::default()));
+    assert!(!told.differs_from(&told));
     let mut near = told.clone();
     *near
         .engines
@@ -134,14 +137,14 @@
         .unwrap()
         .get_mut(&model())
         .unwrap() *= 1.05;
-    assert!(!near.is_news(&told));
+    assert!(!near.differs_from(&told));
     let mut far = told.clone();
     *far.engines
         .get_mut(&engine(0))
         .unwrap()
         .get_mut(&model())
         .unwrap() *= 1.2;
-    assert!(far.is_news(&told));
+    assert!(far.differs_from(&told));
 }
 
 /// A holder that has just begun has heard little: what is told stays, but for
@@ -149,23 +152,23 @@
 #[test]
 fn what_nobody_has_seen_of_late_is_kept_while_the_engine_is_there() {
     let mut reading = learned(&[1.0, 1.3]);
-    let earlier = ReadingRow::merge(&[reading.sample(NOW, 9)]);
-    let mut row = ReadingRow::default();
-    row.keep(&earlier, |id| *id == engine(1));
+    let earlier = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
+    let mut row = PrefillSpeedRow::default();
+    row.fill_from(&earlier, |id| *id == engine(1));
     assert_eq!(row.gap(&engine(0), &model()), None);
     assert_eq!(
         row.gap(&engine(1), &model()),
         earlier.gap(&engine(1), &model())
     );
     assert_eq!(row.gaps_per_token, earlier.gaps_per_token);
-    assert!(row.is_news(&earlier), "an engine left");
+    assert!(row.differs_from(&earlier), "an engine left");
 }
 
 #[test]
 fn rows_have_room_for_a_bounded_number_of_engines() {
-    let mut reading = ReadingModel::default();
+    let mut reading = PrefillModel::default();
     for number in 0..3_000 {
-        reading.note_gap(NOW, &engine(number), &model(), GAP);
+        reading.record_gap(NOW, &engine(number), &model(), GAP);
     }
     let sample = reading.sample(NOW, 9);
     assert_eq!(sample.engines.len(), 48);
@@ -181,10 +184,10 @@
                 };
                 (engine(gateway * 40 + number), model(), sample)
             });
-            gorsebank_fleet::ReadingSample::new(9, seen, None)
+            gorsebank_fleet::PrefillSpeedSample::new(9, seen, None)
         })
         .collect();
-    let row = ReadingRow::merge(&many);
+    let row = PrefillSpeedRow::merge(&many);
     assert_eq!(row.engines.len(), 1_000);
     let text = serde_json::to_string(&row).expect("it can be written");
     assert!(text.len() < 48_000, "{} bytes", text.len());
@@ -217,26 +220,26 @@
 #[test]
 fn a_part_counts_as_read_only_behind_all_before_it() {
     let model = ModelId::from("m");
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
     let first = Prompt::new(vec![part("a", 100), part("b", 50), part("own", 7)]);
-    assert_eq!(kept.fresh_tokens(&model, None, &first), 157);
-    kept.note(Timestamp(0), &model, None, &first);
-    assert_eq!(kept.fresh_tokens(&model, None, &first), 7);
+    assert_eq!(kept.uncached_tokens(&model, None, &first), 157);
+    kept.record(Timestamp(0), &model, None, &first);
+    assert_eq!(kept.uncached_tokens(&model, None, &first), 7);
     let other = Prompt::new(vec![part("c", 100), part("b", 50), part("own", 7)]);
-    assert_eq!(kept.fresh_tokens(&model, None, &other), 157);
+    assert_eq!(kept.uncached_tokens(&model, None, &other), 157);
     let adapter = "x".into();
-    assert_eq!(kept.fresh_tokens(&model, Some(&adapter), &first), 157);
+    assert_eq!(kept.uncached_tokens(&model, Some(&adapter), &first), 157);
 }
 
 #[test]
 fn parts_that_were_not_sent_for_long_are_forgotten() {
     let model = ModelId::from("m");
-    let mut kept = KeptParts::default();
+    let mut kept = CachedPrefixes::default();
     let prompt = |number: u32| Prompt::new(vec![part(&format!("p{number}"), 10), part("own", 1)]);
-    kept.note(Timestamp(0), &model, None, &prompt(0));
+    kept.record(Timestamp(0), &model, None, &prompt(0));
     for number in 1..=600 {
-        kept.note(Timestamp(40_000), &model, None, &prompt(number));
+        kept.record(Timestamp(40_000), &model, None, &prompt(number));
     }
-    assert_eq!(kept.fresh_tokens(&model, None, &prompt(0)), 11);
-    assert_eq!(kept.fresh_tokens(&model, None, &prompt(600)), 1);
+    assert_eq!(kept.uncached_tokens(&model, None, &prompt(0)), 11);
+    assert_eq!(kept.uncached_tokens(&model, None, &prompt(600)), 1);
 }
--- a/crates/fleet/tests/requested_pause.rs
+++ b/crates/fleet/tests/requested_pause.rs
@@ -29,12 +29,18 @@
 fn a_pause_ends_no_earlier_than_asked_for() {
     let mut paused = PausedBackEnds::default();
     let now = Timestamp(1_000);
-    assert!(paused.note(now, ENGINE, Duration::from_micros(2_500)));
-    assert!(!paused.note(now, ENGINE, Duration::ZERO), "paused already");
-    assert_eq!(paused.left(now, ENGINE), Some(Duration::from_millis(3)));
-    assert!(paused.left(now + 2, ENGINE).is_some());
-    assert_eq!(paused.left(now + 3, ENGINE), None);
-    assert_eq!(paused.left(now, ENGINE + 1), None);
+    assert!(paused.record(now, ENGINE, Duration::from_micros(2_500)));
+    assert!(
+        !paused.record(now, ENGINE, Duration::ZERO),
+        "paused already"
+    );
+    assert_eq!(
+        paused.remaining(now, ENGINE),
+        Some(Duration::from_millis(3))
+    );
+    assert!(paused.remaining(now + 2, ENGINE).is_some());
+    assert_eq!(paused.remaining(now + 3, ENGINE), None);
+    assert_eq!(paused.remaining(now, ENGINE + 1), None);
 }
 
 proptest! {
@@ -50,14 +56,14 @@
         let mut ends = [0_u64; 2];
         for (index, (step, engine, pause)) in asked.into_iter().enumerate() {
             now = now + step;
-            paused.note(now, engine, Duration::from_millis(pause));
+            paused.record(now, engine, Duration::from_millis(pause));
             let end = &mut ends[engine as usize];
             *end = (*end).max(now.0 + pause);
             let (later, engine) = looks[index % looks.len()];
             let at = now + later;
             let left = ends[engine as usize].saturating_sub(at.0);
             let expected = (left > 0).then(|| Duration::from_millis(left));
-            prop_assert_eq!(paused.left(at, engine), expected);
+            prop_assert_eq!(paused.remaining(at, engine), expected);
         }
     }
 }
--- a/crates/fleet/tests/retry_window.rs
+++ b/crates/fleet/tests/retry_window.rs
@@ -13,15 +13,10 @@
 #[test]
 fn without_requests_a_node_has_its_part_of_the_allowance() {
     let mut window = RetryWindow::new(SHARE);
-    let granted = (0..100)
-        .filter(|_| window.withdraw(Timestamp(5), 8))
-        .count();
+    let granted = (0..100).filter(|_| window.take(Timestamp(5), 8)).count();
     assert_eq!(granted, 3, "52 x 0.5 / 8");
-    assert!(!window.withdraw(Timestamp(9_000), 8));
-    assert!(
-        window.withdraw(Timestamp(10_006), 8),
-        "the window has passed"
-    );
+    assert!(!window.take(Timestamp(9_000), 8));
+    assert!(window.take(Timestamp(10_006), 8), "the window has passed");
 }
 
 proptest! {
@@ -43,9 +38,9 @@
                 windows[0] = RetryWindow::new(SHARE);
             }
             if kind == 0 {
-                windows[node].request(Timestamp(now));
+                windows[node].record_request(Timestamp(now));
                 requests.push(now);
-            } else if windows[node].withdraw(Timestamp(now), nodes) {
+            } else if windows[node].take(Timestamp(now), nodes) {
                 retries.push(now);
             }
         }
--- a/crates/fleet/tests/running.rs
+++ b/crates/fleet/tests/running.rs
@@ -13,14 +13,14 @@
 #[test]
 fn counts_add_up_on_the_way_to_the_roots_and_between_them() {
     let mut middle = Running::default();
-    middle.note_fed(NOW, "leaf-1", counts(&[(1, 2), (2, 1)]));
-    middle.note_fed(NOW, "leaf-2", counts(&[(2, 4)]));
-    let below_middle = middle.below(NOW, &counts(&[(3, 1)]));
+    middle.record_child(NOW, "leaf-1", counts(&[(1, 2), (2, 1)]));
+    middle.record_child(NOW, "leaf-2", counts(&[(2, 4)]));
+    let below_middle = middle.subtree_counts(NOW, &counts(&[(3, 1)]));
     assert_eq!(below_middle, counts(&[(1, 2), (2, 5), (3, 1)]));
     let mut root = Running::default();
-    root.note_fed(NOW, "middle", below_middle);
-    root.note_root(NOW, "root-2", counts(&[(1, 7)]));
-    let sums = root.at_root(NOW, &counts(&[]));
+    root.record_child(NOW, "middle", below_middle);
+    root.record_root(NOW, "root-2", counts(&[(1, 7)]));
+    let sums = root.root_totals(NOW, &counts(&[]));
     assert_eq!(sums, counts(&[(1, 9), (2, 5), (3, 1)]));
 }
 
@@ -28,23 +28,26 @@
 fn a_gateway_counts_its_own_requests_as_they_are_now() {
     let mut leaf = Running::default();
     let told = counts(&[(1, 2)]);
-    leaf.note_sums(NOW, &counts(&[(1, 9), (2, 5)]), &told);
-    assert_eq!(leaf.of_others(NOW, 1), 7);
-    assert_eq!(leaf.of_others(NOW, 2), 5);
-    assert_eq!(leaf.of_others(NOW, 3), 0);
+    leaf.record_totals(NOW, &counts(&[(1, 9), (2, 5)]), &told);
+    assert_eq!(leaf.running_elsewhere(NOW, 1), 7);
+    assert_eq!(leaf.running_elsewhere(NOW, 2), 5);
+    assert_eq!(leaf.running_elsewhere(NOW, 3), 0);
     let now = counts(&[(2, 1)]);
-    assert_eq!(leaf.sums(NOW, &now), Some(counts(&[(1, 7), (2, 6)])));
+    assert_eq!(
+        leaf.forwarded_totals(NOW, &now),
+        Some(counts(&[(1, 7), (2, 6)]))
+    );
 }
 
 #[test]
 fn what_is_not_told_again_counts_no_more() {
     let mut gateway = Running::default();
-    gateway.note_fed(NOW, "gone", counts(&[(1, 2)]));
-    gateway.note_sums(NOW, &counts(&[(1, 9)]), &counts(&[]));
+    gateway.record_child(NOW, "gone", counts(&[(1, 2)]));
+    gateway.record_totals(NOW, &counts(&[(1, 9)]), &counts(&[]));
     let later = NOW + 2_000;
-    assert_eq!(gateway.below(later, &counts(&[])), counts(&[]));
-    assert_eq!(gateway.of_others(later, 1), 0);
-    assert_eq!(gateway.sums(later, &counts(&[])), None);
+    assert_eq!(gateway.subtree_counts(later, &counts(&[])), counts(&[]));
+    assert_eq!(gateway.running_elsewhere(later, 1), 0);
+    assert_eq!(gateway.forwarded_totals(later, &counts(&[])), None);
 }
 
 #[test]
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -6,7 +6,7 @@
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::placement::{
-    Action, ActionKind, LoadBound, Obstacle, OrderKind, OrderResult, Planner,
+    Action, ActionKind, LoadRateLimit, Obstacle, OrderKind, OrderResult, Planner,
 };
 use gorsebank_fleet::{
     BackEndReport, Born, Configuration, DemandRow, Engine, EngineReport, Holdings, Limits,
@@ -26,8 +26,8 @@
 const ADAPTER_TIME: u64 = 30;
 
 /// The bound on loads that the weight store of these tests keeps.
-pub fn load_bound() -> LoadBound {
-    LoadBound {
+pub fn load_bound() -> LoadRateLimit {
+    LoadRateLimit {
         window: Duration::from_secs(5),
         overage: 1.1,
         extra: 3.0,
@@ -69,7 +69,7 @@
     let service = Service {
         id: service(),
         max_connections: 100,
-        cold_rate: None,
+        warm_up_rate: None,
         engine: Some(engine),
     };
     let limits = Limits {
@@ -421,7 +421,7 @@
                 address: "127.0.0.1:1".parse().expect("an address"),
                 zone: "hall".into(),
                 slots: 64,
-                cold_left: 0,
+                warm_up_left_ms: 0,
                 draining: false,
                 holdings: engine.holdings.clone(),
                 in_memory: engine.copies.iter().cloned().collect(),
@@ -444,13 +444,13 @@
     pub fn change_holder(&mut self, now: u64, told: u64) {
         let mut loads = self.planner.store_records(Timestamp(now));
         for record in loads.values_mut() {
-            record.recent.retain(|load| load.age >= told);
+            record.recent.retain(|load| load.age_ms >= told);
         }
         let rows = std::mem::take(&mut self.published);
         self.planner = Planner::new(Timestamp(now), load_bound(), loads);
         self.observe(now);
         for (id, row) in &rows {
-            self.planner.inherit(id, row);
+            self.planner.restore(id, row);
         }
         self.published = rows;
     }
@@ -513,7 +513,7 @@
         self.carry_out_late(now);
         self.observe(now);
         let actions = self.planner.plan(Timestamp(now), &configuration(), rows);
-        let unmet = self.planner.unmet_wishes().iter();
+        let unmet = self.planner.deferred_loads().iter();
         self.obstacles.extend(unmet.map(|wish| wish.obstacle));
         let written = self.planner.rows(Timestamp(now), 1);
         self.published.extend(written);
@@ -560,11 +560,12 @@
                     |engine: &&EngineModel| engine.id == id && self.silent.as_ref() != Some(&id);
                 let engine = self.engines.iter().find(answers);
                 let report = engine.map(|engine| engine.stale_report(now));
-                self.planner.reported(Timestamp(now), &id, report);
+                self.planner.apply_report(Timestamp(now), &id, report);
             }
             ActionKind::Order { order, sequence } => {
                 let result = self.order_with_faults(now, &id, &order, sequence);
-                self.planner.ordered(Timestamp(now), &id, &order, result);
+                self.planner
+                    .apply_order_result(Timestamp(now), &id, &order, result);
             }
         }
     }
--- a/crates/fleet/tests/tenant.rs
+++ b/crates/fleet/tests/tenant.rs
@@ -30,7 +30,7 @@
     let list = vec![entry("crews", &["a", "b"]), entry("desks", &["c"])];
     let tenants = Tenants::new(list).expect("a list");
     let holder = |key: &str| {
-        let holder = tenants.holder(&ApiKey::from(key));
+        let holder = tenants.tenant_of_key(&ApiKey::from(key));
         holder.map(|tenant| tenant.id.to_string())
     };
     assert_eq!(holder("b").as_deref(), Some("crews"));
@@ -42,7 +42,7 @@
 #[test]
 fn what_makes_no_sense_is_told_by_its_place() {
     let nameless = error(vec![entry("crews", &[]), entry("", &[])]);
-    assert_eq!(nameless, TenantsError::NoName { index: 1 });
+    assert_eq!(nameless, TenantsError::EmptyName { index: 1 });
     let twice = error(vec![entry("crews", &["a"]), entry("crews", &["b"])]);
     assert_eq!(
         twice.to_string(),
@@ -61,7 +61,7 @@
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
         let mut wrong = entry("crews", &["a"]);
         wrong.tenant.limit = Some(limit(rate, LimitUnit::Requests));
-        let place = TenantsError::WrongLimit {
+        let place = TenantsError::InvalidLimit {
             index: 0,
             name: "crews".into(),
         };
@@ -85,7 +85,12 @@
 fn a_request_counts_as_its_limit_says() {
     let by_request = limit(5.0, LimitUnit::Requests);
     assert_eq!(by_request.cost(Some(1_540)), 1.0);
-    let by_token = limit(2_700.0, LimitUnit::Tokens { plain: 200.0 });
+    let by_token = limit(
+        2_700.0,
+        LimitUnit::Tokens {
+            default_cost: 200.0,
+        },
+    );
     assert_eq!(by_token.cost(Some(1_540)), 1_540.0);
     assert_eq!(by_token.cost(None), 200.0);
 }
--- a/crates/gateway/src/patient_calls.rs
+++ b/crates/gateway/src/adaptive_client.rs
@@ -12,20 +12,20 @@
 use http::{HeaderValue, Method, Request, StatusCode};
 use tokio::time::{Instant, timeout};
 
-use crate::http_connection::KeptConnections;
-use crate::patience::Patience;
+use crate::adaptive_timeout::AdaptiveTimeout;
+use crate::http_connection::ConnectionPool;
 use crate::ports::TableError;
 
 /// Client for one service.
-pub struct PatientCalls {
-    connections: KeptConnections,
-    timeout: Patience,
+pub struct AdaptiveClient {
+    connections: ConnectionPool,
+    timeout: AdaptiveTimeout,
 }
 
-impl PatientCalls {
+impl AdaptiveClient {
     /// Creates a client that uses these connections.
-    pub fn new(connections: KeptConnections, timeout: Patience) -> Self {
-        PatientCalls {
+    pub fn new(connections: ConnectionPool, timeout: AdaptiveTimeout) -> Self {
+        AdaptiveClient {
             connections,
             timeout,
         }
@@ -42,7 +42,8 @@
         path: String,
         body: Bytes,
     ) -> Result<Request<Bytes>, TableError> {
-        let content_error = |error: &dyn std::fmt::Display| TableError::Content(error.to_string());
+        let content_error =
+            |error: &dyn std::fmt::Display| TableError::InvalidResponse(error.to_string());
         let host = HeaderValue::from_str(&self.connections.address().to_string())
             .map_err(|error| content_error(&error))?;
         let uri = path.parse().map_err(|error| content_error(&error))?;
@@ -62,17 +63,17 @@
     /// # Errors
     ///
     /// Fails if the response is lost.
-    pub async fn quick(
+    pub async fn send(
         &self,
         request: Request<Bytes>,
         is_rejected: impl Fn(StatusCode) -> bool,
     ) -> Result<(StatusCode, Bytes), TableError> {
         let started = Instant::now();
-        let result = self.call(request, self.timeout.wait()).await;
+        let result = self.call(request, self.timeout.current()).await;
         match &result {
             Ok((status, _)) if is_rejected(*status) => {}
-            Ok(_) => self.timeout.answered(started.elapsed()),
-            Err(_) => self.timeout.expired(),
+            Ok(_) => self.timeout.record_response(started.elapsed()),
+            Err(_) => self.timeout.record_timeout(),
         }
         result
     }
@@ -82,14 +83,14 @@
     /// # Errors
     ///
     /// Fails if the response is lost.
-    pub async fn waiting(
+    pub async fn long_poll(
         &self,
         request: Request<Bytes>,
         wait: Duration,
     ) -> Result<(StatusCode, Bytes), TableError> {
-        let result = self.call(request, wait + self.timeout.wait()).await;
+        let result = self.call(request, wait + self.timeout.current()).await;
         if result.is_err() {
-            self.timeout.expired();
+            self.timeout.record_timeout();
         }
         result
     }
@@ -100,12 +101,12 @@
         time_limit: Duration,
     ) -> Result<(StatusCode, Bytes), TableError> {
         match timeout(time_limit, self.connections.exchange(request)).await {
-            Ok(result) => result.map_err(|error| TableError::Lost(error.to_string())),
+            Ok(result) => result.map_err(|error| TableError::NoResponse(error.to_string())),
             Err(_) => {
                 // Connections can go silent without a reset, and then all open ones do so together.
                 // The next call must open a new connection.
                 self.connections.clear();
-                Err(TableError::Lost("timed out".to_owned()))
+                Err(TableError::NoResponse("timed out".to_owned()))
             }
         }
     }
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/adaptive_timeout.rs
@@ -18,7 +18,7 @@
 
 /// Timeout for the calls of one service.
 #[derive(Debug)]
-pub struct Patience {
+pub struct AdaptiveTimeout {
     min: Duration,
     max: Duration,
     state: Mutex<State>,
@@ -31,7 +31,7 @@
     consecutive_timeouts: u32,
 }
 
-impl Patience {
+impl AdaptiveTimeout {
     /// Creates a timeout between `min` and `max`; the first calls use `max`.
     pub fn new(min: Duration, max: Duration) -> Self {
         let state = State {
@@ -39,7 +39,7 @@
             timeout: max,
             consecutive_timeouts: 0,
         };
-        Patience {
+        AdaptiveTimeout {
             min,
             max,
             state: Mutex::new(state),
@@ -47,12 +47,12 @@
     }
 
     /// The timeout of the next call.
-    pub fn wait(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         self.state.lock().timeout
     }
 
     /// Records a call whose response took `time`.
-    pub fn answered(&self, time: Duration) {
+    pub fn record_response(&self, time: Duration) {
         let mut state = self.state.lock();
         let average = match state.average {
             None => time,
@@ -64,7 +64,7 @@
     }
 
     /// Records a call without a response.
-    pub fn expired(&self) {
+    pub fn record_timeout(&self) {
         let mut state = self.state.lock();
         state.consecutive_timeouts += 1;
         if state
--- a/crates/gateway/src/admission/mod.rs
+++ b/crates/gateway/src/admission/mod.rs
@@ -49,7 +49,7 @@
                 if !wait_for_capacity(call, &chosen).await {
                     continue;
                 }
-                call.shared.metrics.queued(started.elapsed());
+                call.shared.metrics.record_queue_time(started.elapsed());
                 return Ok(chosen.back_end);
             }
             Err(missing) => missing,
@@ -77,12 +77,16 @@
     } else {
         max_capacity_wait(call)
     };
-    match call.shared.reserve(&chosen.back_end, rate, max_wait).await {
+    match call
+        .shared
+        .reserve_send_time(&chosen.back_end, rate, max_wait)
+        .await
+    {
         Reservation::In(wait) => {
             sleep(wait).await;
             true
         }
-        Reservation::NoRoom => false,
+        Reservation::NoCapacity => false,
     }
 }
 
@@ -128,7 +132,7 @@
     };
     let now = call.shared.now();
     let mut demand = call.shared.demand.lock();
-    if demand.wish(now, &call.service, model, adapter) {
+    if demand.record_unmet(now, &call.service, model, adapter) {
         call.shared.urgent_demand.notify_one();
     }
 }
@@ -164,7 +168,7 @@
     if let Some(model) = &call.metadata.model {
         let adapter = call.metadata.adapter.as_ref();
         let mut demand = call.shared.demand.lock();
-        demand.fulfilled(&call.service, model, adapter);
+        demand.clear_unmet(&call.service, model, adapter);
     }
     Ok(chosen)
 }
@@ -179,7 +183,7 @@
     };
     let availability = call
         .shared
-        .directory(|directory| directory.places(now, &call.service, model, Some(adapter)));
+        .directory(|directory| directory.availability(now, &call.service, model, Some(adapter)));
     if has_unlimited(call, now, &availability.without_adapter) {
         Missing::Adapter
     } else {
@@ -198,14 +202,14 @@
     let Some(model) = required_model(call) else {
         let members = call
             .shared
-            .directory(|directory| directory.members(now, service));
+            .directory(|directory| directory.active_back_ends(now, service));
         let untried = untried(members, tried).ok_or(Missing::BackEnd)?;
         return available(call, now, untried);
     };
     let adapter = call.metadata.adapter.as_ref();
     let availability = call
         .shared
-        .directory(|directory| directory.places(now, service, model, adapter));
+        .directory(|directory| directory.availability(now, service, model, adapter));
     if let Some(untried) = untried(availability.ready, tried) {
         return available(call, now, untried);
     }
--- a/crates/gateway/src/admission/refusal.rs
+++ b/crates/gateway/src/admission/refusal.rs
@@ -8,8 +8,8 @@
 use tokio::time::Instant;
 
 use super::waits::Missing;
+use crate::event_log::{self, LogPriority};
 use crate::failure::Failure;
-use crate::lines::{self, Rank};
 use crate::request::Call;
 
 /// Minimum `Retry-After` of a refusal.
@@ -40,7 +40,7 @@
         call.age().as_millis(),
         left.as_millis(),
     );
-    lines::write(Rank::Decision, "refused", fields);
+    event_log::write(LogPriority::Decision, "refused", fields);
     call.refuse("quarantined", left)
 }
 
@@ -62,7 +62,7 @@
         call.is_returning,
         call.configuration.version,
     );
-    lines::write(Rank::Decision, "waiting", fields);
+    event_log::write(LogPriority::Decision, "waiting", fields);
 }
 
 /// Log fields: when the load is expected to end, whether it is ordered, and the nearest copy.
@@ -92,5 +92,5 @@
         retry_after.as_millis(),
         call.configuration.version,
     );
-    lines::write(Rank::Decision, "refused", fields);
+    event_log::write(LogPriority::Decision, "refused", fields);
 }
--- a/crates/gateway/src/admission/waits.rs
+++ b/crates/gateway/src/admission/waits.rs
@@ -136,7 +136,7 @@
 
 /// How long the caller waits for the first event.
 fn caller_timeout(call: &Call) -> Duration {
-    let gap_timeout = call.route.pause_objective.unwrap_or_default() * CALLER_TIMEOUT_GAPS;
+    let gap_timeout = call.route.gap_objective.unwrap_or_default() * CALLER_TIMEOUT_GAPS;
     MIN_CALLER_TIMEOUT
         .max(call.route.objective * CALLER_TIMEOUT_OBJECTIVES)
         .max(gap_timeout)
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -20,9 +20,9 @@
 use crate::attempts::{Attempts, CONNECTION_LOST, PAUSED};
 use crate::back_end::{BackEnd, Connection, InFlight, PendingPrefill};
 use crate::directory::Directory;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::lost_connection;
-use crate::ports::{AnswerMarks, AttemptHead};
+use crate::ports::{AttemptHeaders, ResponseMetadata};
 use crate::request::Call;
 use crate::shared::Shared;
 
@@ -39,7 +39,7 @@
     /// The unread body.
     pub body: Incoming,
     /// What the gateway's own headers in the response say.
-    pub marks: AnswerMarks,
+    pub marks: ResponseMetadata,
     /// The back end that responded.
     pub back_end: Arc<BackEnd>,
     connection: Connection,
@@ -83,7 +83,7 @@
     let result = attempt.send(load).await;
     let result_label = match &result {
         AttemptResult::Responded(response) => {
-            call.shared.metrics.answered(sent.elapsed());
+            call.shared.metrics.record_first_byte_time(sent.elapsed());
             response.head.status.as_str().to_owned()
         }
         AttemptResult::NotSent(reason) | AttemptResult::MayHaveRun(reason) => (*reason).to_owned(),
@@ -105,7 +105,7 @@
             back_end.row().version,
             call.shared.now().since(back_end.row().seen),
         );
-        lines::write(Rank::Decision, "attempt", fields);
+        event_log::write(LogPriority::Decision, "attempt", fields);
     }
     result
 }
@@ -127,9 +127,9 @@
 
 impl ActiveAttempt<'_> {
     async fn send(&mut self, load: AttemptLoad) -> AttemptResult {
-        let suspended = self.call.shared.clock.suspended();
+        let suspended = self.call.shared.clock.total_suspension();
         for _ in 0..MAX_IDLE_TRIES {
-            let Some(connection) = self.back_end.kept_connection(suspended) else {
+            let Some(connection) = self.back_end.take_idle_connection(suspended) else {
                 break;
             };
             match self.exchange(connection, true).await {
@@ -139,7 +139,10 @@
         }
         let began = Instant::now();
         let connecting = timeout_at(self.call.deadline(), self.back_end.connect()).await;
-        self.call.shared.metrics.connected(began.elapsed());
+        self.call
+            .shared
+            .metrics
+            .record_connect_time(began.elapsed());
         let Ok(Ok(connection)) = connecting else {
             self.record_unreachable();
             return AttemptResult::NotSent("not_connected");
@@ -167,7 +170,7 @@
     fn record_unreachable(&self) {
         let now = self.call.shared.now();
         self.back_end
-            .update_health(|health| health.unreachable(now));
+            .update_health(|health| health.record_unreachable(now));
     }
 
     async fn exchange(&mut self, mut connection: Connection, is_pooled: bool) -> ExchangeResult {
@@ -248,7 +251,7 @@
 impl Drop for SilenceGuard<'_> {
     fn drop(&mut self) {
         if self.may_be_silent && self.sent.elapsed() >= self.head_timeout {
-            self.back_end.drop_unproved(self.sent);
+            self.back_end.close_idle_since(self.sent);
         }
     }
 }
@@ -256,7 +259,7 @@
 fn record_failure(call: &Call, back_end: &BackEnd, reason: &'static str) -> AttemptResult {
     call.mark_may_have_run();
     call.clear_in_doubt();
-    back_end.update_health(|health| health.unreachable(call.shared.now()));
+    back_end.update_health(|health| health.record_unreachable(call.shared.now()));
     AttemptResult::MayHaveRun(reason)
 }
 
@@ -287,7 +290,7 @@
     *request.method_mut() = call.head.method.clone();
     *request.uri_mut() = call.head.uri.clone();
     *request.headers_mut() = call.head.headers.clone();
-    let head = AttemptHead {
+    let head = AttemptHeaders {
         back_end: &back_end.id,
         time_left: call.deadline().saturating_duration_since(Instant::now()),
         priority: call.priority(),
@@ -296,7 +299,7 @@
     };
     call.shared
         .platform
-        .mark_attempt(request.headers_mut(), &head);
+        .set_attempt_headers(request.headers_mut(), &head);
     request
 }
 
@@ -308,16 +311,16 @@
     load: AttemptLoad,
 ) -> AttemptResult {
     let platform = &call.shared.platform;
-    let marks = platform.answer_marks(head.parts.status, &head.parts.headers);
+    let marks = platform.response_metadata(head.parts.status, &head.parts.headers);
     let belongs = marks.request_id.as_deref() == Some(call.metadata.id.as_str());
     if !belongs && !call.metadata.id.is_empty() {
         return record_failure(call, back_end, "foreign_answer");
     }
     // A misdirected request was answered by a back end other than the intended one.
     if head.parts.status != StatusCode::MISDIRECTED_REQUEST {
-        call.shared.note_answer(back_end, head.sent, &marks);
+        call.shared.record_response(back_end, head.sent, &marks);
     }
-    if !marks.not_run {
+    if !marks.has_not_run {
         call.mark_may_have_run();
     }
     call.clear_in_doubt();
@@ -349,7 +352,7 @@
                 | StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
         );
-        implies_not_run && !self.marks.not_run
+        implies_not_run && !self.marks.has_not_run
     }
 
     /// Reads the complete body. None if the body was cut off or took too long.
@@ -360,9 +363,10 @@
 
     /// Returns the connection to the pool after the body was read completely.
     pub fn return_connection(self, shared: &Shared) {
-        let keep_alive = stated_rest(&self.head.headers);
-        let max_idle = shared.idle_connections(&self.back_end.service);
-        self.back_end.keep(self.connection, keep_alive, max_idle);
+        let keep_alive = keep_alive_timeout(&self.head.headers);
+        let max_idle = shared.max_idle_connections(&self.back_end.service);
+        self.back_end
+            .return_connection(self.connection, keep_alive, max_idle);
         drop(self.in_flight);
     }
 
@@ -378,7 +382,7 @@
 }
 
 /// How long the back end keeps an idle connection open, if its response states this.
-pub fn stated_rest(headers: &HeaderMap) -> Option<Duration> {
+pub fn keep_alive_timeout(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds = value
         .split(',')
--- a/crates/gateway/src/attempts.rs
+++ b/crates/gateway/src/attempts.rs
@@ -11,8 +11,8 @@
 use gorsebank_world::BackEndId;
 
 use crate::admission;
+use crate::event_log::{self, LogPriority};
 use crate::failure::Failure;
-use crate::lines::{self, Rank};
 use crate::request::Call;
 
 /// Maximum number of sends of one request, including those that did not run.
@@ -111,7 +111,7 @@
 
     fn take_retry_if_allowed(&self, call: &Call) -> bool {
         let is_allowed = call.quarantine_left().is_none()
-            && call.route.kind.may_repeat()
+            && call.route.kind.may_retry()
             && self.executions < call.route.max_attempts
             && self.sends < MAX_SENDS;
         is_allowed && self.take_retry_permit(call)
@@ -119,18 +119,18 @@
 
     /// Takes a retry permit out of the budget and logs the result.
     fn take_retry_permit(&self, call: &Call) -> bool {
-        let permit = call.shared.withdraw_retry(&call.service);
+        let permit = call.shared.take_retry_permit(&call.service);
         let fields = format_args!(
             "request={} service={} granted={} budget_left={:.1} gateways={} sends={} ran={}",
             call.metadata.id,
             call.service,
             permit.granted,
-            permit.left,
+            permit.retries_left,
             permit.gateways,
             self.sends,
             self.executions,
         );
-        lines::write(Rank::Decision, "retry", fields);
+        event_log::write(LogPriority::Decision, "retry", fields);
         permit.granted
     }
 }
