--- a/crates/gateway/src/back_end.rs
+++ b/crates/gateway/src/back_end.rs
@@ -15,15 +15,15 @@
 use gorsebank_fleet::health::Health;
 use gorsebank_fleet::quarantine;
 use gorsebank_fleet::running::{self, BackEndHash};
-use gorsebank_fleet::{BackEndReport, Born, Fingerprint, KeptParts};
+use gorsebank_fleet::{BackEndReport, Born, CachedPrefixes, Fingerprint};
 use gorsebank_world::{AdapterId, BackEndId, ModelId, ServiceId};
 use parking_lot::Mutex;
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
-use crate::clock::LEAST_SUSPENSION;
+use crate::clock::MIN_SUSPENSION;
 use crate::http_connection::HttpConnection;
-use crate::ports::Ticket;
+use crate::ports::RequestMetadata;
 
 /// Maximum time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
@@ -54,7 +54,7 @@
     /// incarnations share it, because counts of a previous incarnation are gone within a second.
     pub hash: BackEndHash,
     /// Hash of this incarnation, which identifies it in messages between gateways.
-    pub life_hash: quarantine::BackEndHash,
+    pub incarnation_hash: quarantine::IncarnationHash,
     /// Number of requests that the back end runs concurrently.
     pub slots: u32,
     /// The service that the back end belongs to.
@@ -68,7 +68,7 @@
     idle: Mutex<Vec<Connection>>,
     health: Mutex<Health>,
     absent: Mutex<HashMap<(ModelId, Option<AdapterId>), Timestamp>>,
-    cached_prefixes: Mutex<KeptParts>,
+    cached_prefixes: Mutex<CachedPrefixes>,
     pending_prefill_tokens: AtomicU32,
     latest_row: Mutex<SeenRow>,
     exit_check: tokio::sync::Mutex<Option<ExitCheck>>,
@@ -138,7 +138,7 @@
             id: report.id.clone(),
             born: report.born,
             hash: running::hash(&report.id),
-            life_hash: quarantine::hash(&report.id, report.born),
+            incarnation_hash: quarantine::incarnation_hash(&report.id, report.born),
             slots: report.slots,
             service: report.service.clone(),
             address: report.address,
@@ -165,17 +165,17 @@
     }
 
     /// Records a newer row of the back end.
-    pub fn note_row(&self, row: SeenRow) {
+    pub fn record_row(&self, row: SeenRow) {
         *self.latest_row.lock() = row;
     }
 
     /// Records until when the back end is warming up.
-    pub fn note_cold(&self, until: Timestamp) {
+    pub fn record_warm_up(&self, until: Timestamp) {
         *self.warm_up_until.lock() = until;
     }
 
     /// Whether the back end is warming up, so that its capacity is low.
-    pub fn is_cold(&self, now: Timestamp) -> bool {
+    pub fn is_warming_up(&self, now: Timestamp) -> bool {
         now < *self.warm_up_until.lock()
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Records that the back end reported this model or adapter as absent.
-    pub fn note_absent(&self, now: Timestamp, model: &ModelId, adapter: Option<&AdapterId>) {
+    pub fn record_absent(&self, now: Timestamp, model: &ModelId, adapter: Option<&AdapterId>) {
         let key = (model.clone(), adapter.cloned());
         self.absent.lock().insert(key, now);
     }
@@ -223,21 +223,25 @@
     }
 
     /// Number of prompt tokens that the back end does not have cached and has to prefill.
-    pub fn uncached_tokens(&self, metadata: &Ticket) -> u32 {
+    pub fn uncached_tokens(&self, metadata: &RequestMetadata) -> u32 {
         let Some(model) = &metadata.model else {
             return 0;
         };
         let prefixes = self.cached_prefixes.lock();
-        prefixes.fresh_tokens(model, metadata.adapter.as_ref(), &metadata.prompt)
+        prefixes.uncached_tokens(model, metadata.adapter.as_ref(), &metadata.prompt)
     }
 
     /// Counts the prompt of a request that is being sent as prefill work, and its prefixes as
     /// cached.
-    pub fn begin_prefill(self: &Arc<Self>, now: Timestamp, metadata: &Ticket) -> PendingPrefill {
+    pub fn begin_prefill(
+        self: &Arc<Self>,
+        now: Timestamp,
+        metadata: &RequestMetadata,
+    ) -> PendingPrefill {
         let tokens = self.uncached_tokens(metadata);
         if let Some(model) = &metadata.model {
             let mut prefixes = self.cached_prefixes.lock();
-            prefixes.note(now, model, metadata.adapter.as_ref(), &metadata.prompt);
+            prefixes.record(now, model, metadata.adapter.as_ref(), &metadata.prompt);
         }
         self.pending_prefill_tokens
             .fetch_add(tokens, Ordering::Relaxed);
@@ -255,12 +259,12 @@
     /// Takes a ready connection from the pool, if there is one. `suspended` is the total time for
     /// which the machine has been suspended: the back end may have closed connections that are
     /// older than a suspension.
-    pub fn kept_connection(&self, suspended: Duration) -> Option<Connection> {
+    pub fn take_idle_connection(&self, suspended: Duration) -> Option<Connection> {
         let mut idle = self.idle.lock();
         let last_known_ms = self
             .suspended_ms
             .swap(suspended.as_millis() as u64, Ordering::Relaxed);
-        if suspended >= Duration::from_millis(last_known_ms) + LEAST_SUSPENSION {
+        if suspended >= Duration::from_millis(last_known_ms) + MIN_SUSPENSION {
             idle.clear();
         }
         idle.retain(Connection::is_reusable);
@@ -272,7 +276,7 @@
 
     /// Closes idle connections that brought no response after `since`, when another idle connection
     /// went silent: they may be silent too.
-    pub fn drop_unproved(&self, since: Instant) {
+    pub fn close_idle_since(&self, since: Instant) {
         self.idle
             .lock()
             .retain(|connection| connection.last_used > since);
@@ -289,27 +293,27 @@
     /// is no evidence of an exit. One check serves all requests that lost a connection before it.
     pub async fn check_for_exit(&self, now: Timestamp, lost_at: Instant) -> bool {
         let mut last = self.exit_check.lock().await;
-        if self.has_ended(now) || last.is_some_and(|check| check.started >= lost_at) {
-            return self.has_ended(now);
+        if self.has_exited(now) || last.is_some_and(|check| check.started >= lost_at) {
+            return self.has_exited(now);
         }
         *last = Some(ExitCheck {
             started: Instant::now(),
         });
         if self.refuses_connections().await {
-            self.note_ended(now);
+            self.record_exit(now);
         }
-        self.has_ended(now)
+        self.has_exited(now)
     }
 
     /// Whether the process was observed to have exited, so that its row will be removed soon. A row
     /// that remains for longer shows that the back end is alive after all.
-    pub fn has_ended(&self, now: Timestamp) -> bool {
+    pub fn has_exited(&self, now: Timestamp) -> bool {
         let exited_at = *self.exited_at.lock();
         exited_at.is_some_and(|at| now.since(at) < EXIT_LIFETIME_MS)
     }
 
     /// Records that the process has exited, as observed by this gateway or another one.
-    pub fn note_ended(&self, now: Timestamp) {
+    pub fn record_exit(&self, now: Timestamp) {
         *self.exited_at.lock() = Some(now);
     }
 
@@ -325,7 +329,7 @@
 
     /// Requests whose connection was lost shortly before the row was removed. If the back end did
     /// not drain, they were running when its process exited.
-    pub fn lost_before(&self, now: Timestamp) -> Vec<Fingerprint> {
+    pub fn recently_lost_requests(&self, now: Timestamp) -> Vec<Fingerprint> {
         let lost = self.lost_requests.lock();
         let recent = lost
             .iter()
@@ -356,7 +360,12 @@
 
     /// Returns a connection to the pool after a complete response, if fewer than `max_idle` are
     /// idle. `keep_alive` is the timeout that the response states.
-    pub fn keep(&self, mut connection: Connection, keep_alive: Option<Duration>, max_idle: usize) {
+    pub fn return_connection(
+        &self,
+        mut connection: Connection,
+        keep_alive: Option<Duration>,
+        max_idle: usize,
+    ) {
         if self.is_retired.load(Ordering::Relaxed) {
             return;
         }
--- a/crates/gateway/src/back_end_limits.rs
+++ b/crates/gateway/src/back_end_limits.rs
@@ -22,11 +22,11 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::quarantine::BackEndHash;
+use gorsebank_fleet::quarantine::IncarnationHash;
 use gorsebank_fleet::{Pacer, SendTime, StatedLimits};
 use parking_lot::Mutex;
 
-use crate::allowance::{AskAnswer, SendTimeAsk};
+use crate::tenant_quotas::{QuotaResponse, SendTimeRequest};
 
 /// Time for which a back end is considered to have no capacity if the placement holder is unknown
 /// or does not respond. Another gateway takes over scheduling within a few seconds.
@@ -38,7 +38,7 @@
     /// The request may be sent to the back end after this time.
     In(Duration),
     /// There is no capacity within the time that the request can wait.
-    NoRoom,
+    NoCapacity,
 }
 
 /// Limits of back ends, the state of this gateway's send time requests, and, at the placement
@@ -47,68 +47,68 @@
 pub struct BackEndLimits {
     known: Mutex<StatedLimits>,
     /// Times until which back ends have no capacity, as the placement holder has reported.
-    full_until: Mutex<HashMap<BackEndHash, Timestamp>>,
+    full_until: Mutex<HashMap<IncarnationHash, Timestamp>>,
     /// Schedule of sends, while this gateway is the placement holder.
     pacer: Mutex<Option<Pacer>>,
 }
 
 impl BackEndLimits {
     /// Runs `act` on the known limits.
-    pub fn known<T>(&self, act: impl FnOnce(&mut StatedLimits) -> T) -> T {
+    pub fn with_limits<T>(&self, act: impl FnOnce(&mut StatedLimits) -> T) -> T {
         act(&mut self.known.lock())
     }
 
     /// Rate in requests per second that a back end accepts from all gateways together; `None` if
     /// the back end states no limit.
-    pub fn rate(&self, back_end: BackEndHash) -> Option<f64> {
+    pub fn rate(&self, back_end: IncarnationHash) -> Option<f64> {
         self.known.lock().rate(back_end)
     }
 
     /// Starts or stops scheduling sends at this gateway.
-    pub fn set_counting(&self, now: Timestamp, is_scheduling: bool) {
+    pub fn set_scheduling(&self, now: Timestamp, is_scheduling: bool) {
         *self.pacer.lock() = is_scheduling.then(|| Pacer::new(now));
     }
 
     /// Handles a request of any gateway, including this one, for a send time.
-    pub fn answer(&self, now: Timestamp, request: &SendTimeAsk) -> AskAnswer {
+    pub fn handle_request(&self, now: Timestamp, request: &SendTimeRequest) -> QuotaResponse {
         if !request.rate.is_finite() {
-            return AskAnswer::NotHere;
+            return QuotaResponse::NotHolder;
         }
         // If both gateways know different limits, the lower one is safe.
         let known = self.rate(request.back_end);
         let rate = known.map_or(request.rate, |known| known.min(request.rate));
         let mut pacer = self.pacer.lock();
         let Some(pacer) = pacer.as_mut() else {
-            return AskAnswer::NotHere;
+            return QuotaResponse::NotHolder;
         };
-        match pacer.take(now, request.back_end, rate, request.most_wait) {
-            SendTime::In(wait) => AskAnswer::Reserved { wait },
-            SendTime::Later(wait) => AskAnswer::Beyond { wait },
+        match pacer.assign(now, request.back_end, rate, request.max_wait_ms) {
+            SendTime::In(wait) => QuotaResponse::Reserved { wait_ms: wait },
+            SendTime::Later(wait) => QuotaResponse::OverLimit { wait_ms: wait },
         }
     }
 
     /// Applies the placement holder's response, or its absence.
-    pub fn take_answer(
+    pub fn apply_response(
         &self,
         now: Timestamp,
-        back_end: BackEndHash,
-        response: Option<AskAnswer>,
+        back_end: IncarnationHash,
+        response: Option<QuotaResponse>,
     ) -> Reservation {
         let wait = match response {
-            Some(AskAnswer::Reserved { wait }) => {
+            Some(QuotaResponse::Reserved { wait_ms: wait }) => {
                 return Reservation::In(Duration::from_millis(wait));
             }
-            Some(AskAnswer::Beyond { wait }) => wait,
+            Some(QuotaResponse::OverLimit { wait_ms: wait }) => wait,
             _ => NO_HOLDER_PAUSE.as_millis() as u64,
         };
         let mut full = self.full_until.lock();
         full.retain(|_, until| now < *until);
         full.insert(back_end, now + wait);
-        Reservation::NoRoom
+        Reservation::NoCapacity
     }
 
     /// Time until a back end may have capacity again; `None` if it may have capacity now.
-    pub fn full_for(&self, now: Timestamp, back_end: BackEndHash) -> Option<Duration> {
+    pub fn no_capacity_for(&self, now: Timestamp, back_end: IncarnationHash) -> Option<Duration> {
         let until = *self.full_until.lock().get(&back_end)?;
         (now < until).then(|| Duration::from_millis(until.since(now)))
     }
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::ReadingModel;
-use gorsebank_fleet::choice::{Candidate, cheapest_of, most_compared};
+use gorsebank_fleet::PrefillModel;
+use gorsebank_fleet::choice::{Candidate, cheapest_of_sample, max_compared};
 
 use crate::back_end::BackEnd;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::request::Call;
 
 /// Bounds of a back end's latency relative to the mean of all candidates.
@@ -64,20 +64,20 @@
 /// checked one by one.
 fn may_have_limits(call: &Call) -> bool {
     let limits = &call.shared.back_end_limits;
-    warm_up_rate(call).is_some() || limits.known(|known| !known.is_empty())
+    warm_up_rate(call).is_some() || limits.with_limits(|known| !known.is_empty())
 }
 
 /// Requests per second that a back end of the service takes while it is warming up; none if such a
 /// back end is merely slow.
 fn warm_up_rate(call: &Call) -> Option<f64> {
-    call.configuration.service(&call.service)?.cold_rate
+    call.configuration.service(&call.service)?.warm_up_rate
 }
 
 /// Requests per second that a back end takes from all gateways together: the lower of its stated
 /// limit and its limit while it is warming up. None if it has neither.
 fn rate_limit(call: &Call, now: Timestamp, back_end: &BackEnd) -> Option<f64> {
-    let stated = call.shared.back_end_limits.rate(back_end.life_hash);
-    let warm_up_rate = warm_up_rate(call).filter(|_| back_end.is_cold(now));
+    let stated = call.shared.back_end_limits.rate(back_end.incarnation_hash);
+    let warm_up_rate = warm_up_rate(call).filter(|_| back_end.is_warming_up(now));
     let rates = stated.into_iter().chain(warm_up_rate);
     rates.min_by(f64::total_cmp)
 }
@@ -99,9 +99,13 @@
             .iter()
             .cloned()
             .partition(|back_end| rate_limit(call, now, back_end).is_some());
-        limited.retain(|back_end| limits.full_for(now, back_end.life_hash).is_none());
+        limited.retain(|back_end| {
+            limits
+                .no_capacity_for(now, back_end.incarnation_hash)
+                .is_none()
+        });
         let needs_statement = |back_end: &&Arc<BackEnd>| {
-            limits.known(|known| known.needs_statement(now, back_end.life_hash))
+            limits.with_limits(|known| known.needs_refresh(now, back_end.incarnation_hash))
         };
         BackEndsByLimit {
             awaiting_statement: limited.iter().filter(needs_statement).cloned().collect(),
@@ -132,9 +136,11 @@
 /// Time until one of these back ends, all of which have a rate limit, may have capacity.
 pub fn time_to_capacity(call: &Call, now: Timestamp, back_ends: &[Arc<BackEnd>]) -> Duration {
     let limits = &call.shared.back_end_limits;
-    let times = back_ends
-        .iter()
-        .map(|back_end| limits.full_for(now, back_end.life_hash).unwrap_or_default());
+    let times = back_ends.iter().map(|back_end| {
+        limits
+            .no_capacity_for(now, back_end.incarnation_hash)
+            .unwrap_or_default()
+    });
     times.min().unwrap_or_default().max(MIN_CAPACITY_WAIT)
 }
 
@@ -144,8 +150,8 @@
     back_ends: &[Arc<BackEnd>],
 ) -> Option<(Arc<BackEnd>, Candidate)> {
     let candidates = build_candidates(call, now, back_ends);
-    let max_compared = most_compared(call.shared.possible_gateways());
-    let index = cheapest_of(max_compared, &candidates, &mut rand::rng())?;
+    let max_compared = max_compared(call.shared.max_gateway_count());
+    let index = cheapest_of_sample(max_compared, &candidates, &mut rand::rng())?;
     Some((back_ends[index].clone(), candidates[index]))
 }
 
@@ -159,7 +165,7 @@
     let mean_latency = known_latencies.iter().sum::<f64>() / known_latencies.len().max(1) as f64;
     let others: Vec<u32> = {
         let running = call.shared.feed.running.lock();
-        let of_others = |back_end: &Arc<BackEnd>| running.of_others(now, back_end.hash);
+        let of_others = |back_end: &Arc<BackEnd>| running.running_elsewhere(now, back_end.hash);
         back_ends.iter().map(of_others).collect()
     };
     back_ends
@@ -172,13 +178,13 @@
             Candidate {
                 running: back_end.in_flight() + others,
                 slots: back_end.slots,
-                same_zone: back_end.same_zone,
+                is_in_same_zone: back_end.same_zone,
                 failure_rate: back_end.health().failure_rate(now),
                 relative_latency: relative_latency(latency, mean_latency),
-                warm_prompt: has_cached_prefixes(call, uncached_tokens),
-                connected: back_end.has_idle_connection(),
+                has_cached_prefix: has_cached_prefixes(call, uncached_tokens),
+                is_connected: back_end.has_idle_connection(),
                 stall: prefill_stall(call, back_end, uncached_tokens),
-                relative_pace,
+                relative_gap: relative_pace,
             }
         })
         .collect()
@@ -189,7 +195,7 @@
     let Some(model) = &call.metadata.model else {
         return vec![1.0; back_ends.len()];
     };
-    let gaps: Vec<Option<f64>> = call.shared.reading(&call.service, |known| {
+    let gaps: Vec<Option<f64>> = call.shared.with_prefill_model(&call.service, |known| {
         let gap = |back_end: &Arc<BackEnd>| known.gap(now, &back_end.id, model);
         back_ends.iter().map(gap).collect()
     });
@@ -218,13 +224,16 @@
 /// How long streams at the back end would stall while it prefills its pending prompts and this
 /// request, as a multiple of the gap objective.
 fn prefill_stall(call: &Call, back_end: &BackEnd, uncached_tokens: u32) -> f64 {
-    let (Some(model), Some(objective)) = (&call.metadata.model, call.route.pause_objective) else {
+    let (Some(model), Some(objective)) = (&call.metadata.model, call.route.gap_objective) else {
         return 0.0;
     };
     let tokens = uncached_tokens + back_end.pending_prefill_tokens();
     let now = call.shared.now();
-    let estimate = |known: &mut ReadingModel| known.time(now, &back_end.id, model, tokens);
-    let prefill_ms = call.shared.reading(&call.service, estimate).unwrap_or(0.0);
+    let estimate = |known: &mut PrefillModel| known.prefill_time(now, &back_end.id, model, tokens);
+    let prefill_ms = call
+        .shared
+        .with_prefill_model(&call.service, estimate)
+        .unwrap_or(0.0);
     prefill_ms / (objective.as_secs_f64() * 1_000.0).max(1.0)
 }
 
@@ -244,5 +253,5 @@
         chosen.row().version,
         call.shared.now().since(chosen.row().seen),
     );
-    lines::write(Rank::Served, "chosen", fields);
+    event_log::write(LogPriority::Served, "chosen", fields);
 }
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -15,7 +15,7 @@
 
 /// Minimum difference between the two clocks that counts as a suspension. The clocks are read one
 /// after the other, so smaller differences occur without a suspension.
-pub const LEAST_SUSPENSION: Duration = Duration::from_millis(20);
+pub const MIN_SUSPENSION: Duration = Duration::from_millis(20);
 
 /// Maximum time between two reads of one clock that are considered simultaneous.
 const MAX_READ_GAP: Duration = Duration::from_millis(2);
@@ -78,7 +78,7 @@
     }
 
     /// Total time for which the machine has been suspended since this clock started.
-    pub fn suspended(&self) -> Duration {
+    pub fn total_suspension(&self) -> Duration {
         let (since_boot, instant_elapsed) = self.read_both();
         let since_start = since_boot.saturating_sub(self.start);
         since_start.saturating_sub(instant_elapsed)
@@ -99,8 +99,8 @@
         (since_boot, self.start_instant.elapsed())
     }
 
-    /// Whether the machine has been suspended since [`Clock::suspended`] returned `before`.
+    /// Whether the machine has been suspended since [`Clock::total_suspension`] returned `before`.
     pub fn was_suspended_since(&self, before: Duration) -> bool {
-        self.suspended() >= before + LEAST_SUSPENSION
+        self.total_suspension() >= before + MIN_SUSPENSION
     }
 }
--- a/crates/gateway/src/demand_rows.rs
+++ b/crates/gateway/src/demand_rows.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap};
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::{DemandRow, ReadingRow, ReadingSample};
+use gorsebank_fleet::{DemandRow, PrefillSpeedRow, PrefillSpeedSample};
 use gorsebank_world::{NodeId, ServiceId};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
@@ -42,7 +42,7 @@
     }
 
     /// The gateways that sent their demand recently.
-    pub fn heard(&self, now: Timestamp) -> Vec<NodeId> {
+    pub fn reporting_gateways(&self, now: Timestamp) -> Vec<NodeId> {
         let rows = self.rows.lock();
         let recent = rows
             .iter()
@@ -51,18 +51,18 @@
     }
 
     /// The recent prefill speed samples of all gateways, merged by service.
-    pub fn merged_reading(&self, now: Timestamp) -> BTreeMap<ServiceId, ReadingRow> {
+    pub fn merged_prefill_speed(&self, now: Timestamp) -> BTreeMap<ServiceId, PrefillSpeedRow> {
         let rows = self.rows.lock();
         let recent = rows
             .values()
             .filter(|(_, received_at)| is_recent(now, *received_at));
-        let mut samples: BTreeMap<&ServiceId, Vec<&ReadingSample>> = BTreeMap::new();
-        for (service, sample) in recent.flat_map(|(row, _)| &row.reading) {
+        let mut samples: BTreeMap<&ServiceId, Vec<&PrefillSpeedSample>> = BTreeMap::new();
+        for (service, sample) in recent.flat_map(|(row, _)| &row.prefill_speed) {
             samples.entry(service).or_default().push(sample);
         }
         samples
             .into_iter()
-            .map(|(service, samples)| (service.clone(), ReadingRow::merge(samples)))
+            .map(|(service, samples)| (service.clone(), PrefillSpeedRow::merge(samples)))
             .collect()
     }
 
--- a/crates/gateway/src/demand_teller.rs
+++ b/crates/gateway/src/demand_sender.rs
@@ -12,7 +12,7 @@
 use gorsebank_fleet::{DemandRow, ModelDemand};
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::relay::{RelayAnswer, RelayRequest, ToldDemand};
+use crate::relay::{GatewayDemand, RelayRequest, RelayResponse};
 use crate::shared::Shared;
 
 /// Minimum interval between two messages.
@@ -67,7 +67,7 @@
         if self.is_undelivered {
             return true;
         }
-        let check_interval = check_interval(self.shared.possible_gateways());
+        let check_interval = check_interval(self.shared.max_gateway_count());
         let woken = async {
             tokio::select! {
                 () = self.shared.urgent_demand.notified() => {}
@@ -78,7 +78,7 @@
     }
 
     fn min_interval(&self) -> Duration {
-        let shared_interval = self.shared.possible_gateways() as f64 / MAX_MESSAGES_PER_SECOND;
+        let shared_interval = self.shared.max_gateway_count() as f64 / MAX_MESSAGES_PER_SECOND;
         let pause = MIN_INTERVAL.max(Duration::from_secs_f64(shared_interval));
         if self.is_undelivered {
             pause.max(UNDELIVERED_DELAY)
@@ -89,7 +89,7 @@
 
     async fn run_iteration(&mut self, is_urgent: bool) {
         let mut row = self.shared.demand.lock().row(self.shared.now());
-        row.reading = self.shared.reading_samples();
+        row.prefill_speed = self.shared.prefill_speed_samples();
         if self.shared.is_placing() {
             let (now, node) = (self.shared.now(), self.shared.settings.node.clone());
             self.shared.demand_rows.put(now, node, row);
@@ -120,7 +120,7 @@
     /// received it.
     async fn send(&self, holder: SocketAddr, row: &DemandRow) -> bool {
         if self.send_to(holder, row, false).await {
-            self.shared.table().count("demand_told");
+            self.shared.table().count_call("demand_told");
             return true;
         }
         let other = self.shared.feed.parents.lock().candidates();
@@ -134,19 +134,22 @@
         } else {
             "demand_unheard"
         };
-        self.shared.table().count(result);
+        self.shared.table().count_call(result);
         is_forwarded
     }
 
     async fn send_to(&self, address: SocketAddr, row: &DemandRow, hand_on: bool) -> bool {
-        let request = RelayRequest::Demand(ToldDemand {
+        let request = RelayRequest::Demand(GatewayDemand {
             from: self.shared.settings.node.clone(),
             row: row.clone(),
-            hand_on,
+            should_forward: hand_on,
         });
         let client = self.shared.table().client();
         let answer = client.call(address, &request, RESPONSE_TIMEOUT).await;
-        matches!(answer, Some(RelayAnswer::Heard { by_holder: true }))
+        matches!(
+            answer,
+            Some(RelayResponse::DemandReceived { by_holder: true })
+        )
     }
 }
 
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -13,10 +13,11 @@
 use std::sync::Arc;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::quarantine::{self, BackEndHash};
+use gorsebank_fleet::quarantine::{self, IncarnationHash};
 use gorsebank_fleet::running::Counts;
 use gorsebank_fleet::{
-    BackEndReport, CopyTier, Departures, Heard, Holdings, Incarnation, PlacedRow, ToldDeparture,
+    BackEndReport, CopyTier, DrainNotice, DrainNotices, Holdings, Incarnation, IncarnationMatch,
+    PlacedRow,
 };
 use gorsebank_world::{AdapterId, BackEndId, ModelId, ServiceId, ZoneId};
 
@@ -48,8 +49,8 @@
     /// Creates the entry of an incarnation from its first row.
     fn new(zone: &ZoneId, report: BackEndReport, row: SeenRow) -> Self {
         let back_end = BackEnd::new(&report, report.zone == *zone);
-        back_end.note_row(row);
-        back_end.note_cold(row.seen + report.cold_left);
+        back_end.record_row(row);
+        back_end.record_warm_up(row.seen + report.warm_up_left_ms);
         Entry {
             back_end: Arc::new(back_end),
             incarnation: Incarnation::new(report.born),
@@ -64,8 +65,9 @@
 
     /// Applies a newer row of the same incarnation.
     fn apply(&mut self, report: BackEndReport, row: SeenRow) {
-        self.back_end.note_row(row);
-        self.back_end.note_cold(row.seen + report.cold_left);
+        self.back_end.record_row(row);
+        self.back_end
+            .record_warm_up(row.seen + report.warm_up_left_ms);
         self.report = report;
         self.version = row.version;
         self.is_readable = true;
@@ -122,7 +124,7 @@
     placed: HashMap<BackEndId, ReceivedPlacedRow>,
     services: HashMap<ServiceId, Vec<BackEndId>>,
     /// Incarnations that have announced their drain, including those without a row.
-    drain_notices: Departures,
+    drain_notices: DrainNotices,
     /// Zones whose back ends receive no new requests.
     evacuated: BTreeSet<ZoneId>,
     /// Whether warm back ends are preferred to those that are warming up.
@@ -139,7 +141,7 @@
             entries: HashMap::new(),
             placed: HashMap::new(),
             services: HashMap::new(),
-            drain_notices: Departures::default(),
+            drain_notices: DrainNotices::default(),
             evacuated: BTreeSet::new(),
             prefers_warm: false,
             removed_without_drain: Vec::new(),
@@ -160,7 +162,7 @@
     }
 
     /// Returns the back ends whose row was removed without an announced drain since the last call.
-    pub fn take_gone_unsaid(&mut self) -> Vec<Arc<BackEnd>> {
+    pub fn take_removed_without_drain(&mut self) -> Vec<Arc<BackEnd>> {
         std::mem::take(&mut self.removed_without_drain)
     }
 
@@ -173,13 +175,14 @@
         if entry.version >= version {
             return;
         }
-        match entry.incarnation.hear(now, report.born) {
-            Heard::Same => {
+        match entry.incarnation.observe(now, report.born) {
+            IncarnationMatch::Same => {
                 let moved = entry.report.service != report.service;
                 let former = entry.report.service.clone();
                 let id = report.id.clone();
                 if report.draining {
-                    self.drain_notices.note(now, entry.back_end.life_hash);
+                    self.drain_notices
+                        .record(now, entry.back_end.incarnation_hash);
                     entry.start_draining();
                 }
                 entry.apply(report, row);
@@ -187,15 +190,15 @@
                     self.change_service(&id, &former);
                 }
             }
-            Heard::Other => self.begin_incarnation(report, row),
-            Heard::Outdated => entry.deferred_row = Some((report, version)),
+            IncarnationMatch::Other => self.begin_incarnation(report, row),
+            IncarnationMatch::Outdated => entry.deferred_row = Some((report, version)),
         }
     }
 
     /// Retries rows that seemed to belong to a previous incarnation. They are applied once nothing
     /// has contradicted them for a while, because the clock of the back end's machine may have been
     /// set back.
-    pub fn settle(&mut self, now: Timestamp) {
+    pub fn retry_deferred_rows(&mut self, now: Timestamp) {
         let deferred = self
             .entries
             .values()
@@ -206,8 +209,8 @@
         }
     }
 
-    /// Whether any row awaits [`Directory::settle`].
-    pub fn is_unsettled(&self) -> bool {
+    /// Whether any row awaits [`Directory::retry_deferred_rows`].
+    pub fn has_deferred_rows(&self) -> bool {
         self.entries
             .values()
             .any(|entry| entry.deferred_row.is_some())
@@ -217,9 +220,9 @@
         let service_back_ends = self.services.entry(report.service.clone()).or_default();
         service_back_ends.push(report.id.clone());
         let id = report.id.clone();
-        let incarnation = quarantine::hash(&id, report.born);
+        let incarnation = quarantine::incarnation_hash(&id, report.born);
         if report.draining {
-            self.drain_notices.note(row.seen, incarnation);
+            self.drain_notices.record(row.seen, incarnation);
         }
         let mut entry = Entry::new(&self.zone, report, row);
         if self.drain_notices.contains(incarnation) {
@@ -269,25 +272,28 @@
 
     /// Records a drain that a back end has announced in a response. Returns whether the drain was
     /// unknown.
-    pub fn note_departure(&mut self, now: Timestamp, back_end: &BackEnd) -> bool {
+    pub fn record_drain(&mut self, now: Timestamp, back_end: &BackEnd) -> bool {
         let entry = self.entries.get_mut(&back_end.id);
-        if let Some(entry) = entry.filter(|entry| entry.back_end.life_hash == back_end.life_hash) {
+        if let Some(entry) =
+            entry.filter(|entry| entry.back_end.incarnation_hash == back_end.incarnation_hash)
+        {
             entry.start_draining();
         }
-        self.drain_notices.note(now, back_end.life_hash)
+        self.drain_notices.record(now, back_end.incarnation_hash)
     }
 
     /// Merges drain notices of other gateways. Returns the back ends that have a row and whose
     /// drain was unknown.
-    pub fn take_departures(
+    pub fn merge_drain_notices(
         &mut self,
         now: Timestamp,
-        notices: &[ToldDeparture],
+        notices: &[DrainNotice],
     ) -> Vec<Arc<BackEnd>> {
-        let new_drains: HashSet<BackEndHash> =
-            self.drain_notices.take(now, notices).into_iter().collect();
+        let new_drains: HashSet<IncarnationHash> =
+            self.drain_notices.merge(now, notices).into_iter().collect();
         let entries = self.entries.values_mut();
-        let draining = entries.filter(|entry| new_drains.contains(&entry.back_end.life_hash));
+        let draining =
+            entries.filter(|entry| new_drains.contains(&entry.back_end.incarnation_hash));
         draining
             .map(|entry| {
                 entry.start_draining();
@@ -297,19 +303,19 @@
     }
 
     /// Whether all of these drains are known.
-    pub fn knows_departures(&self, notices: &[ToldDeparture]) -> bool {
+    pub fn knows_drains(&self, notices: &[DrainNotice]) -> bool {
         let mut notices = notices.iter();
         notices.all(|departure| self.drain_notices.contains(departure.back_end))
     }
 
     /// Drain notices for other gateways.
-    pub fn told_departures(&self, now: Timestamp) -> Vec<ToldDeparture> {
-        self.drain_notices.told(now)
+    pub fn drain_notices(&self, now: Timestamp) -> Vec<DrainNotice> {
+        self.drain_notices.notices(now)
     }
 
     /// Whether the back end has announced its drain.
     pub fn is_draining(&self, back_end: &BackEnd) -> bool {
-        self.drain_notices.contains(back_end.life_hash)
+        self.drain_notices.contains(back_end.incarnation_hash)
     }
 
     /// Applies the removal of a back end's row.
@@ -373,33 +379,33 @@
     }
 
     /// Returns a back end by the hash of its current incarnation.
-    pub fn by_incarnation(&self, incarnation: BackEndHash) -> Option<Arc<BackEnd>> {
+    pub fn by_incarnation(&self, incarnation: IncarnationHash) -> Option<Arc<BackEnd>> {
         let mut entries = self.entries.values();
-        let entry = entries.find(|entry| entry.back_end.life_hash == incarnation)?;
+        let entry = entries.find(|entry| entry.back_end.incarnation_hash == incarnation)?;
         Some(entry.back_end.clone())
     }
 
     /// Maps rates by incarnation to rates by name. Unknown incarnations are left out.
-    pub fn rates_by_name(&self, rates: &HashMap<BackEndHash, f64>) -> BTreeMap<BackEndId, f64> {
+    pub fn rates_by_name(&self, rates: &HashMap<IncarnationHash, f64>) -> BTreeMap<BackEndId, f64> {
         let named = |entry: &Entry| {
-            let known = rates.get(&entry.back_end.life_hash)?;
+            let known = rates.get(&entry.back_end.incarnation_hash)?;
             Some((entry.report.id.clone(), *known))
         };
         self.entries.values().filter_map(named).collect()
     }
 
     /// Back ends whose process exited while it ran requests, and whose row still exists.
-    pub fn ended(&self, now: Timestamp) -> BTreeSet<BackEndId> {
+    pub fn exited(&self, now: Timestamp) -> BTreeSet<BackEndId> {
         let entries = self.entries.values();
-        let ended = entries.filter(|entry| entry.back_end.has_ended(now));
+        let ended = entries.filter(|entry| entry.back_end.has_exited(now));
         ended.map(|entry| entry.report.id.clone()).collect()
     }
 
     /// Records exits of back ends that other gateways have reported.
-    pub fn note_ended(&self, now: Timestamp, exited: &HashSet<BackEndHash>) {
+    pub fn record_exits(&self, now: Timestamp, exited: &HashSet<IncarnationHash>) {
         let entries = self.entries.values();
-        let known = entries.filter(|entry| exited.contains(&entry.back_end.life_hash));
-        known.for_each(|entry| entry.back_end.note_ended(now));
+        let known = entries.filter(|entry| exited.contains(&entry.back_end.incarnation_hash));
+        known.for_each(|entry| entry.back_end.record_exit(now));
     }
 
     /// Numbers of requests of this gateway in flight at each back end.
@@ -421,7 +427,7 @@
     }
 
     /// Back ends of a service that accept new requests.
-    pub fn members(&self, now: Timestamp, service: &ServiceId) -> Vec<Arc<BackEnd>> {
+    pub fn active_back_ends(&self, now: Timestamp, service: &ServiceId) -> Vec<Arc<BackEnd>> {
         let active = self.active(now, service);
         self.retain_warm(now, active.map(|entry| entry.back_end.clone()).collect())
     }
@@ -433,7 +439,7 @@
     }
 
     /// Availability of a model, and optionally of one of its adapters, at `now`.
-    pub fn places(
+    pub fn availability(
         &self,
         now: Timestamp,
         service: &ServiceId,
@@ -492,7 +498,7 @@
         let service_back_ends = self.services.get(service).into_iter().flatten();
         service_back_ends
             .filter_map(|id| self.entries.get(id))
-            .filter(move |entry| self.accepts_requests(entry) && !entry.back_end.has_ended(now))
+            .filter(move |entry| self.accepts_requests(entry) && !entry.back_end.has_exited(now))
     }
 
     fn accepts_requests(&self, entry: &Entry) -> bool {
@@ -501,7 +507,7 @@
 
     /// Removes back ends that are warming up if there are warm ones.
     fn retain_warm(&self, now: Timestamp, mut back_ends: Vec<Arc<BackEnd>>) -> Vec<Arc<BackEnd>> {
-        let is_warm = |back_end: &Arc<BackEnd>| !back_end.is_cold(now);
+        let is_warm = |back_end: &Arc<BackEnd>| !back_end.is_warming_up(now);
         if self.prefers_warm && back_ends.iter().any(is_warm) {
             back_ends.retain(is_warm);
         }
--- a/crates/gateway/src/lines.rs
+++ b/crates/gateway/src/event_log.rs
@@ -30,7 +30,7 @@
 
 /// Priority of a log line when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rank {
+pub enum LogPriority {
     /// A served request.
     Served,
     /// A failed request, or a change of state.
@@ -72,23 +72,23 @@
 }
 
 /// Writes a log line that consists of the event's name and its fields.
-pub fn write(priority: Rank, event: &str, fields: fmt::Arguments<'_>) {
+pub fn write(priority: LogPriority, event: &str, fields: fmt::Arguments<'_>) {
     if !is_within_budget(priority) {
         DROPPED.fetch_add(1, Ordering::Relaxed);
         return;
     }
     match priority {
-        Rank::Served => log::info!("event={event} {fields}"),
-        Rank::Decision => log::warn!("event={event} {fields}"),
+        LogPriority::Served => log::info!("event={event} {fields}"),
+        LogPriority::Decision => log::warn!("event={event} {fields}"),
     }
 }
 
 /// Number of log lines dropped since the start.
-pub fn left_out() -> u64 {
+pub fn dropped_lines() -> u64 {
     DROPPED.load(Ordering::Relaxed)
 }
 
-fn is_within_budget(priority: Rank) -> bool {
+fn is_within_budget(priority: LogPriority) -> bool {
     let budget = BUDGET.get_or_init(|| {
         Mutex::new(LineBudget {
             window_start: Instant::now(),
@@ -103,8 +103,8 @@
         budget.other = 0;
     }
     let (count, max) = match priority {
-        Rank::Served => (&mut budget.served, MAX_SERVED_PER_SECOND),
-        Rank::Decision => (&mut budget.other, MAX_OTHER_PER_SECOND),
+        LogPriority::Served => (&mut budget.served, MAX_SERVED_PER_SECOND),
+        LogPriority::Decision => (&mut budget.other, MAX_OTHER_PER_SECOND),
     };
     *count += 1;
     *count <= max
@@ -126,7 +126,7 @@
         let line = format!(
             "time_ms={milliseconds} node={} left_out={} {}\n",
             self.node,
-            left_out(),
+            dropped_lines(),
             record.payload()
         );
         if let Err(TrySendError::Full(_)) = self.sender.try_send(line) {
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -8,7 +8,7 @@
 
 use crate::ports::Platform;
 use crate::request::ResponseBody;
-use crate::tenancy::{BEYOND_LIMIT, SentAway};
+use crate::tenancy::{QUOTA_EXCEEDED, Rejection};
 
 /// Authentication scheme that callers must use for their keys.
 const AUTHENTICATION_SCHEME: &str = "Bearer";
@@ -50,12 +50,12 @@
     TimedOut,
 }
 
-impl From<SentAway> for Failure {
-    fn from(rejection: SentAway) -> Self {
+impl From<Rejection> for Failure {
+    fn from(rejection: Rejection) -> Self {
         match rejection {
-            SentAway::Unauthorized { reason } => Failure::Unauthorized { reason },
-            SentAway::BeyondLimit { retry_after } => Failure::QuotaExceeded { retry_after },
-            SentAway::Unknown {
+            Rejection::Unauthorized { reason } => Failure::Unauthorized { reason },
+            Rejection::QuotaExceeded { retry_after } => Failure::QuotaExceeded { retry_after },
+            Rejection::Unknown {
                 reason,
                 retry_after,
             } => Failure::Refused {
@@ -91,7 +91,7 @@
             Failure::Refused { reason, .. }
             | Failure::OutcomeUnknown { reason }
             | Failure::Unauthorized { reason } => reason,
-            Failure::QuotaExceeded { .. } => BEYOND_LIMIT,
+            Failure::QuotaExceeded { .. } => QUOTA_EXCEEDED,
             Failure::TimedOut => "timed_out",
         }
     }
@@ -115,7 +115,7 @@
                 .insert(header::WWW_AUTHENTICATE, scheme);
         }
         if let Some(pause) = self.retry_after() {
-            platform.mark_retry_after(response.headers_mut(), pause);
+            platform.set_retry_after(response.headers_mut(), pause);
         }
         response
     }
--- a/crates/gateway/src/feed/cache.rs
+++ b/crates/gateway/src/feed/cache.rs
@@ -15,12 +15,12 @@
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
-use super::message::{News, TableNews, TablePosition};
+use super::message::{TablePosition, TableUpdate, UpdateContent};
 use super::packed::PackedChange;
 use super::page::{PageError, PageRequest, PartialTable, TablePage};
-use super::proof::VerifiedContents;
+use super::verified_contents::VerifiedContents;
 use crate::clock::Clock;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::{TableChanges, TableSnapshot};
 
 /// Minimum number of changes kept per table; children are behind by less than a second. For a
@@ -113,23 +113,30 @@
     /// Applies an update that another gateway sent in response to a request at the version
     /// `position`. `responded_at` is the earliest moment at which that gateway can have responded,
     /// as time since boot of this machine.
-    pub fn take(&mut self, position: Option<u64>, update: TableNews, responded_at: Duration) {
-        let verified_age = update.proved_age.map(Duration::from_millis);
+    pub fn apply_update(
+        &mut self,
+        position: Option<u64>,
+        update: TableUpdate,
+        responded_at: Duration,
+    ) {
+        let verified_age = update.verified_age_ms.map(Duration::from_millis);
         let ages = ResponseAge {
-            since_confirmed: Duration::from_millis(update.age),
+            since_confirmed: Duration::from_millis(update.age_ms),
             verified_at: verified_age.and_then(|age| responded_at.checked_sub(age)),
         };
-        match (update.news, position) {
-            (News::Rows { rows, version }, _) => {
+        match (update.content, position) {
+            (UpdateContent::Rows { rows, version }, _) => {
                 self.replace_packed(&update.table, rows, version, ages);
             }
-            (News::Changes { changes, version }, Some(position)) => {
+            (UpdateContent::Changes { changes, version }, Some(position)) => {
                 self.advance_packed(&update.table, position, changes, version, ages);
             }
             // Without a known version, changes cannot be applied. The next response contains all
             // rows.
-            (News::Changes { .. }, None) => {}
-            (News::Page(page), _) => self.apply_page(&update.table, &page, ages.since_confirmed),
+            (UpdateContent::Changes { .. }, None) => {}
+            (UpdateContent::Page(page), _) => {
+                self.apply_page(&update.table, &page, ages.since_confirmed)
+            }
         }
     }
 
@@ -149,7 +156,7 @@
             }
             Err(error) => {
                 let fields = format_args!("table={table} error=\"{error}\"");
-                lines::write(Rank::Decision, "page_refused", fields);
+                event_log::write(LogPriority::Decision, "page_refused", fields);
             }
         }
     }
@@ -234,13 +241,13 @@
 
     /// Records that the table no longer has the changes since the cached version, so that the
     /// whole table has to be read again.
-    pub fn note_gap(&mut self, table: &str) {
+    pub fn record_gap(&mut self, table: &str) {
         self.entry(table).has_gap = true;
     }
 
     /// The update that brings a gateway at `position` to the cached version; none if the table's
     /// rows are not known. The update has no changes if the gateway is up to date.
-    pub fn news(&self, position: &TablePosition) -> Option<TableNews> {
+    pub fn update_for(&self, position: &TablePosition) -> Option<TableUpdate> {
         let now = self.clock.since_boot();
         let cached = self.tables.get(&position.table)?;
         let age = cached.age(now)?;
@@ -253,33 +260,33 @@
         let rows = cached.rows.as_ref()?;
         let version = cached.version;
         let content = match position.version {
-            Some(known) if known >= cached.since => News::Changes {
+            Some(known) if known >= cached.since => UpdateContent::Changes {
                 changes: cached.changes_after(known, position.newest_only),
                 version,
             },
             _ => page.map_or_else(
-                || News::Rows {
+                || UpdateContent::Rows {
                     rows: rows.values().cloned().collect(),
                     version,
                 },
-                News::Page,
+                UpdateContent::Page,
             ),
         };
-        Some(TableNews {
+        Some(TableUpdate {
             table: position.table.clone(),
-            age: age.as_millis() as u64,
-            proved_age: cached
+            age_ms: age.as_millis() as u64,
+            verified_age_ms: cached
                 .verified
                 .age(now, u64::MAX)
                 .map(|age| age.as_millis() as u64 + 1),
-            news: content,
+            content,
         })
     }
 
     /// Whether the cached content is too old for a gateway at `position`.
     pub fn is_too_old(&self, position: &TablePosition) -> bool {
         let age = self.age(&position.table);
-        age.is_none_or(|age| age > Duration::from_millis(position.most_age))
+        age.is_none_or(|age| age > Duration::from_millis(position.max_age_ms))
     }
 
     /// Whether the cache has changes that a gateway at `position` lacks.
@@ -298,7 +305,7 @@
 
     /// Time since the latest moment for which the table is known to have held nothing newer than
     /// the version `applied`; none if there is no such moment.
-    pub fn proved_age(&self, table: &str, applied: u64) -> Option<Duration> {
+    pub fn verified_age(&self, table: &str, applied: u64) -> Option<Duration> {
         let cached = self.tables.get(table)?;
         cached.verified.age(self.clock.since_boot(), applied)
     }
@@ -438,8 +445,8 @@
 }
 
 fn log_page_error(error: &PageError) {
-    lines::write(
-        Rank::Decision,
+    event_log::write(
+        LogPriority::Decision,
         "page_refused",
         format_args!("error=\"{error}\""),
     );
--- a/crates/gateway/src/feed/message.rs
+++ b/crates/gateway/src/feed/message.rs
@@ -2,15 +2,15 @@
 
 use std::sync::Arc;
 
-use gorsebank_fleet::quarantine::Position;
+use gorsebank_fleet::quarantine::EventPosition;
 use gorsebank_fleet::running::Counts;
-use gorsebank_fleet::{ToldDeparture, ToldLimit};
+use gorsebank_fleet::{DrainNotice, LimitNotice};
 use gorsebank_world::NodeId;
 use serde::{Deserialize, Serialize};
 
 use super::packed::PackedChange;
 use super::page::{PageRequest, TablePage};
-use crate::quarantine::QuarantineNews;
+use crate::quarantine::QuarantineUpdate;
 
 /// The state of a table at the gateway that requests updates of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -27,7 +27,7 @@
     /// Maximum useful age of the table's content since the table confirmed it, in milliseconds. A
     /// parent whose content is older responds at once, so that the gateway can ask another one.
     #[serde(rename = "m")]
-    pub most_age: u64,
+    pub max_age_ms: u64,
     /// The page to send if the whole table has to be sent; none from a gateway that receives whole
     /// tables in one message, as gateways of earlier builds do.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
@@ -36,12 +36,12 @@
 
 /// A request for updates of several tables.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct FeedQuestion {
+pub struct FeedRequest {
     /// The tables, in descending order of urgency.
     pub tables: Vec<TablePosition>,
     /// Maximum wait for the first change, in milliseconds.
     #[serde(rename = "wait")]
-    pub wait: u64,
+    pub wait_ms: u64,
     /// The gateway that sends the request.
     pub from: NodeId,
     /// The requests that the sender and all gateways below it have running at back ends.
@@ -49,36 +49,36 @@
     /// The position up to which the sender has the receiver's quarantine updates; none if it has
     /// none, or is of an earlier build.
     #[serde(default)]
-    pub quarantine: Option<Position>,
+    pub quarantine: Option<EventPosition>,
     /// Rate limits that back ends state, as known to the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitNotice>,
     /// Draining back ends, as known to the sender.
     #[serde(rename = "departures", default, skip_serializing_if = "Vec::is_empty")]
-    pub departures: Vec<ToldDeparture>,
+    pub drain_notices: Vec<DrainNotice>,
 }
 
 /// An update of one table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TableNews {
+pub struct TableUpdate {
     /// The table.
     #[serde(rename = "t")]
     pub table: String,
     /// Time since the table confirmed the content, in milliseconds.
     #[serde(rename = "a")]
-    pub age: u64,
+    pub age_ms: u64,
     /// Time since the latest moment for which the content is known to equal the table, in
     /// milliseconds; none if there is no such moment.
     #[serde(rename = "p", default)]
-    pub proved_age: Option<u64>,
+    pub verified_age_ms: Option<u64>,
     /// The rows or changes.
     #[serde(rename = "n")]
-    pub news: News,
+    pub content: UpdateContent,
 }
 
 /// The content of an update of a table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum News {
+pub enum UpdateContent {
     /// All rows, for a gateway without a version or with one that is too old.
     Rows {
         /// The rows.
@@ -97,11 +97,11 @@
     Page(Arc<TablePage>),
 }
 
-/// The response to a [`FeedQuestion`]. Tables that the sender does not know are omitted.
+/// The response to a [`FeedRequest`]. Tables that the sender does not know are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct FeedAnswer {
+pub struct FeedResponse {
     /// Updates of the requested tables.
-    pub tables: Vec<TableNews>,
+    pub tables: Vec<TableUpdate>,
     /// Time between the arrival of the request and the response, in milliseconds. The response is
     /// younger than the request by at least this time.
     #[serde(rename = "held", default)]
@@ -110,11 +110,11 @@
     pub running: Option<Counts>,
     /// Requests under which back ends crashed; none from a gateway of an earlier build.
     #[serde(default)]
-    pub quarantine: Option<QuarantineNews>,
+    pub quarantine: Option<QuarantineUpdate>,
     /// Rate limits that back ends state, as known to the sender.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub limits: Vec<ToldLimit>,
+    pub limits: Vec<LimitNotice>,
     /// Draining back ends, as known to the sender.
     #[serde(rename = "departures", default, skip_serializing_if = "Vec::is_empty")]
-    pub departures: Vec<ToldDeparture>,
+    pub drain_notices: Vec<DrainNotice>,
 }
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -6,26 +6,26 @@
 //! ```
 //!
 //! In: responses of the table (at roots) or of this gateway's parent. Out: rows and changes for
-//! this gateway's own followers ([`crate::watch`]) and for its children.
+//! this gateway's own followers ([`crate::table_followers`]) and for its children.
 //!
 //! Requests to parents also carry the number of requests that gateways have running at back ends,
 //! and the responses carry the sums over all gateways. One of hundreds of gateways sees too few
 //! requests to tell how busy a back end is.
 //!
-//! [`parents`] chooses the gateways to ask, [`filler`] reads the table or asks a parent, [`cache`]
+//! [`parents`] chooses the gateways to ask, [`table_sync`] reads the table or asks a parent, [`cache`]
 //! keeps the tables, [`packed`] is the form in which rows are sent, [`page`] divides whole tables
 //! into pages, and [`message`] has the messages. Updates are ordered by the table's versions only.
 //! No clocks are compared between gateways; each gateway adds to the age of an update.
 
 pub mod cache;
-mod fed;
-pub mod filler;
 pub mod message;
 pub mod packed;
 pub mod page;
+mod parent_follower;
 pub mod parents;
-mod proof;
-mod rhythm;
+mod sync_policy;
+pub mod table_sync;
+mod verified_contents;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -37,12 +37,12 @@
 use tokio::time::timeout;
 
 pub use cache::TableCache;
-pub use message::{FeedAnswer, FeedQuestion, News, TableNews, TablePosition};
+pub use message::{FeedRequest, FeedResponse, TablePosition, TableUpdate, UpdateContent};
 pub use parents::{Member, Parents};
-pub use rhythm::{MAX_UPDATE_WAIT, Rhythm, max_update_age, rhythms};
+pub use sync_policy::{MAX_UPDATE_WAIT, TableSyncPolicy, max_update_age, table_sync_policies};
 
 use crate::clock::Clock;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::RowChange;
 use crate::quarantine::SharedQuarantine;
 
@@ -58,12 +58,12 @@
     /// Notified when another gateway requested updates from this one.
     pub update_requested: Notify,
     /// Notified when the position in the tree may have changed.
-    pub moved: Notify,
+    pub position_changed: Notify,
 }
 
 /// An update for a follower of one table.
 #[derive(Debug)]
-pub enum Told {
+pub enum FollowerUpdate {
     /// The whole table.
     Rows(Vec<TableRow>),
     /// Changes, in order.
@@ -79,7 +79,7 @@
             parents: Mutex::default(),
             running: Mutex::default(),
             update_requested: Notify::default(),
-            moved: Notify::default(),
+            position_changed: Notify::default(),
         }
     }
 
@@ -94,29 +94,29 @@
             table: table.to_owned(),
             version: None,
             newest_only: true,
-            most_age: u64::MAX,
+            max_age_ms: u64::MAX,
             page: None,
         };
-        let update = self.cache(|cache| cache.news(&position))?;
-        if Duration::from_millis(update.age) > max_age {
+        let update = self.cache(|cache| cache.update_for(&position))?;
+        if Duration::from_millis(update.age_ms) > max_age {
             return None;
         }
-        match unpack(update.news).0 {
-            Told::Rows(rows) => Some(rows),
-            Told::Changes(_) => None,
+        match unpack(update.content).0 {
+            FollowerUpdate::Rows(rows) => Some(rows),
+            FollowerUpdate::Changes(_) => None,
         }
     }
 
     /// Records that the follower of a table has applied it up to this version.
-    pub fn note_taken(&self, table: &'static str, version: u64) {
+    pub fn record_applied(&self, table: &'static str, version: u64) {
         self.applied.lock().insert(table, version);
     }
 
     /// Time since the latest moment for which a table is known to have held nothing newer than
     /// its follower has applied; none if there is no such moment.
-    pub fn proved_age(&self, table: &str) -> Option<Duration> {
+    pub fn verified_age(&self, table: &str) -> Option<Duration> {
         let applied = *self.applied.lock().get(table)?;
-        self.cache(|cache| cache.proved_age(table, applied))
+        self.cache(|cache| cache.verified_age(table, applied))
     }
 
     /// Returns a receiver that is notified when the table changes.
@@ -126,12 +126,12 @@
 
     /// The update of a table since `position`, for a follower of this gateway; none if there are
     /// no changes. Advances the position.
-    pub fn told(&self, position: &mut TablePosition) -> Option<Told> {
+    pub fn next_update(&self, position: &mut TablePosition) -> Option<FollowerUpdate> {
         let update = self.cache(|cache| {
             let is_newer = cache.is_newer(position);
-            is_newer.then(|| cache.news(position)).flatten()
+            is_newer.then(|| cache.update_for(position)).flatten()
         })?;
-        let (content, version) = unpack(update.news);
+        let (content, version) = unpack(update.content);
         position.version = Some(version);
         Some(content)
     }
@@ -141,14 +141,14 @@
     /// request.
     pub async fn wait_for_updates(
         &self,
-        request: &FeedQuestion,
+        request: &FeedRequest,
         quarantine: &SharedQuarantine,
-    ) -> Vec<TableNews> {
+    ) -> Vec<TableUpdate> {
         self.parents.lock().record_request();
         self.update_requested.notify_one();
         let mut any_table = self.cache(|cache| cache.subscribe_to_any());
         let mut quarantine_changes = quarantine.subscribe();
-        let wait = Duration::from_millis(request.wait).min(MAX_UPDATE_WAIT);
+        let wait = Duration::from_millis(request.wait_ms).min(MAX_UPDATE_WAIT);
         let until_due = async {
             loop {
                 any_table.mark_unchanged();
@@ -157,7 +157,7 @@
                     let mut tables = request.tables.iter();
                     tables.any(|it| cache.is_newer(it) || cache.is_too_old(it))
                 };
-                if self.cache(is_due) || quarantine.is_ahead_of(request.quarantine) {
+                if self.cache(is_due) || quarantine.has_update_for(request.quarantine) {
                     return;
                 }
                 let changed = tokio::select! {
@@ -173,24 +173,24 @@
         // information is.
         let _ = timeout(wait, until_due).await;
         let tables = request.tables.iter();
-        self.cache(|cache| tables.filter_map(|it| cache.news(it)).collect())
+        self.cache(|cache| tables.filter_map(|it| cache.update_for(it)).collect())
     }
 }
 
 /// Unpacks an update and returns it with its version. A row that cannot be unpacked is skipped and
 /// logged.
-fn unpack(content: News) -> (Told, u64) {
+fn unpack(content: UpdateContent) -> (FollowerUpdate, u64) {
     let (packed, version, is_whole) = match content {
-        News::Rows { rows, version } => (rows, version, true),
-        News::Changes { changes, version } => (changes, version, false),
+        UpdateContent::Rows { rows, version } => (rows, version, true),
+        UpdateContent::Changes { changes, version } => (changes, version, false),
         // Followers of this gateway do not request pages.
-        News::Page(page) => (Vec::new(), page.version, false),
+        UpdateContent::Page(page) => (Vec::new(), page.version, false),
     };
     let changes = packed.iter().filter_map(|change| match change.unpack() {
         Ok(change) => Some(change),
         Err(error) => {
-            lines::write(
-                Rank::Decision,
+            event_log::write(
+                LogPriority::Decision,
                 "row_refused",
                 format_args!("error=\"{error}\""),
             );
@@ -198,11 +198,11 @@
         }
     });
     if !is_whole {
-        return (Told::Changes(changes.collect()), version);
+        return (FollowerUpdate::Changes(changes.collect()), version);
     }
     let rows = changes.filter_map(|change| match change {
         RowChange::Put(row) => Some(row),
         RowChange::Removed { .. } => None,
     });
-    (Told::Rows(rows.collect()), version)
+    (FollowerUpdate::Rows(rows.collect()), version)
 }
--- a/crates/gateway/src/feed/fed.rs
+++ b/crates/gateway/src/feed/parent_follower.rs
@@ -10,17 +10,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_fleet::feeders::Place;
+use gorsebank_fleet::distribution_tree::TreePosition;
 use gorsebank_fleet::running::Counts;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use super::filler::{MAX_PARENT_PAUSE, MAX_SMALL_FLEET, MIN_PAUSE, RESPONSE_TIMEOUT, advance};
-use super::message::{FeedAnswer, FeedQuestion, TablePosition};
+use super::message::{FeedRequest, FeedResponse, TablePosition};
 use super::parents::Parent;
-use super::rhythm::{MAX_UPDATE_WAIT, Rhythm, max_update_age, rhythms};
-use crate::lines::{self, Rank};
+use super::sync_policy::{MAX_UPDATE_WAIT, TableSyncPolicy, max_update_age, table_sync_policies};
+use super::table_sync::{MAX_PARENT_PAUSE, MAX_SMALL_FLEET, MIN_PAUSE, RESPONSE_TIMEOUT, advance};
+use crate::event_log::{self, LogPriority};
 use crate::ports::TableError;
-use crate::relay::{RelayAnswer, RelayRequest};
+use crate::relay::{RelayRequest, RelayResponse};
 use crate::shared::Shared;
 
 /// Minimum time between two requests of a gateway without children.
@@ -114,8 +114,11 @@
 
     fn pause(&self) -> Duration {
         let has_children = self.shared.feed.parents.lock().has_children();
-        let min_pause = self.shared.read_pause().clamp(MIN_PAUSE, MAX_PARENT_PAUSE);
-        if has_children || self.shared.possible_gateways() <= MAX_SMALL_FLEET {
+        let min_pause = self
+            .shared
+            .min_read_interval()
+            .clamp(MIN_PAUSE, MAX_PARENT_PAUSE);
+        if has_children || self.shared.max_gateway_count() <= MAX_SMALL_FLEET {
             min_pause
         } else {
             LEAF_PAUSE
@@ -126,7 +129,7 @@
     /// is a change.
     async fn request_updates(&mut self, parent: Parent, wait: Duration) -> ParentOutcome {
         let now = Instant::now();
-        let due: Vec<Rhythm> = rhythms(&self.shared.platform.tables())
+        let due: Vec<TableSyncPolicy> = table_sync_policies(&self.shared.platform.tables())
             .into_iter()
             .filter(|policy| {
                 let updated_at = self.updated_at.get(policy.table);
@@ -135,25 +138,29 @@
             .collect();
         let own = self.shared.own_running();
         let update_request = self.build_update_request(parent, wait, &due, &own);
-        let request = RelayRequest::News(update_request.clone());
+        let request = RelayRequest::Updates(update_request.clone());
         let time_limit = wait + RESPONSE_TIMEOUT;
         let client = self.shared.table().client();
-        let suspended = self.shared.clock.suspended();
+        let suspended = self.shared.clock.total_suspension();
         let requested_at = self.shared.clock.since_boot();
         let response = client.call(parent.address, &request, time_limit).await;
         // After a suspension, the age of the response is unknown, so the response is discarded.
         let response = response.filter(|_| !self.shared.clock.was_suspended_since(suspended));
         let has_responded = response.is_some();
         let is_fresh = match response {
-            Some(RelayAnswer::News(response)) => {
+            Some(RelayResponse::Updates(response)) => {
                 if let Some(update) = &response.quarantine {
-                    self.shared.note_quarantine_news(parent.address, update);
+                    self.shared.merge_quarantine_update(parent.address, update);
                 }
-                self.shared.note_told_limits(&response.limits);
-                self.shared.note_told_departures(&response.departures);
+                self.shared.merge_limit_notices(&response.limits);
+                self.shared.merge_drain_notices(&response.drain_notices);
                 if let Some(sums) = &response.running {
                     let now = self.shared.now();
-                    self.shared.feed.running.lock().note_sums(now, sums, &own);
+                    self.shared
+                        .feed
+                        .running
+                        .lock()
+                        .record_totals(now, sums, &own);
                 }
                 let responded_at = requested_at + Duration::from_millis(response.held_ms);
                 self.apply(&update_request, response, responded_at)
@@ -165,7 +172,7 @@
             tables.any(|position| cache.has_outstanding_pages(&position.table))
         });
         let result = if is_fresh { "fed" } else { "feed_failed" };
-        self.shared.table().count(result);
+        self.shared.table().count_call(result);
         let mut parents = self.shared.feed.parents.lock();
         if is_fresh {
             self.updated_at
@@ -186,63 +193,63 @@
         &self,
         parent: Parent,
         wait: Duration,
-        due: &[Rhythm],
+        due: &[TableSyncPolicy],
         own: &Counts,
-    ) -> FeedQuestion {
-        let bound = self.shared.settings.bounds.news;
-        let position = |policy: &Rhythm| TablePosition {
+    ) -> FeedRequest {
+        let bound = self.shared.settings.bounds.propagation_bound;
+        let position = |policy: &TableSyncPolicy| TablePosition {
             table: policy.table.to_owned(),
             version: self.shared.feed.cache(|cache| cache.version(policy.table)),
             newest_only: policy.newest_only,
-            most_age: policy.freshness(bound, parent.is_root).as_millis() as u64,
+            max_age_ms: policy.max_age(bound, parent.is_root).as_millis() as u64,
             page: Some(
                 self.shared
                     .feed
                     .cache(|cache| cache.next_page(policy.table)),
             ),
         };
-        FeedQuestion {
+        FeedRequest {
             tables: due.iter().map(position).collect(),
-            wait: wait.as_millis() as u64,
+            wait_ms: wait.as_millis() as u64,
             from: self.shared.settings.node.clone(),
             running: self
                 .shared
                 .feed
                 .running
                 .lock()
-                .below(self.shared.now(), own),
-            quarantine: self.shared.quarantine.heard(parent.address),
-            limits: self.shared.told_limits(),
-            departures: self.shared.told_departures(),
+                .subtree_counts(self.shared.now(), own),
+            quarantine: self.shared.quarantine.position_in(parent.address),
+            limits: self.shared.limit_notices(),
+            drain_notices: self.shared.drain_notices(),
         }
     }
 
     /// Applies a response to the cache. Returns whether the response is fresh for every requested
     /// table. `responded_at` is the earliest moment at which the parent can have responded, as time
     /// since boot.
-    fn apply(&self, request: &FeedQuestion, response: FeedAnswer, responded_at: Duration) -> bool {
+    fn apply(&self, request: &FeedRequest, response: FeedResponse, responded_at: Duration) -> bool {
         let mut fresh = 0;
         for update in response.tables {
             let mut requested = request.tables.iter();
             let Some(position) = requested.find(|position| position.table == update.table) else {
                 continue;
             };
-            if update.age <= position.most_age {
+            if update.age_ms <= position.max_age_ms {
                 fresh += 1;
             }
             // An old update may still contain unknown changes. The cache ignores older versions.
             let version = position.version;
             self.shared
                 .feed
-                .cache(|cache| cache.take(version, update, responded_at));
+                .cache(|cache| cache.apply_update(version, update, responded_at));
         }
         fresh == request.tables.len()
     }
 
     /// Whether the content of an urgent table is too old to wait any longer for a parent.
     fn needs_update(&self) -> bool {
-        let max_age = max_update_age(self.shared.settings.bounds.news);
-        let tables = rhythms(&self.shared.platform.tables());
+        let max_age = max_update_age(self.shared.settings.bounds.propagation_bound);
+        let tables = table_sync_policies(&self.shared.platform.tables());
         let mut urgent = tables.iter().filter(|policy| policy.is_urgent);
         self.shared.feed.cache(|cache| {
             urgent.any(|policy| cache.age(policy.table).is_none_or(|age| age > max_age))
@@ -266,11 +273,11 @@
             () = sleep(MAX_UPDATE_WAIT) => return,
         }
         self.table_read_at = Some(Instant::now());
-        let tables = rhythms(&self.shared.platform.tables());
+        let tables = table_sync_policies(&self.shared.platform.tables());
         let Some(first) = tables.iter().find(|policy| policy.is_urgent) else {
             return;
         };
-        let result = advance(&self.shared, first, first.wait).await;
+        let result = advance(&self.shared, first, first.max_wait).await;
         let has_responded = matches!(result, Ok(()) | Err(TableError::HistoryGone));
         self.record_table_read(first.table, has_responded);
         if has_responded {
@@ -286,12 +293,12 @@
             self.failed_table_reads + 1
         };
         let result = if has_responded { "tried" } else { "try_failed" };
-        self.shared.table().count(result);
+        self.shared.table().count_call(result);
         let fields = format_args!(
             "table={table} result={result} consecutive_failures={}",
             self.failed_table_reads
         );
-        lines::write(Rank::Decision, "table_tried", fields);
+        event_log::write(LogPriority::Decision, "table_tried", fields);
     }
 
     /// Whether a parent recently responded without fresh content.
@@ -304,15 +311,15 @@
     /// waits for content as well. The parent reads the table on behalf of all its children, each of
     /// which would otherwise have to read the whole table.
     fn waits_with_parent(&self) -> bool {
-        let is_large_fleet = self.shared.possible_gateways() > MAX_SMALL_FLEET;
+        let is_large_fleet = self.shared.max_gateway_count() > MAX_SMALL_FLEET;
         self.has_stale_parent() && is_large_fleet && !self.shared.has_read_back_ends()
     }
 
     /// Whether this gateway must not ask roots. At a start, roots serve the intermediate gateways,
     /// and not all leaves at once.
     fn must_skip_roots(&self) -> bool {
-        let position = self.shared.feed.parents.lock().place();
-        position == Place::LeafOfMiddle && self.waits_with_parent()
+        let position = self.shared.feed.parents.lock().position();
+        position == TreePosition::LeafOfMiddle && self.waits_with_parent()
     }
 
     /// Minimum time between two reads of the table. At startup, while a parent waits for content as
@@ -320,7 +327,7 @@
     /// receive no updates. The pause is at most [`MAX_PAUSE_WITH_CHILDREN`] for gateways that have
     /// children.
     fn table_read_pause(&self) -> Duration {
-        let seconds_per_round = self.shared.possible_gateways() as f64 / TABLE_READS_PER_SECOND;
+        let seconds_per_round = self.shared.max_gateway_count() as f64 / TABLE_READS_PER_SECOND;
         let shared_pause =
             Duration::from_secs_f64(seconds_per_round * (0.5 + rand::random::<f64>()));
         if self.shared.feed.parents.lock().has_children() {
--- a/crates/gateway/src/feed/parents.rs
+++ b/crates/gateway/src/feed/parents.rs
@@ -9,11 +9,11 @@
 use std::time::Duration;
 
 use gorsebank_fleet::MemberRow;
-use gorsebank_fleet::feeders::{Candidate, FeedOrder, Place};
+use gorsebank_fleet::distribution_tree::{ParentCandidate, ParentOrder, TreePosition};
 use gorsebank_world::ZoneId;
 use tokio::time::Instant;
 
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 
 /// A gateway that did not respond is not asked again for this time.
 const NO_RESPONSE_COOLDOWN: Duration = Duration::from_secs(2);
@@ -49,7 +49,7 @@
 /// The parents of this gateway, and its position in the distribution tree.
 #[derive(Debug, Default)]
 pub struct Parents {
-    position: Place,
+    position: TreePosition,
     /// The parents, in the order in which they are asked.
     parents: Vec<Parent>,
     /// The other roots, if this gateway is a root.
@@ -69,21 +69,21 @@
     /// other gateways; `holder` is the placement holder. Returns whether the position of this
     /// gateway in the tree has changed.
     pub fn set_members(&mut self, own: &str, members: &[Member], holder: Option<&str>) -> bool {
-        let candidates = members.iter().map(|member| Candidate {
+        let candidates = members.iter().map(|member| ParentCandidate {
             name: &member.name,
             link_megabits: member.row.link_megabits,
             millicores: member.row.millicores,
             zone: member.row.zone.as_ref().map(ZoneId::as_str),
-            places_models: holder == Some(member.name.as_str()),
+            is_placement_holder: holder == Some(member.name.as_str()),
         });
-        let candidates: Vec<Candidate<'_>> = candidates.collect();
-        let order = FeedOrder::new(own, &candidates);
+        let candidates: Vec<ParentCandidate<'_>> = candidates.collect();
+        let order = ParentOrder::new(own, &candidates);
         let parent = |index: &usize| Parent {
             address: members[*index].address,
             is_root: order.roots.contains(index),
         };
-        self.parents = order.asks.iter().map(parent).collect();
-        let is_root = order.place == Place::Root;
+        self.parents = order.parents.iter().map(parent).collect();
+        let is_root = order.position == TreePosition::Root;
         let roots = members.iter().enumerate();
         let peers = roots
             .filter(|(index, member)| is_root && member.name != own && order.roots.contains(index));
@@ -92,26 +92,26 @@
         self.cooldowns.retain(|address, until| {
             now < *until && parents.iter().any(|parent| parent.address == *address)
         });
-        let former = std::mem::replace(&mut self.position, order.place);
-        if former != order.place {
+        let former = std::mem::replace(&mut self.position, order.position);
+        if former != order.position {
             let fields = format_args!(
                 "place={:?} former={former:?} gateways={}",
-                order.place,
+                order.position,
                 members.len()
             );
-            lines::write(Rank::Decision, "feed_place", fields);
+            event_log::write(LogPriority::Decision, "feed_place", fields);
         }
-        former != order.place
+        former != order.position
     }
 
     /// The position of this gateway in the tree.
-    pub fn place(&self) -> Place {
+    pub fn position(&self) -> TreePosition {
         self.position
     }
 
     /// Whether this gateway is a root, which has no parents.
     pub fn is_root(&self) -> bool {
-        self.position == Place::Root
+        self.position == TreePosition::Root
     }
 
     /// The other roots if this gateway is a root; otherwise empty.
@@ -122,7 +122,7 @@
     /// Whether this gateway currently follows the table itself.
     pub fn follows_table(&self) -> bool {
         let is_recent = |at: Instant| at.elapsed() < DIRECT_FOLLOW_TIME;
-        self.position == Place::Root || self.last_direct_response.is_some_and(is_recent)
+        self.position == TreePosition::Root || self.last_direct_response.is_some_and(is_recent)
     }
 
     /// Records that the table responded while no parent sent a fresh response. The gateway then
@@ -161,7 +161,7 @@
     /// Whether other gateways depend on updates from this one.
     pub fn has_children(&self) -> bool {
         let is_recent = |at: Instant| at.elapsed() < CHILD_LIFETIME;
-        self.position == Place::Middle || self.last_request.is_some_and(is_recent)
+        self.position == TreePosition::Middle || self.last_request.is_some_and(is_recent)
     }
 
     /// Records the source of the last update, which is a gateway, or the table if it is none. Logs
@@ -171,7 +171,7 @@
         if former != source {
             let name = |it: Option<SocketAddr>| it.map_or("table".to_owned(), |it| it.to_string());
             let fields = format_args!("from={} former={}", name(source), name(former));
-            lines::write(Rank::Decision, "fed", fields);
+            event_log::write(LogPriority::Decision, "fed", fields);
         }
     }
 }
--- a/crates/gateway/src/feed/rhythm.rs
+++ b/crates/gateway/src/feed/sync_policy.rs
@@ -35,11 +35,11 @@
 
 /// How one table is kept up to date.
 #[derive(Clone, Copy, Debug)]
-pub struct Rhythm {
+pub struct TableSyncPolicy {
     /// The table.
     pub table: &'static str,
     /// Maximum wait for a change in one read of the table.
-    pub wait: Duration,
+    pub max_wait: Duration,
     /// Minimum time between two requests.
     pub min_interval: Duration,
     /// Whether the newest of several changes of a row is sufficient.
@@ -50,10 +50,10 @@
     pub is_busy: bool,
 }
 
-impl Rhythm {
+impl TableSyncPolicy {
     /// Minimum time between two reads of changes of the table, if changes arrive continuously.
     /// `bound` is the deployment's propagation bound.
-    pub fn least_pause(&self, bound: Duration) -> Duration {
+    pub fn min_read_interval(&self, bound: Duration) -> Duration {
         if self.is_busy {
             self.min_interval.max(bound.mul_f64(BUSY_PAUSE_FRACTION))
         } else {
@@ -63,7 +63,7 @@
 
     /// Maximum age of the table's content that is accepted from a parent. `bound` is the
     /// deployment's propagation bound.
-    pub fn freshness(&self, bound: Duration, parent_is_root: bool) -> Duration {
+    pub fn max_age(&self, bound: Duration, parent_is_root: bool) -> Duration {
         match (self.is_urgent, parent_is_root) {
             (false, _) => MAX_NON_URGENT_AGE,
             (true, true) => bound.mul_f64(ROOT_AGE_FRACTION),
@@ -78,42 +78,42 @@
 }
 
 /// The policies of the tables that every gateway follows, in descending order of urgency.
-pub fn rhythms(tables: &TableNames) -> [Rhythm; 6] {
-    let urgent = |table| Rhythm {
+pub fn table_sync_policies(tables: &TableNames) -> [TableSyncPolicy; 6] {
+    let urgent = |table| TableSyncPolicy {
         table,
-        wait: MAX_UPDATE_WAIT,
+        max_wait: MAX_UPDATE_WAIT,
         min_interval: Duration::ZERO,
         newest_only: true,
         is_urgent: true,
         is_busy: true,
     };
-    let non_urgent = |table| Rhythm {
-        wait: MAX_NON_URGENT_WAIT,
+    let non_urgent = |table| TableSyncPolicy {
+        max_wait: MAX_NON_URGENT_WAIT,
         is_urgent: false,
         ..urgent(table)
     };
     [
-        Rhythm {
+        TableSyncPolicy {
             is_busy: false,
             ..urgent(tables.configuration)
         },
         // Every state of a row is applied, since a back end that has announced its drain stays
         // draining.
-        Rhythm {
+        TableSyncPolicy {
             newest_only: false,
             ..urgent(tables.back_ends)
         },
         urgent(tables.placed),
         // With the shorter wait, a gateway that waits for the lease soon sees that the lease is
         // not renewed.
-        Rhythm {
-            wait: MAX_UPDATE_WAIT,
+        TableSyncPolicy {
+            max_wait: MAX_UPDATE_WAIT,
             ..non_urgent(tables.lease)
         },
         non_urgent(tables.members),
-        Rhythm {
+        TableSyncPolicy {
             min_interval: PREFILL_SPEED_INTERVAL,
-            ..non_urgent(tables.reading)
+            ..non_urgent(tables.prefill_speeds)
         },
     ]
 }
--- a/crates/gateway/src/feed/filler.rs
+++ b/crates/gateway/src/feed/table_sync.rs
@@ -9,19 +9,19 @@
 use std::time::Duration;
 
 use futures_util::future::join_all;
-use gorsebank_fleet::feeders::Place;
+use gorsebank_fleet::distribution_tree::TreePosition;
 use gorsebank_fleet::running::Counts;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use super::fed::ParentFollower;
-use super::message::FeedQuestion;
-use super::rhythm::{MAX_UPDATE_WAIT, Rhythm, rhythms};
+use super::message::FeedRequest;
+use super::parent_follower::ParentFollower;
+use super::sync_policy::{MAX_UPDATE_WAIT, TableSyncPolicy, table_sync_policies};
 use crate::backoff::Backoff;
 use crate::demand_rows::AbortOnDrop;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::{TableError, WatchedTable};
 use crate::quarantine_row;
-use crate::relay::{RelayAnswer, RelayRequest};
+use crate::relay::{RelayRequest, RelayResponse};
 use crate::shared::Shared;
 
 /// First pause after a call of the table without a response.
@@ -57,8 +57,8 @@
 /// Follows the table until the position of this gateway in the tree no longer requires it.
 async fn follow_table(shared: &Arc<Shared>) {
     shared.feed.parents.lock().record_source(None);
-    let is_root = shared.feed.parents.lock().place() == Place::Root;
-    let tables = rhythms(&shared.platform.tables()).into_iter();
+    let is_root = shared.feed.parents.lock().position() == TreePosition::Root;
+    let tables = table_sync_policies(&shared.platform.tables()).into_iter();
     // A gateway that follows the table only temporarily reads only the urgent tables.
     let followed_tables = tables.filter(|policy| is_root || policy.is_urgent);
     let _table_tasks: Vec<AbortOnDrop> = followed_tables
@@ -68,7 +68,7 @@
     let _quarantine_task = AbortOnDrop(tokio::spawn(receive_quarantine_updates(shared.clone())));
     while shared.feed.parents.lock().follows_table() {
         // The time for which a gateway follows the table temporarily ends without a notification.
-        let _ = timeout(MAX_UPDATE_WAIT, shared.feed.moved.notified()).await;
+        let _ = timeout(MAX_UPDATE_WAIT, shared.feed.position_changed.notified()).await;
     }
 }
 
@@ -83,11 +83,11 @@
             let client = shared.table().client();
             let response = client.call(peer, &request, RESPONSE_TIMEOUT).await;
             // Without a response, the last counts of the other root expire soon.
-            if let Some(RelayAnswer::RunningCounts(counts)) = response {
-                shared.note_root(counts);
+            if let Some(RelayResponse::RunningCounts(counts)) = response {
+                shared.record_root(counts);
             }
         }
-        shared.sum_up_running();
+        shared.record_own_totals();
     }
 }
 
@@ -95,7 +95,7 @@
 /// quarantine updates from the other roots, until the future is dropped. The requests do not depend
 /// on the table.
 async fn receive_quarantine_updates(shared: Arc<Shared>) {
-    tokio::join!(quarantine_row::recall(&shared), poll_peer_roots(&shared));
+    tokio::join!(quarantine_row::read_row(&shared), poll_peer_roots(&shared));
 }
 
 /// Requests updates from all other roots, with one open request to each.
@@ -110,54 +110,60 @@
 }
 
 async fn poll_peer_root(shared: &Shared, peer: SocketAddr) {
-    let request = FeedQuestion {
+    let request = FeedRequest {
         tables: Vec::new(),
-        wait: MAX_UPDATE_WAIT.as_millis() as u64,
+        wait_ms: MAX_UPDATE_WAIT.as_millis() as u64,
         from: shared.settings.node.clone(),
         running: Counts::new(),
-        quarantine: shared.quarantine.heard(peer),
-        limits: shared.told_limits(),
-        departures: shared.told_departures(),
+        quarantine: shared.quarantine.position_in(peer),
+        limits: shared.limit_notices(),
+        drain_notices: shared.drain_notices(),
     };
     let client = shared.table().client();
-    let request = RelayRequest::News(request);
+    let request = RelayRequest::Updates(request);
     let time_limit = MAX_UPDATE_WAIT + RESPONSE_TIMEOUT;
     // A root that does not respond is asked again in the next iteration.
-    if let Some(RelayAnswer::News(response)) = client.call(peer, &request, time_limit).await {
-        shared.note_told_limits(&response.limits);
-        shared.note_told_departures(&response.departures);
+    if let Some(RelayResponse::Updates(response)) = client.call(peer, &request, time_limit).await {
+        shared.merge_limit_notices(&response.limits);
+        shared.merge_drain_notices(&response.drain_notices);
         if let Some(update) = &response.quarantine {
-            shared.note_quarantine_news(peer, update);
+            shared.merge_quarantine_update(peer, update);
         }
     }
 }
 
 /// Follows one table until the future is dropped.
-async fn follow_one_table(shared: Arc<Shared>, policy: Rhythm) {
+async fn follow_one_table(shared: Arc<Shared>, policy: TableSyncPolicy) {
     let mut backoff = Backoff::new(FIRST_RETRY_PAUSE, MAX_RETRY_PAUSE);
     let mut is_lost = false;
     loop {
         let requested_at = Instant::now();
         // After a failure, the table is asked to respond at once. The response also confirms the
         // cached content.
-        let wait = if is_lost { Duration::ZERO } else { policy.wait };
+        let wait = if is_lost {
+            Duration::ZERO
+        } else {
+            policy.max_wait
+        };
         match advance(&shared, &policy, wait).await {
             Ok(()) => {
                 log_state_change(&policy, &mut is_lost, None);
                 backoff.reset();
-                let min_pause = shared.read_pause().clamp(MIN_PAUSE, MAX_PARENT_PAUSE);
+                let min_pause = shared
+                    .min_read_interval()
+                    .clamp(MIN_PAUSE, MAX_PARENT_PAUSE);
                 sleep_until(requested_at + min_pause.max(busy_pause(&shared, &policy))).await;
             }
             Err(TableError::HistoryGone) => {
                 let fields = format_args!("table={}", policy.table);
-                lines::write(Rank::Decision, "history_gone", fields);
-                shared.feed.cache(|cache| cache.note_gap(policy.table));
+                event_log::write(LogPriority::Decision, "history_gone", fields);
+                shared.feed.cache(|cache| cache.record_gap(policy.table));
             }
             Err(error) => {
                 log_state_change(&policy, &mut is_lost, Some(&error));
                 tokio::select! {
                     () = backoff.wait() => {}
-                    () = shared.table().kept_out() => {}
+                    () = shared.table().wait_until_abandoned() => {}
                 }
             }
         }
@@ -167,25 +173,25 @@
 /// Minimum time between two reads of changes of a table. In a small fleet, more reads cost nothing
 /// and earlier updates serve callers better: in 20 paired benchmark runs of tks-indoor, which has
 /// nine gateways, the pause of a large fleet lowered the score by 0.012 ± 0.004.
-fn busy_pause(shared: &Shared, policy: &Rhythm) -> Duration {
-    if shared.possible_gateways() <= MAX_SMALL_FLEET {
+fn busy_pause(shared: &Shared, policy: &TableSyncPolicy) -> Duration {
+    if shared.max_gateway_count() <= MAX_SMALL_FLEET {
         policy.min_interval
     } else {
-        policy.least_pause(shared.settings.bounds.news)
+        policy.min_read_interval(shared.settings.bounds.propagation_bound)
     }
 }
 
 /// Logs when a table stops responding and when it responds again.
-fn log_state_change(policy: &Rhythm, is_lost: &mut bool, error: Option<&TableError>) {
+fn log_state_change(policy: &TableSyncPolicy, is_lost: &mut bool, error: Option<&TableError>) {
     let was_lost = std::mem::replace(is_lost, error.is_some());
     match error {
         Some(error) if !was_lost => {
             let fields = format_args!("table={} error=\"{error}\"", policy.table);
-            lines::write(Rank::Decision, "table_lost", fields);
+            event_log::write(LogPriority::Decision, "table_lost", fields);
         }
         None if was_lost => {
             let fields = format_args!("table={}", policy.table);
-            lines::write(Rank::Decision, "table_regained", fields);
+            event_log::write(LogPriority::Decision, "table_regained", fields);
         }
         _ => {}
     }
@@ -196,12 +202,12 @@
 /// suspended is discarded, since its age is unknown; the next call requests the content again.
 pub(super) async fn advance(
     shared: &Shared,
-    policy: &Rhythm,
+    policy: &TableSyncPolicy,
     wait: Duration,
 ) -> Result<(), TableError> {
     let source = shared.table();
     let table = policy.table;
-    let suspended = shared.clock.suspended();
+    let suspended = shared.clock.total_suspension();
     let requested_at = shared.clock.since_boot();
     match shared.feed.cache(|cache| cache.version(table)) {
         None => {
--- a/crates/gateway/src/holder.rs
+++ b/crates/gateway/src/holder.rs
@@ -8,15 +8,15 @@
 use std::time::Duration;
 
 use gorsebank_contract::Put;
-use gorsebank_fleet::Offer;
+use gorsebank_fleet::Candidacy;
 use tokio::time::sleep;
 
 use crate::demand_rows::AbortOnDrop;
-use crate::lease_seat::{LeaseSeat, Stepped};
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
+use crate::lease_session::{LeaseSession, LeaseStepResult};
 use crate::placement::Placement;
 use crate::shared::Shared;
-use crate::{quarantine_row, reading_rows, sweeper};
+use crate::{prefill_speed_rows, quarantine_row, sweeper};
 
 /// The name of the placement lease's row.
 pub const LEASE_NAME: &str = "placement";
@@ -42,9 +42,13 @@
 /// Takes and renews the lease until the process ends, and runs the tasks of the holder while the
 /// lease is held.
 pub async fn run(shared: Arc<Shared>) {
-    let lease = shared.settings.bounds.lease.mul_f64(LEASE_FRACTION);
+    let lease = shared
+        .settings
+        .bounds
+        .lease_duration
+        .mul_f64(LEASE_FRACTION);
     let mut candidate = LeaseCandidate {
-        session: LeaseSeat::new(&shared, LEASE_NAME, lease),
+        session: LeaseSession::new(&shared, LEASE_NAME, lease),
         lease,
         take_delay: MAX_TAKE_DELAY.mul_f64(rand::random()),
         shared,
@@ -72,7 +76,7 @@
 /// The part of this process in taking and renewing the lease.
 struct LeaseCandidate {
     shared: Arc<Shared>,
-    session: LeaseSeat,
+    session: LeaseSession,
     lease: Duration,
     /// The random delay of this process, up to [`MAX_TAKE_DELAY`].
     take_delay: Duration,
@@ -83,32 +87,32 @@
         let offer = self.offer();
         let shared = self.shared.clone();
         let additional_put = move || store_records_row(&shared);
-        if let Stepped::Idle(pause) = self.session.step(offer, additional_put).await {
+        if let LeaseStepResult::Idle(pause) = self.session.step(offer, additional_put).await {
             sleep(pause.min(MAX_CHECK_INTERVAL)).await;
         }
     }
 
     /// When this process may take the lease. The strongest machines take it first, because the
     /// planner has to keep up with hundreds of engines.
-    fn offer(&self) -> Offer {
+    fn offer(&self) -> Candidacy {
         let shared = &self.shared;
-        if shared.is_stopping() || !shared.can_place() {
-            return Offer::Never;
+        if shared.is_stopping() || !shared.may_place() {
+            return Candidacy::Never;
         }
         let own = f64::from(shared.settings.millicores);
         if let Some(held_ms) = self.session.keeper.lock().held_for(shared.now()) {
             let should_release = Duration::from_millis(held_ms) > MIN_HOLD_TIME
-                && (shared.lateness() > MAX_HOLDER_TIMER_LAG || self.has_stronger_machine(own));
+                && (shared.timer_lag() > MAX_HOLDER_TIMER_LAG || self.has_stronger_machine(own));
             return if should_release {
-                Offer::Never
+                Candidacy::Never
             } else {
-                Offer::After(0)
+                Candidacy::After(0)
             };
         }
-        if shared.lateness() > MAX_CANDIDATE_TIMER_LAG {
-            return Offer::Never;
+        if shared.timer_lag() > MAX_CANDIDATE_TIMER_LAG {
+            return Candidacy::Never;
         }
-        let strongest = f64::from(shared.strongest_millicores());
+        let strongest = f64::from(shared.max_millicores());
         let capacity_fraction = if strongest > 0.0 {
             own / strongest
         } else {
@@ -119,17 +123,17 @@
         } else {
             self.lease.mul_f64(2.0 - capacity_fraction) + self.take_delay
         };
-        Offer::After(delay.as_millis() as u64)
+        Candidacy::After(delay.as_millis() as u64)
     }
 
     /// Whether a machine with a much higher processor capacity sent its demand recently.
     fn has_stronger_machine(&self, own: f64) -> bool {
-        let strongest = f64::from(self.shared.strongest_millicores());
+        let strongest = f64::from(self.shared.max_millicores());
         if own >= strongest * EQUAL_CAPACITY_FRACTION {
             return false;
         }
         let now = self.shared.now();
-        let reporting = self.shared.demand_rows.heard(now);
+        let reporting = self.shared.demand_rows.reporting_gateways(now);
         let is_strong = |millicores: u32| f64::from(millicores) * EQUAL_CAPACITY_FRACTION > own;
         reporting
             .iter()
@@ -141,9 +145,9 @@
         let placement = Placement::new(shared.clone(), self.session.keeper.clone());
         [
             tokio::spawn(placement.run()),
-            tokio::spawn(reading_rows::tell(shared.clone())),
+            tokio::spawn(prefill_speed_rows::run(shared.clone())),
             tokio::spawn(sweeper::run(shared.clone())),
-            tokio::spawn(quarantine_row::keep(shared.clone())),
+            tokio::spawn(quarantine_row::maintain(shared.clone())),
         ]
         .map(AbortOnDrop)
     }
@@ -157,9 +161,9 @@
             "change={kind} fence={} millicores={} late_ms={}",
             fence.unwrap_or(0),
             shared.settings.millicores,
-            shared.lateness().as_millis(),
+            shared.timer_lag().as_millis(),
         );
-        lines::write(Rank::Decision, "lease", fields);
+        event_log::write(LogPriority::Decision, "lease", fields);
     }
 }
 
@@ -177,5 +181,5 @@
 /// The key of the row with the records of weight stores: recent loads and the number of concurrent
 /// loads.
 pub fn store_records_key(shared: &Shared) -> String {
-    format!("{}/placement", shared.platform.tables().loads)
+    format!("{}/placement", shared.platform.tables().saved_state)
 }
--- a/crates/gateway/src/http_connection.rs
+++ b/crates/gateway/src/http_connection.rs
@@ -47,7 +47,7 @@
 
 /// A pool of connections to one address. A connection that lost a response is not reused.
 #[derive(Debug)]
-pub struct KeptConnections {
+pub struct ConnectionPool {
     address: SocketAddr,
     /// Maximum time to connect.
     connect_timeout: Duration,
@@ -56,10 +56,10 @@
     idle: Mutex<Vec<HttpConnection>>,
 }
 
-impl KeptConnections {
+impl ConnectionPool {
     /// Creates an empty pool.
     pub fn new(address: SocketAddr, connect_timeout: Duration, max_idle: usize) -> Self {
-        KeptConnections {
+        ConnectionPool {
             address,
             connect_timeout,
             max_idle,
--- a/crates/gateway/src/lease_seat.rs
+++ b/crates/gateway/src/lease_session.rs
@@ -7,19 +7,19 @@
 use std::time::Duration;
 
 use gorsebank_contract::{Put, TableAnswer, Transaction};
-use gorsebank_fleet::{LeaseKeeper, LeaseRow, LeaseStep, Offer};
+use gorsebank_fleet::{Candidacy, LeaseKeeper, LeaseRow, LeaseStep};
 use parking_lot::Mutex;
 
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
-use crate::watch::LOST_PAUSE;
+use crate::table_followers::NO_RESPONSE_PAUSE;
 
 /// Maximum age of the cached lease row. An older row does not show who holds the lease.
 const MAX_ROW_AGE: Duration = Duration::from_millis(1_600);
 
-/// Result of [`LeaseSeat::step`].
+/// Result of [`LeaseSession::step`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stepped {
+pub enum LeaseStepResult {
     /// Nothing is due for this time.
     Idle(Duration),
     /// The row was read, or another gateway has written it.
@@ -29,7 +29,7 @@
 }
 
 /// A lease and its state at this process.
-pub struct LeaseSeat {
+pub struct LeaseSession {
     /// State of the lease, as known to this process.
     pub keeper: Arc<Mutex<LeaseKeeper>>,
     shared: Arc<Shared>,
@@ -41,13 +41,13 @@
     newest_version: u64,
 }
 
-impl LeaseSeat {
+impl LeaseSession {
     /// Creates the state for the lease `name` of the duration `lease`; nothing is known of the
     /// lease yet.
     pub fn new(shared: &Arc<Shared>, name: &str, lease: Duration) -> Self {
         let node = shared.settings.node.clone();
         let keeper = LeaseKeeper::new(node, rand::random(), lease.as_millis() as u64);
-        LeaseSeat {
+        LeaseSession {
             keeper: Arc::new(Mutex::new(keeper)),
             key: format!("{}/{name}", shared.platform.tables().lease),
             shared: shared.clone(),
@@ -64,17 +64,23 @@
     /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
     /// lease. The row that `extra_put` returns is written in the same transaction as the lease's
     /// row.
-    pub async fn step(&mut self, offer: Offer, extra_put: impl FnOnce() -> Option<Put>) -> Stepped {
+    pub async fn step(
+        &mut self,
+        offer: Candidacy,
+        extra_put: impl FnOnce() -> Option<Put>,
+    ) -> LeaseStepResult {
         let now = self.shared.now();
         let step = self.keeper.lock().step(now, offer);
         match step {
-            LeaseStep::Wait(until) => Stepped::Idle(Duration::from_millis(until.since(now))),
+            LeaseStep::Wait(until) => {
+                LeaseStepResult::Idle(Duration::from_millis(until.since(now)))
+            }
             LeaseStep::Read => self.read().await,
             LeaseStep::Write { expected, row } => self.write(expected, row, extra_put()).await,
         }
     }
 
-    async fn read(&mut self) -> Stepped {
+    async fn read(&mut self) -> LeaseStepResult {
         let shared = &self.shared;
         let table = shared.platform.tables().lease;
         let rows = if self.must_read_table {
@@ -84,7 +90,7 @@
             shared.feed.rows(table, MAX_ROW_AGE)
         };
         let Some(rows) = rows else {
-            return Stepped::Idle(LOST_PAUSE);
+            return LeaseStepResult::Idle(NO_RESPONSE_PAUSE);
         };
         self.must_read_table = false;
         let row = rows.iter().find(|row| row.key == self.key);
@@ -92,19 +98,24 @@
         if version < self.newest_version {
             // The row in the cache is older than the version that this process has already read or
             // written.
-            return Stepped::Idle(LOST_PAUSE);
+            return LeaseStepResult::Idle(NO_RESPONSE_PAUSE);
         }
         self.newest_version = version;
         let lease = row.and_then(|row| serde_json::from_str::<LeaseRow>(&row.value).ok());
         let now = shared.now();
-        self.keeper.lock().read(now, version, lease.as_ref());
-        Stepped::Done
+        self.keeper.lock().record_read(now, version, lease.as_ref());
+        LeaseStepResult::Done
     }
 
-    async fn write(&mut self, expected: u64, row: LeaseRow, extra_put: Option<Put>) -> Stepped {
+    async fn write(
+        &mut self,
+        expected: u64,
+        row: LeaseRow,
+        extra_put: Option<Put>,
+    ) -> LeaseStepResult {
         let shared = &self.shared;
         let Ok(value) = serde_json::to_string(&row) else {
-            return Stepped::Idle(LOST_PAUSE);
+            return LeaseStepResult::Idle(NO_RESPONSE_PAUSE);
         };
         let mut transaction = Transaction::put_if(self.key.clone(), expected, value);
         transaction.puts.extend(extra_put);
@@ -115,16 +126,16 @@
         match answer {
             TableAnswer::Committed { revision, .. } => {
                 self.newest_version = revision;
-                keeper.written(now, revision, &row);
-                Stepped::Written
+                keeper.record_write(now, revision, &row);
+                LeaseStepResult::Written
             }
             TableAnswer::Conflict { .. } => {
-                keeper.refused();
-                Stepped::Done
+                keeper.record_conflict();
+                LeaseStepResult::Done
             }
             TableAnswer::Refused { .. } | TableAnswer::Unknown => {
-                keeper.unanswered();
-                Stepped::Idle(LOST_PAUSE)
+                keeper.record_unconfirmed_write();
+                LeaseStepResult::Idle(NO_RESPONSE_PAUSE)
             }
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,24 +9,25 @@
 //!
 //! - [`server`] manages connections of callers.
 //! - [`request`] reads one request and finds its route.
-//! - `tenancy` identifies the tenant and charges the request to its quota in [`allowance`].
+//! - `tenancy` identifies the tenant and charges the request to its quota in [`tenant_quotas`].
 //! - [`admission`] queues the request until a back end is available, or refuses it.
 //! - [`candidates`] chooses between several back ends.
 //! - [`back_end_limits`] enforces the limits that overloaded back ends state.
 //! - [`attempt`] sends the request once.
-//! - [`plain`] and [`stream`] combine attempts into one response.
+//! - [`single_response`] and [`stream`] combine attempts into one response.
 //!
 //! These modules run in the background:
 //!
 //! - [`feed`] receives updates of the tables from the table service or from other gateways.
-//! - [`watch`] applies these updates.
+//! - [`table_followers`] applies these updates.
 //! - [`members`] registers this gateway.
-//! - [`demand_teller`] sends this gateway's demand to the placement holder.
+//! - [`demand_sender`] sends this gateway's demand to the placement holder.
 //! - [`holder`] maintains the placement lease.
 //! - [`placement`] places models while this process holds the lease.
 
+pub mod adaptive_client;
+pub mod adaptive_timeout;
 pub mod admission;
-pub mod allowance;
 pub mod attempt;
 pub mod attempts;
 pub mod back_end;
@@ -35,41 +36,40 @@
 pub mod candidates;
 pub mod clock;
 pub mod demand_rows;
-pub mod demand_teller;
+pub mod demand_sender;
 pub mod directory;
+pub mod event_log;
 pub mod failure;
 pub mod feed;
 pub mod holder;
 pub mod http_connection;
-pub mod lateness;
-mod lease_seat;
-pub mod lines;
+mod lease_session;
 mod lost_connection;
 pub mod members;
 pub mod metrics;
 pub mod orders;
-pub mod patience;
-pub mod patient_calls;
 mod placed_rows;
 pub mod placement;
-pub mod plain;
 pub mod ports;
+pub mod prefill_speed_rows;
 pub mod process;
 pub mod quarantine;
 mod quarantine_row;
-pub mod reading_rows;
 pub mod refused_rows;
 pub mod relay;
 pub mod request;
 pub mod server;
 pub mod settings;
 pub mod shared;
+pub mod single_response;
 pub mod stream;
 mod suspension;
 pub mod sweeper;
+pub mod table_followers;
 mod tenancy;
+pub mod tenant_quotas;
+pub mod timer_lag;
 mod unread_body;
-pub mod watch;
 
 pub use clock::{Clock, TimeSource};
 pub use process::{Gateway, run};
--- a/crates/gateway/src/lost_connection.rs
+++ b/crates/gateway/src/lost_connection.rs
@@ -13,7 +13,7 @@
 use crate::attempts::{BACK_END_ENDED, CONNECTION_LOST};
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::request::Call;
 
 /// Maximum time for which a request waits for the check of its back end. A refused connection is
@@ -36,9 +36,9 @@
              planned={}",
             !was_active
         );
-        lines::write(Rank::Decision, "connection_lost", fields);
+        event_log::write(LogPriority::Decision, "connection_lost", fields);
         if has_exited && was_active {
-            shared.note_end_under(fingerprint, back_end.life_hash);
+            shared.record_crash(fingerprint, back_end.incarnation_hash);
         } else if was_active {
             back_end.record_lost(shared.now(), fingerprint);
         }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use gorsebank_contract::{TableAnswer, TableRow, Transaction};
-use gorsebank_fleet::{Joining, MemberRow};
+use gorsebank_fleet::{MemberRow, MembershipConvergence};
 use tokio::time::sleep;
 
 use crate::backoff::Backoff;
+use crate::event_log::{self, LogPriority};
 use crate::feed::Member;
-use crate::lines::{self, Rank};
 use crate::ports::{RowChange, WatchedTable};
 use crate::shared::Shared;
-use crate::watch::{Follower, row_name};
+use crate::table_followers::{Follower, row_name};
 
 /// Initial pause after a failed table call; doubled after each further failure.
 const MIN_PAUSE: Duration = Duration::from_millis(100);
@@ -58,7 +58,7 @@
 /// request updates from other gateways and not from the table. A gateway that finds no other
 /// gateway writes its own row first and then reads the table again.
 pub async fn join(shared: &Arc<Shared>) {
-    if shared.settings.starts_with_all {
+    if shared.settings.is_initial_start {
         return join_at_initial_start(shared).await;
     }
     if read_members(shared).await > 0 {
@@ -75,11 +75,11 @@
 async fn join_at_initial_start(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
     write_own_row(shared).await;
-    let mut joining = Joining::default();
+    let mut joining = MembershipConvergence::default();
     let mut pause = FIRST_READ_DELAY;
     loop {
         sleep(pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
-        if joining.has_settled(read_members(shared).await) {
+        if joining.observe(read_members(shared).await) {
             return;
         }
         pause = READ_PAUSE;
@@ -162,8 +162,8 @@
     };
     let answer = shared.table().remove(&row.key, row.modified).await;
     let removed = matches!(answer, TableAnswer::Committed { .. });
-    lines::write(
-        Rank::Decision,
+    event_log::write(
+        LogPriority::Decision,
         "member_left",
         format_args!("removed={removed}"),
     );
@@ -189,7 +189,7 @@
             Ok(member) => {
                 self.rows.insert(row_name(&row.key).to_owned(), member);
             }
-            Err(error) => self.shared.refuse_row(row, &error),
+            Err(error) => self.shared.record_refused_row(row, &error),
         }
     }
 
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -180,28 +180,28 @@
     }
 
     /// Records the time that a request waited for a back end.
-    pub fn queued(&self, time: Duration) {
+    pub fn record_queue_time(&self, time: Duration) {
         self.queue_time.observe(time.as_secs_f64());
     }
 
     /// Records the time to establish a connection to a back end, including failed attempts.
-    pub fn connected(&self, time: Duration) {
+    pub fn record_connect_time(&self, time: Duration) {
         self.connect_time.observe(time.as_secs_f64());
     }
 
     /// Records the time from a send to the first byte of the back end's response.
-    pub fn answered(&self, time: Duration) {
+    pub fn record_first_byte_time(&self, time: Duration) {
         self.first_byte_time.observe(time.as_secs_f64());
     }
 
     /// Counts a completed request and records the time since its arrival.
-    pub fn ended(&self, outcome: &str, time: Duration) {
+    pub fn record_request_end(&self, outcome: &str, time: Duration) {
         self.requests.with_label_values(&[outcome]).inc();
         self.response_time.observe(time.as_secs_f64());
     }
 
     /// Counts a request of a tenant that has been completed or refused.
-    pub fn tenant_ended(&self, tenant: &str, outcome: &str) {
+    pub fn record_tenant_request_end(&self, tenant: &str, outcome: &str) {
         let mut tenants = self.tenants.lock();
         let has_own = tenants.contains(tenant)
             || tenants.len() < MAX_TENANTS && tenants.insert(tenant.to_owned());
@@ -213,8 +213,8 @@
     }
 
     /// Encodes the metrics for the collector.
-    pub fn text(&self) -> eyre::Result<Vec<u8>> {
-        let dropped = i64::try_from(crate::lines::left_out())?;
+    pub fn encode(&self) -> eyre::Result<Vec<u8>> {
+        let dropped = i64::try_from(crate::event_log::dropped_lines())?;
         self.dropped_lines.set(dropped);
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut text)?;
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -14,10 +14,10 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout};
 
-use crate::attempt::stated_rest;
+use crate::adaptive_timeout::AdaptiveTimeout;
+use crate::attempt::keep_alive_timeout;
 use crate::back_end::{BackEnd, Connection};
-use crate::lines::{self, Rank};
-use crate::patience::Patience;
+use crate::event_log::{self, LogPriority};
 use crate::ports::FencedOrder;
 use crate::shared::Shared;
 
@@ -28,8 +28,8 @@
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// The timeout of orders, which adapts to the response times of engines.
-pub fn patience() -> Patience {
-    Patience::new(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT)
+pub fn adaptive_timeout() -> AdaptiveTimeout {
+    AdaptiveTimeout::new(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT)
 }
 
 /// Polls an engine for its state. Returns `None` if the engine does not respond or its report
@@ -37,29 +37,33 @@
 pub async fn poll_engine(shared: &Shared, engine: &Arc<BackEnd>) -> Option<EngineReport> {
     let request = shared.platform.report_request(&engine.id);
     let sent_at = Instant::now();
-    let suspended = shared.clock.suspended();
+    let suspended = shared.clock.total_suspension();
     let Ok(answered) = timeout(RESPONSE_TIMEOUT, send(shared, engine, request)).await else {
-        engine.drop_unproved(sent_at);
+        engine.close_idle_since(sent_at);
         return None;
     };
     let (response, connection) = answered?;
     record_if_draining(shared, engine, &response);
     let status = response.status();
-    let rest = stated_rest(response.headers());
+    let rest = keep_alive_timeout(response.headers());
     let body = timeout(RESPONSE_TIMEOUT, response.into_body().collect())
         .await
         .ok()?
         .ok()?;
-    engine.keep(connection, rest, shared.idle_connections(&engine.service));
+    engine.return_connection(
+        connection,
+        rest,
+        shared.max_idle_connections(&engine.service),
+    );
     // A response that arrived while the machine was suspended does not describe the present state.
     if !status.is_success() || shared.clock.was_suspended_since(suspended) {
         return None;
     }
-    match shared.platform.report(&body.to_bytes()) {
+    match shared.platform.parse_report(&body.to_bytes()) {
         Ok(report) => Some(report),
         Err(error) => {
             let fields = format_args!("engine={} error=\"{error}\"", engine.id);
-            lines::write(Rank::Decision, "report_refused", fields);
+            event_log::write(LogPriority::Decision, "report_refused", fields);
             None
         }
     }
@@ -75,24 +79,28 @@
     let request = shared.platform.order_request(order);
     let sending = send_if_valid(shared, engine, request, still_valid);
     let sent_at = Instant::now();
-    let (response, connection) = match timeout(shared.order_patience.wait(), sending).await {
+    let (response, connection) = match timeout(shared.order_timeout.current(), sending).await {
         Ok(Ok(answered)) => answered,
         Ok(Err(NotWritten)) => return OrderResult::NotSent,
         Err(_) => {
-            shared.order_patience.expired();
-            engine.drop_unproved(sent_at);
+            shared.order_timeout.record_timeout();
+            engine.close_idle_since(sent_at);
             return OrderResult::Unanswered;
         }
     };
     let Some(response) = response else {
         return OrderResult::Unanswered;
     };
-    shared.order_patience.answered(sent_at.elapsed());
+    shared.order_timeout.record_response(sent_at.elapsed());
     record_if_draining(shared, engine, &response);
     let result = shared.platform.order_result(response.status());
-    let rest = stated_rest(response.headers());
+    let rest = keep_alive_timeout(response.headers());
     if let Ok(Ok(_)) = timeout(RESPONSE_TIMEOUT, response.into_body().collect()).await {
-        engine.keep(connection, rest, shared.idle_connections(&engine.service));
+        engine.return_connection(
+            connection,
+            rest,
+            shared.max_idle_connections(&engine.service),
+        );
     }
     result
 }
@@ -101,9 +109,11 @@
 /// request comes from another engine and is ignored.
 fn record_if_draining(shared: &Shared, engine: &BackEnd, response: &Response<Incoming>) {
     let status = response.status();
-    let marks = shared.platform.answer_marks(status, response.headers());
-    if marks.is_leaving && status != StatusCode::MISDIRECTED_REQUEST {
-        shared.note_departure(engine);
+    let marks = shared
+        .platform
+        .response_metadata(status, response.headers());
+    if marks.is_draining && status != StatusCode::MISDIRECTED_REQUEST {
+        shared.record_drain(engine);
     }
 }
 
@@ -128,7 +138,7 @@
     request: Request<Bytes>,
     still_valid: impl Fn() -> bool,
 ) -> Result<(Option<Response<Incoming>>, Connection), NotWritten> {
-    let mut connection = match engine.kept_connection(shared.clock.suspended()) {
+    let mut connection = match engine.take_idle_connection(shared.clock.total_suspension()) {
         Some(connection) => connection,
         None => engine.connect().await.map_err(|_| NotWritten)?,
     };
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -25,15 +25,15 @@
 
 use crate::back_end::BackEnd;
 use crate::directory::Directory;
+use crate::event_log::{self, LogPriority};
 use crate::holder::store_records_key;
-use crate::lines::{self, Rank};
 use crate::orders;
 use crate::placed_rows::{
     self, AttemptedRow, MAX_ROWS_PER_TRANSACTION, RowToWrite, RowWriteResult,
 };
 use crate::ports::{FencedOrder, WatchedTable};
 use crate::shared::Shared;
-use crate::watch::{LOST_PAUSE, row_name};
+use crate::table_followers::{NO_RESPONSE_PAUSE, row_name};
 
 /// Maximum time between two plans.
 const MAX_PLAN_INTERVAL: Duration = Duration::from_millis(100);
@@ -102,7 +102,11 @@
         let records = StoreRecords::new();
         Placement {
             lease,
-            planner: Planner::new(shared.now(), shared.settings.bounds.loads, records),
+            planner: Planner::new(
+                shared.now(),
+                shared.settings.bounds.load_rate_limit,
+                records,
+            ),
             published: BTreeMap::new(),
             queued: BTreeMap::new(),
             waiting_actions: BTreeMap::new(),
@@ -153,8 +157,9 @@
         let shared = &self.shared;
         let began = Instant::now();
         while began.elapsed() < MAX_DEMAND_WAIT {
-            let reporting = shared.demand_rows.heard(shared.now()).len();
-            if reporting as f64 >= shared.known_gateways() as f64 * REPORTING_GATEWAY_FRACTION {
+            let reporting = shared.demand_rows.reporting_gateways(shared.now()).len();
+            if reporting as f64 >= shared.known_gateway_count() as f64 * REPORTING_GATEWAY_FRACTION
+            {
                 return;
             }
             // The loop has a time limit; a notification only shortens the wait.
@@ -167,7 +172,7 @@
         loop {
             match self.shared.table().read(table).await {
                 Ok(snapshot) => return snapshot.rows,
-                Err(_) => sleep(LOST_PAUSE).await,
+                Err(_) => sleep(NO_RESPONSE_PAUSE).await,
             }
         }
     }
@@ -175,7 +180,7 @@
     /// Reads the rows that previous holders wrote.
     async fn restore(&mut self) {
         let tables = self.shared.platform.tables();
-        let rows = self.read_rows(tables.loads).await;
+        let rows = self.read_rows(tables.saved_state).await;
         let key = store_records_key(&self.shared);
         let row = rows.iter().find(|row| row.key == key);
         // The ages in the row are those at the last renewal of the lease, so loads may be counted
@@ -183,7 +188,7 @@
         let records = row.and_then(|row| serde_json::from_str::<StoreRecords>(&row.value).ok());
         self.planner = Planner::new(
             self.shared.now(),
-            self.shared.settings.bounds.loads,
+            self.shared.settings.bounds.load_rate_limit,
             records.unwrap_or_default(),
         );
         let rows = self.read_rows(tables.placed).await;
@@ -191,7 +196,7 @@
         for row in rows {
             let id = BackEndId::from(row_name(&row.key));
             let placed: PlacedRow = serde_json::from_str(&row.value).unwrap_or_default();
-            self.planner.inherit(&id, &placed);
+            self.planner.restore(&id, &placed);
             self.published.insert(id, (placed, row.modified));
         }
     }
@@ -200,9 +205,10 @@
         let now = self.shared.now();
         let (reports, ended) = self
             .shared
-            .directory(|directory| (directory.reports(), directory.ended(now)));
+            .directory(|directory| (directory.reports(), directory.exited(now)));
         self.planner.observe(now, &reports, &ended);
-        self.planner.set_limits(&self.shared.engine_limits());
+        self.planner
+            .set_limits(&self.shared.stated_limits_by_name());
     }
 
     fn apply(&mut self, completion: Completion) {
@@ -226,9 +232,9 @@
             return;
         }
         match response.content {
-            ResponseContent::Reported(report) => self.planner.reported(now, id, report),
+            ResponseContent::Reported(report) => self.planner.apply_report(now, id, report),
             ResponseContent::Ordered(order, result) => {
-                self.planner.ordered(now, id, &order, result)
+                self.planner.apply_order_result(now, id, &order, result)
             }
         }
     }
@@ -299,7 +305,7 @@
     /// Logs each deferred load when it is first deferred and at intervals while it remains
     /// deferred.
     fn log_deferred(&mut self, now: Timestamp) {
-        let deferred = self.planner.unmet_wishes();
+        let deferred = self.planner.deferred_loads();
         self.deferred_logged_at
             .retain(|model, _| deferred.iter().any(|load| load.model == *model));
         for load in deferred {
@@ -312,7 +318,7 @@
                 "model={} worth={:.2} obstacle=\"{:?}\"",
                 load.model, load.value, load.obstacle
             );
-            lines::write(Rank::Decision, "load_put_off", fields);
+            event_log::write(LogPriority::Decision, "load_put_off", fields);
         }
     }
 
@@ -365,7 +371,7 @@
         // An order that was computed for one incarnation is not sent to another one.
         let is_intended = |back_end: &Arc<BackEnd>| {
             let life = Incarnation::new(back_end.born);
-            life.may_be(action.born) || action.kind == ActionKind::Report
+            life.may_match(action.born) || action.kind == ActionKind::Report
         };
         let Some(back_end) = back_end.filter(is_intended) else {
             self.planner
@@ -420,7 +426,7 @@
         "engine={} reason=\"{}\" report={report:?}",
         action.engine, action.reason
     );
-    lines::write(Rank::Decision, "engine_report", fields);
+    event_log::write(LogPriority::Decision, "engine_report", fields);
 }
 
 fn log_order(
@@ -437,5 +443,5 @@
         "engine={} order={order:?} sequence={sequence} fence={fence} reason=\"{}\" result={label}",
         action.engine, action.reason
     );
-    lines::write(Rank::Decision, "order", fields);
+    event_log::write(LogPriority::Decision, "order", fields);
 }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -10,7 +10,7 @@
 use gorsebank_contract::{TableAnswer, TableRow, Transaction};
 use gorsebank_fleet::placement::{OrderKind, OrderResult};
 use gorsebank_fleet::{
-    ApiKey, BackEndReport, Configuration, EngineReport, Prompt, RequestedPause, Statement,
+    ApiKey, BackEndReport, Configuration, EngineReport, Prompt, RequestedPause, StatedLimit,
 };
 use gorsebank_world::{AdapterId, BackEndId, ModelId, NodeId, ZoneId};
 use http::{HeaderMap, Request, StatusCode};
@@ -19,7 +19,7 @@
 
 /// Metadata of a request, from its HTTP headers.
 #[derive(Clone, Debug, Default)]
-pub struct Ticket {
+pub struct RequestMetadata {
     /// Identifier of the request, which responses repeat.
     pub id: String,
     /// Time that the caller waits for a response.
@@ -37,7 +37,7 @@
 
 /// What a gateway sends to a back end in the headers of an attempt.
 #[derive(Clone, Debug)]
-pub struct AttemptHead<'a> {
+pub struct AttemptHeaders<'a> {
     /// The only back end that may run the request.
     pub back_end: &'a BackEndId,
     /// Remaining time for the request.
@@ -52,15 +52,15 @@
 
 /// Metadata of a back end's response, from its HTTP headers.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// Identifier of the request that the response belongs to.
     pub request_id: Option<String>,
     /// Whether the back end states that it did not run the request.
-    pub not_run: bool,
+    pub has_not_run: bool,
     /// The rate limit that the back end states.
-    pub limit: Statement,
+    pub limit: StatedLimit,
     /// Whether the back end is draining: it finishes its requests for a while and then exits.
-    pub is_leaving: bool,
+    pub is_draining: bool,
     /// Time for which the back end asks this gateway to send no requests.
     pub pause: RequestedPause,
 }
@@ -135,11 +135,11 @@
     /// The call timed out, or the connection was lost.
     #[error("no response from the table: {0}")]
     #[serde(rename = "Lost")]
-    Lost(String),
+    NoResponse(String),
     /// The response could not be parsed.
     #[error("invalid response from the table: {0}")]
     #[serde(rename = "Content")]
-    Content(String),
+    InvalidResponse(String),
 }
 
 /// A table service with a change feed. Keys have the form `TABLE/KEY`.
@@ -170,7 +170,7 @@
     /// The value is not a document of the expected schema: a field is missing or has another type.
     Shape,
     /// A field has an unknown enumerated value.
-    UnknownWord,
+    UnknownValue,
 }
 
 impl RowFault {
@@ -179,7 +179,7 @@
         match self {
             RowFault::Bytes => "bytes",
             RowFault::Shape => "shape",
-            RowFault::UnknownWord => "unknown_word",
+            RowFault::UnknownValue => "unknown_word",
         }
     }
 }
@@ -189,11 +189,11 @@
 
 /// A row or a response that does not conform to the platform's schema.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{place}: {reason}")]
-pub struct ContentError {
+#[error("{location}: {reason}")]
+pub struct SchemaError {
     pub fault: RowFault,
     /// Row and field of the error.
-    pub place: String,
+    pub location: String,
     /// Description of the error.
     pub reason: String,
 }
@@ -214,9 +214,9 @@
     pub lease: &'static str,
     /// Table of state that outlasts a lease holder: recent loads from the weight store, saved quota
     /// usage of tenants, and the quarantine row.
-    pub loads: &'static str,
+    pub saved_state: &'static str,
     /// Table of engine speeds with one row for each service, written by the placement holder.
-    pub reading: &'static str,
+    pub prefill_speeds: &'static str,
 }
 
 /// A platform, as a gateway uses it.
@@ -229,7 +229,7 @@
     fn readiness_path(&self) -> &'static str;
 
     /// Parses a configuration row. Returns `None` if the row is not a configuration row.
-    fn configuration(&self, row: &TableRow) -> Result<Option<Configuration>, ContentError>;
+    fn parse_configuration(&self, row: &TableRow) -> Result<Option<Configuration>, SchemaError>;
 
     /// Returns the evacuated zone that a row in the table of the configuration names, by the row's
     /// key. While that row exists, back ends in the zone receive no requests. Returns `None` for
@@ -237,28 +237,28 @@
     fn evacuated_zone(&self, key: &str) -> Option<ZoneId>;
 
     /// Parses a back end's row.
-    fn back_end(&self, row: &TableRow) -> Result<BackEndReport, ContentError>;
+    fn parse_back_end(&self, row: &TableRow) -> Result<BackEndReport, SchemaError>;
 
     /// Parses the headers of a request.
-    fn ticket(&self, headers: &HeaderMap) -> Ticket;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// Removes the caller's API key from the headers of a request and returns the key.
-    fn take_key(&self, headers: &mut HeaderMap) -> Option<ApiKey>;
+    fn take_api_key(&self, headers: &mut HeaderMap) -> Option<ApiKey>;
 
     /// Sets the headers of one attempt.
-    fn mark_attempt(&self, headers: &mut HeaderMap, attempt: &AttemptHead<'_>);
+    fn set_attempt_headers(&self, headers: &mut HeaderMap, attempt: &AttemptHeaders<'_>);
 
     /// Parses the headers of a response.
-    fn answer_marks(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMarks;
+    fn response_metadata(&self, status: StatusCode, headers: &HeaderMap) -> ResponseMetadata;
 
     /// Sets the header that states when the caller should retry.
-    fn mark_retry_after(&self, headers: &mut HeaderMap, pause: Duration);
+    fn set_retry_after(&self, headers: &mut HeaderMap, pause: Duration);
 
     /// Creates the request for an engine's state.
     fn report_request(&self, engine: &BackEndId) -> Request<Bytes>;
 
     /// Parses an engine's state.
-    fn report(&self, body: &[u8]) -> Result<EngineReport, ContentError>;
+    fn parse_report(&self, body: &[u8]) -> Result<EngineReport, SchemaError>;
 
     /// Creates the request that sends an order.
     fn order_request(&self, order: &FencedOrder<'_>) -> Request<Bytes>;
--- a/crates/gateway/src/reading_rows.rs
+++ b/crates/gateway/src/prefill_speed_rows.rs
@@ -9,14 +9,14 @@
 use std::time::Duration;
 
 use gorsebank_contract::{TableAnswer, TableRow, Transaction};
-use gorsebank_fleet::ReadingRow;
+use gorsebank_fleet::PrefillSpeedRow;
 use gorsebank_world::{BackEndId, ServiceId};
 use tokio::time::sleep;
 
 use crate::directory::Directory;
 use crate::ports::{RowChange, WatchedTable};
 use crate::shared::Shared;
-use crate::watch::{Follower, LOST_PAUSE, row_name};
+use crate::table_followers::{Follower, NO_RESPONSE_PAUSE, row_name};
 
 /// Minimum pause between two evaluations of the demand of gateways.
 const EVALUATION_PAUSE: Duration = Duration::from_millis(1_000);
@@ -28,13 +28,13 @@
 
 impl PrefillSpeedFollower {
     fn apply(&self, row: &TableRow) {
-        match serde_json::from_str::<ReadingRow>(&row.value) {
+        match serde_json::from_str::<PrefillSpeedRow>(&row.value) {
             Ok(prefill_speeds) => {
                 let service = ServiceId::from(row_name(&row.key));
                 self.0
-                    .reading(&service, |known| known.adopt(prefill_speeds));
+                    .with_prefill_model(&service, |known| known.set_merged(prefill_speeds));
             }
-            Err(error) => self.0.refuse_row(row, &error),
+            Err(error) => self.0.record_refused_row(row, &error),
         }
     }
 }
@@ -52,7 +52,7 @@
 }
 
 /// Writes the merged engine speeds to the table, until the future is dropped.
-pub async fn tell(shared: Arc<Shared>) {
+pub async fn run(shared: Arc<Shared>) {
     let mut writer = RowWriter {
         shared,
         written: BTreeMap::new(),
@@ -62,7 +62,7 @@
     loop {
         sleep(EVALUATION_PAUSE.max(writer.min_write_interval())).await;
         let now = writer.shared.now();
-        for (service, row) in writer.shared.demand_rows.merged_reading(now) {
+        for (service, row) in writer.shared.demand_rows.merged_prefill_speed(now) {
             writer.write(service, row).await;
         }
     }
@@ -71,7 +71,7 @@
 struct RowWriter {
     shared: Arc<Shared>,
     /// The rows in the table, with their versions.
-    written: BTreeMap<ServiceId, (ReadingRow, u64)>,
+    written: BTreeMap<ServiceId, (PrefillSpeedRow, u64)>,
     /// Size of the last written row in bytes.
     last_row_bytes: usize,
 }
@@ -80,17 +80,17 @@
     /// Minimum time between two writes that keeps the read rate of all gateways within
     /// `MAX_READ_BYTES_PER_SECOND`.
     fn min_write_interval(&self) -> Duration {
-        let bytes = self.last_row_bytes * self.shared.possible_gateways();
+        let bytes = self.last_row_bytes * self.shared.max_gateway_count();
         Duration::from_secs_f64(bytes as f64 / MAX_READ_BYTES_PER_SECOND)
     }
 
     /// Reads the rows that a previous placement holder has written.
     async fn read_rows(&mut self) {
-        let table = self.shared.platform.tables().reading;
+        let table = self.shared.platform.tables().prefill_speeds;
         let snapshot = loop {
             match self.shared.table().read(table).await {
                 Ok(snapshot) => break snapshot,
-                Err(_) => sleep(LOST_PAUSE).await,
+                Err(_) => sleep(NO_RESPONSE_PAUSE).await,
             }
         };
         let rows = snapshot.rows.into_iter();
@@ -102,20 +102,20 @@
             .collect();
     }
 
-    async fn write(&mut self, service: ServiceId, mut row: ReadingRow) {
+    async fn write(&mut self, service: ServiceId, mut row: PrefillSpeedRow) {
         let (written, version) = self.written.get(&service).cloned().unwrap_or_default();
-        row.keep(&written, |id: &BackEndId| {
+        row.fill_from(&written, |id: &BackEndId| {
             let is_there = |directory: &Directory| directory.back_end(id).is_some();
             self.shared.directory(is_there)
         });
-        if !row.is_news(&written) {
+        if !row.differs_from(&written) {
             return;
         }
         let Ok(value) = serde_json::to_string(&row) else {
             return;
         };
         self.last_row_bytes = value.len();
-        let key = format!("{}/{service}", self.shared.platform.tables().reading);
+        let key = format!("{}/{service}", self.shared.platform.tables().prefill_speeds);
         let transaction = Transaction::put_if(key, version, value);
         match self.shared.table().transact(transaction).await {
             TableAnswer::Committed { revision, .. } => {
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -10,17 +10,17 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::task::JoinHandle;
 
-use crate::allowance::seats;
 use crate::clock::Clock;
 use crate::demand_rows::AbortOnDrop;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::Platform;
-use crate::server::{self, Connections};
+use crate::server::{self, CallerConnections};
 use crate::settings::GatewaySettings;
 use crate::shared::Shared;
+use crate::tenant_quotas::shards;
 use crate::{
-    demand_teller, feed, holder, lateness, members, quarantine, quarantine_row, relay, suspension,
-    watch,
+    demand_sender, feed, holder, members, quarantine, quarantine_row, relay, suspension,
+    table_followers, timer_lag,
 };
 
 /// Interval at which a stopping process checks whether all requests have ended.
@@ -29,7 +29,7 @@
 /// A running gateway.
 pub struct Gateway {
     shared: Arc<Shared>,
-    connections: Connections,
+    connections: CallerConnections,
     caller_address: SocketAddr,
     readiness_address: SocketAddr,
     tasks: Vec<JoinHandle<()>>,
@@ -41,11 +41,11 @@
         settings: GatewaySettings,
         platform: Arc<dyn Platform>,
     ) -> eyre::Result<Self> {
-        Gateway::start_by(Clock::default(), settings, platform).await
+        Gateway::start_with_clock(Clock::default(), settings, platform).await
     }
 
     /// Same as [`Gateway::start`], with a given clock.
-    pub async fn start_by(
+    pub async fn start_with_clock(
         clock: Clock,
         mut settings: GatewaySettings,
         platform: Arc<dyn Platform>,
@@ -66,13 +66,13 @@
             "node={} zone={} callers={}",
             settings.node, settings.zone, settings.listen_callers
         );
-        lines::write(Rank::Decision, "start", fields);
+        event_log::write(LogPriority::Decision, "start", fields);
         let shared = Arc::new(Shared::new(clock, settings, platform)?);
         let mut gateway = Gateway {
-            connections: Connections::default(),
+            connections: CallerConnections::default(),
             caller_address: caller_listener.local_addr()?,
             readiness_address: readiness_listener.local_addr()?,
-            tasks: watch::start(&shared),
+            tasks: table_followers::start(&shared),
             shared,
         };
         gateway.spawn_tasks(caller_listener, readiness_listener);
@@ -87,7 +87,7 @@
         self.tasks.push(tokio::spawn(serving));
         self.tasks
             .push(tokio::spawn(suspension::detect_suspensions(shared.clone())));
-        let measuring = lateness::measure(shared.timer_lag_average());
+        let measuring = timer_lag::measure(shared.timer_lag_average());
         self.tasks.push(tokio::spawn(measuring));
         self.tasks
             .push(tokio::spawn(run_member_tasks(shared.clone())));
@@ -114,29 +114,29 @@
     }
 
     /// Address for callers.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.caller_address
     }
 
     /// Address of the readiness endpoint.
-    pub fn readiness(&self) -> SocketAddr {
+    pub fn readiness_address(&self) -> SocketAddr {
         self.readiness_address
     }
 
     /// Address at which this gateway relays table calls for other gateways.
-    pub fn relay(&self) -> Option<SocketAddr> {
+    pub fn relay_address(&self) -> Option<SocketAddr> {
         self.shared.settings.relay
     }
 
     /// Performs a planned stop: the gateway reports that it is not ready from now on. Returns when
     /// every request has ended.
     pub async fn drain(&self) {
-        lines::write(Rank::Decision, "stop", format_args!("phase=begun"));
+        event_log::write(LogPriority::Decision, "stop", format_args!("phase=begun"));
         self.shared.stop();
         tokio::spawn(members::remove_own_row(self.shared.clone()));
-        let grace = self.shared.settings.bounds.grace;
+        let grace = self.shared.settings.bounds.shutdown_grace;
         self.connections.drain(grace, DRAIN_POLL).await;
-        lines::write(Rank::Decision, "stop", format_args!("phase=drained"));
+        event_log::write(LogPriority::Decision, "stop", format_args!("phase=drained"));
     }
 }
 
@@ -161,12 +161,12 @@
 async fn run_member_tasks(shared: Arc<Shared>) {
     members::join(&shared).await;
     let tasks = [
-        tokio::spawn(feed::filler::run(shared.clone())),
-        tokio::spawn(demand_teller::run(shared.clone())),
+        tokio::spawn(feed::table_sync::run(shared.clone())),
+        tokio::spawn(demand_sender::run(shared.clone())),
         tokio::spawn(quarantine::send_to_parents(shared.clone())),
         tokio::spawn(quarantine_row::write_local_entries(shared.clone())),
         tokio::spawn(holder::run(shared.clone())),
-        tokio::spawn(seats::run(shared.clone())),
+        tokio::spawn(shards::run(shared.clone())),
         tokio::spawn(members::maintain_own_row(shared)),
     ]
     .map(AbortOnDrop);
@@ -187,7 +187,7 @@
         Ok(listener) => Some(listener),
         Err(error) => {
             let fields = format_args!("what={what} error=\"{error:#}\"");
-            lines::write(Rank::Decision, "not_listening", fields);
+            event_log::write(LogPriority::Decision, "not_listening", fields);
             None
         }
     }
@@ -210,7 +210,7 @@
         if requested_path != path {
             return (StatusCode::NOT_FOUND, Vec::new());
         }
-        match shared.metrics.text() {
+        match shared.metrics.encode() {
             Ok(text) => (StatusCode::OK, text),
             Err(_) => (StatusCode::INTERNAL_SERVER_ERROR, Vec::new()),
         }
@@ -229,7 +229,7 @@
             _ = terminate.recv() => return Ok(()),
             _ = interrupt.recv() => return Ok(()),
             _ = hang_up.recv() => {
-                lines::write(Rank::Decision, "reload", format_args!("changed=nothing"));
+                event_log::write(LogPriority::Decision, "reload", format_args!("changed=nothing"));
             }
         }
     }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::quarantine::{BackEndHash, Position, Source, ToldOutcome};
+use gorsebank_fleet::quarantine::{EventPosition, EventSource, IncarnationHash, OutcomeNotice};
 use gorsebank_fleet::{Fingerprint, Quarantine};
 
 use parking_lot::Mutex;
@@ -27,8 +27,8 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{sleep, timeout};
 
-use crate::lines::{self, Rank};
-use crate::relay::{RelayAnswer, RelayRequest};
+use crate::event_log::{self, LogPriority};
+use crate::relay::{RelayRequest, RelayResponse};
 use crate::shared::Shared;
 
 /// Pause before notices are sent to parents again after no parent accepted them: a fifteenth of the
@@ -41,11 +41,11 @@
 
 /// An update of outcomes for a gateway that requested it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct QuarantineNews {
+pub struct QuarantineUpdate {
     /// Position of the receiver after it has merged the events.
-    pub position: Position,
+    pub position: EventPosition,
     /// Outcomes, in the order in which the sender learned of them.
-    pub events: Vec<ToldOutcome>,
+    pub events: Vec<OutcomeNotice>,
 }
 
 /// The outcomes known to this gateway, and its positions in the outcomes of other gateways.
@@ -56,7 +56,7 @@
     /// Notified when a crash of a back end under a request of this gateway changes the quarantine
     /// entries.
     local_entry_change: Notify,
-    positions: Mutex<HashMap<SocketAddr, Position>>,
+    positions: Mutex<HashMap<SocketAddr, EventPosition>>,
     /// See [`SharedQuarantine::is_initialized`].
     is_initialized: AtomicBool,
 }
@@ -75,8 +75,8 @@
 
 impl SharedQuarantine {
     /// Remaining time for which a request is quarantined; `None` if it may be sent.
-    pub fn verdict(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
-        let left = self.known.lock().verdict(now, fingerprint)?;
+    pub fn remaining(&self, now: Timestamp, fingerprint: Fingerprint) -> Option<Duration> {
+        let left = self.known.lock().remaining_ms(now, fingerprint)?;
         Some(Duration::from_millis(left))
     }
 
@@ -86,9 +86,9 @@
         &self,
         now: Timestamp,
         request: Fingerprint,
-        back_end: BackEndHash,
+        back_end: IncarnationHash,
     ) -> bool {
-        let has_changed = self.apply(|known| known.note_end(now, request, back_end));
+        let has_changed = self.apply(|known| known.record_crash(now, request, back_end));
         if has_changed {
             self.local_entry_change.notify_one();
         }
@@ -105,13 +105,13 @@
     /// Records a complete response to a request of this gateway. Returns whether the quarantine
     /// entries changed.
     pub fn record_served(&self, now: Timestamp, request: Fingerprint) -> bool {
-        self.apply(|known| known.note_served(now, request))
+        self.apply(|known| known.record_served(now, request))
     }
 
     /// Merges outcome notices of another gateway. Returns whether the quarantine entries changed.
-    pub fn merge(&self, now: Timestamp, notices: &[ToldOutcome], source: Source) -> bool {
+    pub fn merge(&self, now: Timestamp, notices: &[OutcomeNotice], source: EventSource) -> bool {
         self.apply(|known| {
-            known.take(now, notices, source);
+            known.merge(now, notices, source);
         })
     }
 
@@ -121,10 +121,10 @@
         &self,
         now: Timestamp,
         address: SocketAddr,
-        update: &QuarantineNews,
+        update: &QuarantineUpdate,
     ) -> bool {
         self.positions.lock().insert(address, update.position);
-        self.merge(now, &update.events, Source::Beside)
+        self.merge(now, &update.events, EventSource::Beside)
     }
 
     /// Whether the quarantine entries from before the start of this gateway are known or the wait
@@ -144,35 +144,39 @@
     }
 
     /// This gateway's position in the outcomes of the gateway at `address`.
-    pub fn heard(&self, address: SocketAddr) -> Option<Position> {
+    pub fn position_in(&self, address: SocketAddr) -> Option<EventPosition> {
         self.positions.lock().get(&address).copied()
     }
 
     /// Returns the update for a gateway at this position. Returns `None` until this gateway is
     /// initialized, because the receiver treats the events as complete.
-    pub fn news(&self, now: Timestamp, position: Option<Position>) -> Option<QuarantineNews> {
+    pub fn update_for(
+        &self,
+        now: Timestamp,
+        position: Option<EventPosition>,
+    ) -> Option<QuarantineUpdate> {
         if !self.is_initialized() {
             return None;
         }
         let known = self.known.lock();
-        Some(QuarantineNews {
+        Some(QuarantineUpdate {
             position: known.position(),
-            events: known.since(now, position),
+            events: known.notices_since(now, position),
         })
     }
 
     /// The crashes that current quarantine entries depend on.
-    pub fn entry_notices(&self, now: Timestamp) -> Vec<ToldOutcome> {
-        self.known.lock().verdict_events(now)
+    pub fn entry_notices(&self, now: Timestamp) -> Vec<OutcomeNotice> {
+        self.known.lock().entry_notices(now)
     }
 
     /// Number of changes of the quarantine entries so far.
     pub fn changes(&self) -> u64 {
-        self.known.lock().verdict_changes()
+        self.known.lock().change_count()
     }
 
     /// Whether there is an update for a gateway at this position.
-    pub fn is_ahead_of(&self, position: Option<Position>) -> bool {
+    pub fn has_update_for(&self, position: Option<EventPosition>) -> bool {
         // A gateway without a position may need the response to become ready, even without events.
         self.is_initialized() && (position.is_none() || self.known.lock().is_ahead_of(position))
     }
@@ -184,28 +188,28 @@
 
     fn apply(&self, act: impl FnOnce(&mut Quarantine)) -> bool {
         let mut known = self.known.lock();
-        let (changes, position) = (known.verdict_changes(), known.position());
+        let (changes, position) = (known.change_count(), known.position());
         act(&mut known);
-        let has_changed = known.verdict_changes() != changes;
+        let has_changed = known.change_count() != changes;
         let has_new_outcomes = known.position() != position;
-        let count = known.verdict_count();
+        let count = known.quarantined_count();
         drop(known);
         if has_new_outcomes {
             self.updates.send_replace(());
         }
         if has_changed {
             let fields = format_args!("requests={count}");
-            lines::write(Rank::Decision, "quarantine", fields);
+            event_log::write(LogPriority::Decision, "quarantine", fields);
         }
         has_changed
     }
 
     /// Outcomes that this gateway and its children have observed since a position.
-    fn subtree_notices(&self, now: Timestamp, position: Option<Position>) -> QuarantineNews {
+    fn subtree_notices(&self, now: Timestamp, position: Option<EventPosition>) -> QuarantineUpdate {
         let known = self.known.lock();
-        QuarantineNews {
+        QuarantineUpdate {
             position: known.position(),
-            events: known.seen_below_since(now, position),
+            events: known.subtree_notices_since(now, position),
         }
     }
 }
@@ -213,7 +217,7 @@
 /// Sends new outcomes to a parent, until the future is dropped.
 pub async fn send_to_parents(shared: Arc<Shared>) {
     let mut updates = shared.quarantine.subscribe();
-    let mut sent: Option<Position> = None;
+    let mut sent: Option<EventPosition> = None;
     loop {
         updates.mark_unchanged();
         let update = shared.quarantine.subtree_notices(shared.now(), sent);
@@ -231,7 +235,7 @@
 
 /// Sends outcomes to the first parent that accepts them, and returns whether one did. Roots have no
 /// parent; other roots request the outcomes from them.
-async fn send_to_any_parent(shared: &Shared, events: Vec<ToldOutcome>) -> bool {
+async fn send_to_any_parent(shared: &Shared, events: Vec<OutcomeNotice>) -> bool {
     let (is_root, candidates) = {
         let parents = shared.feed.parents.lock();
         (parents.is_root(), parents.candidates())
@@ -243,7 +247,7 @@
     for parent in candidates {
         let client = shared.table().client();
         let answer = client.call(parent.address, &request, SEND_TIMEOUT).await;
-        if matches!(answer, Some(RelayAnswer::Noted)) {
+        if matches!(answer, Some(RelayResponse::Acknowledged)) {
             return true;
         }
     }
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -16,11 +16,11 @@
 
 use gorsebank_contract::{TableAnswer, TableRow, Transaction};
 use gorsebank_fleet::Fingerprint;
-use gorsebank_fleet::quarantine::ToldOutcome;
+use gorsebank_fleet::quarantine::OutcomeNotice;
 use tokio::time::{sleep, timeout};
 
 use crate::backoff::Backoff;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::{TableError, WatchedTable};
 use crate::shared::Shared;
 
@@ -39,7 +39,7 @@
 const INITIAL_READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 fn key(shared: &Shared) -> String {
-    format!("{}/quarantine", shared.platform.tables().loads)
+    format!("{}/quarantine", shared.platform.tables().saved_state)
 }
 
 /// State of the row at the time of a read.
@@ -51,9 +51,9 @@
 }
 
 /// Reads the row and merges its outcomes. Retries until a read succeeds.
-pub async fn recall(shared: &Shared) -> RowSnapshot {
+pub async fn read_row(shared: &Shared) -> RowSnapshot {
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
-    let table = shared.platform.tables().loads;
+    let table = shared.platform.tables().saved_state;
     loop {
         match shared.table().read(table).await {
             Ok(snapshot) => {
@@ -76,45 +76,45 @@
     }
 }
 
-fn distinct_requests(outcomes: &[ToldOutcome]) -> BTreeSet<Fingerprint> {
+fn distinct_requests(outcomes: &[OutcomeNotice]) -> BTreeSet<Fingerprint> {
     outcomes.iter().map(|outcome| outcome.fingerprint).collect()
 }
 
 /// Merges the outcomes in the row and returns them; returns none if the row cannot be parsed.
-fn merge_row(shared: &Shared, row: &TableRow) -> Vec<ToldOutcome> {
-    match serde_json::from_str::<Vec<ToldOutcome>>(&row.value) {
+fn merge_row(shared: &Shared, row: &TableRow) -> Vec<OutcomeNotice> {
+    match serde_json::from_str::<Vec<OutcomeNotice>>(&row.value) {
         Ok(outcomes) => {
             shared.merge_stored_outcomes(&outcomes);
             outcomes
         }
         Err(error) => {
-            shared.refuse_row(row, &error);
+            shared.record_refused_row(row, &error);
             Vec::new()
         }
     }
 }
 
 /// Counts and logs a successful read or write of the row.
-fn record_success(shared: &Shared, result: &str, outcomes: &[ToldOutcome], version: u64) {
+fn record_success(shared: &Shared, result: &str, outcomes: &[OutcomeNotice], version: u64) {
     count_result(shared, result);
     let fields = format_args!(
         "result={result} requests={} ends={} version={version}",
         distinct_requests(outcomes).len(),
         outcomes.len()
     );
-    lines::write(Rank::Decision, "quarantine_row", fields);
+    event_log::write(LogPriority::Decision, "quarantine_row", fields);
 }
 
 fn record_read_failure(shared: &Shared, error: &TableError) {
     count_result(shared, "read_failed");
     let fields = format_args!("result=read_failed error=\"{error}\"");
-    lines::write(Rank::Decision, "quarantine_row", fields);
+    event_log::write(LogPriority::Decision, "quarantine_row", fields);
 }
 
 fn record_write_failure(shared: &Shared, answer: &str) {
     count_result(shared, answer);
     let fields = format_args!("result=write_failed answer={answer}");
-    lines::write(Rank::Decision, "quarantine_row", fields);
+    event_log::write(LogPriority::Decision, "quarantine_row", fields);
 }
 
 fn count_result(shared: &Shared, result: &str) {
@@ -138,13 +138,13 @@
             "result=read_timed_out waited_ms={}",
             INITIAL_READ_TIMEOUT.as_millis()
         );
-        lines::write(Rank::Decision, "quarantine_row", fields);
+        event_log::write(LogPriority::Decision, "quarantine_row", fields);
     }
 }
 
 /// Keeps the row up to date while this gateway is the placement holder, until the future is
 /// dropped.
-pub async fn keep(shared: Arc<Shared>) {
+pub async fn maintain(shared: Arc<Shared>) {
     let mut updates = shared.quarantine.subscribe();
     loop {
         let changes = shared.quarantine.changes();
@@ -175,7 +175,7 @@
 async fn update_row(shared: &Shared) {
     let mut backoff = Backoff::new(MIN_PAUSE, MAX_PAUSE);
     loop {
-        let row = recall(shared).await;
+        let row = read_row(shared).await;
         let outcomes = shared.quarantine.entry_notices(shared.now());
         if distinct_requests(&outcomes) == row.requests {
             return;
@@ -199,7 +199,7 @@
     }
 }
 
-async fn write(shared: &Shared, version: u64, outcomes: &[ToldOutcome]) -> TableAnswer {
+async fn write(shared: &Shared, version: u64, outcomes: &[OutcomeNotice]) -> TableAnswer {
     match serde_json::to_string(outcomes) {
         Ok(value) => {
             let transaction = Transaction::put_if(key(shared), version, value);
--- a/crates/gateway/src/refused_rows.rs
+++ b/crates/gateway/src/refused_rows.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use prometheus::IntCounterVec;
 
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::RowFault;
 
 /// Maximum number of refused rows that are remembered to avoid repeated log lines. Each takes a few
@@ -47,7 +47,7 @@
         self.counter.with_label_values(&[reason]).inc();
         let error = error.to_string();
         let fields = format_args!("row={key:?} version={version} reason={reason} error={error:?}");
-        lines::write(Rank::Decision, "row_refused", fields);
+        event_log::write(LogPriority::Decision, "row_refused", fields);
     }
 
     /// Records that the row was removed or can be parsed again.
--- a/crates/gateway/src/relay/client.rs
+++ b/crates/gateway/src/relay/client.rs
@@ -14,7 +14,7 @@
 use tokio::time::timeout;
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::message::{RelayAnswer, RelayRequest};
+use super::message::{RelayRequest, RelayResponse};
 
 /// Time limit for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -25,7 +25,7 @@
 struct Connection {
     peer: SocketAddr,
     requests: FramedWrite<OwnedWriteHalf, FrameCodec<RelayRequest>>,
-    responses: FramedRead<OwnedReadHalf, FrameCodec<RelayAnswer>>,
+    responses: FramedRead<OwnedReadHalf, FrameCodec<RelayResponse>>,
 }
 
 /// Connections to other gateways.
@@ -42,7 +42,7 @@
         peer: SocketAddr,
         request: &RelayRequest,
         time_limit: Duration,
-    ) -> Option<RelayAnswer> {
+    ) -> Option<RelayResponse> {
         let response = timeout(time_limit, self.exchange(peer, request)).await;
         if response.is_err() {
             // A connection can stop delivering data without a reset, and then all connections to
@@ -53,7 +53,7 @@
         response.ok()?
     }
 
-    async fn exchange(&self, peer: SocketAddr, request: &RelayRequest) -> Option<RelayAnswer> {
+    async fn exchange(&self, peer: SocketAddr, request: &RelayRequest) -> Option<RelayResponse> {
         let mut connection = match self.take_idle(peer) {
             Some(connection) => connection,
             None => connect(peer).await?,
@@ -74,7 +74,7 @@
     }
 
     /// Closes all idle connections.
-    pub fn clear(&self) {
+    pub fn close_idle_connections(&self) {
         self.idle.lock().clear();
     }
 }
--- a/crates/gateway/src/relay/message.rs
+++ b/crates/gateway/src/relay/message.rs
@@ -3,18 +3,18 @@
 
 use gorsebank_contract::{TableAnswer, Transaction};
 use gorsebank_fleet::DemandRow;
-use gorsebank_fleet::quarantine::ToldOutcome;
+use gorsebank_fleet::quarantine::OutcomeNotice;
 use gorsebank_fleet::running::Counts;
 use gorsebank_world::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::allowance::{Ask, AskAnswer};
-use crate::feed::{FeedAnswer, FeedQuestion};
+use crate::feed::{FeedRequest, FeedResponse};
 use crate::ports::{TableChanges, TableError, TableSnapshot};
+use crate::tenant_quotas::{QuotaRequest, QuotaResponse};
 
 /// The demand that the callers of one gateway cause.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldDemand {
+pub struct GatewayDemand {
     /// The gateway whose callers cause the demand.
     pub from: NodeId,
     /// The demand.
@@ -22,7 +22,7 @@
     /// Whether the receiver should forward the demand, since the sender does not reach the
     /// placement holder. A forwarded message is not forwarded again.
     #[serde(rename = "hand_on")]
-    pub hand_on: bool,
+    pub should_forward: bool,
 }
 
 /// The requests that a root and all gateways below it have running at back ends. The counts carry
@@ -55,18 +55,18 @@
     },
     /// Request updates of tables from a parent.
     #[serde(rename = "News")]
-    News(FeedQuestion),
+    Updates(FeedRequest),
     /// Exchange the counts of running requests between roots.
     #[serde(rename = "Running")]
     RunningCounts(RootCounts),
     /// Send the demand of a gateway to the placement holder.
-    Demand(ToldDemand),
+    Demand(GatewayDemand),
     /// Charge a request to its tenant's quota, or reserve a send time at a back end.
     #[serde(rename = "Allowance")]
-    Allowance(Ask),
+    Quota(QuotaRequest),
     /// Send the outcomes that the sender and its children observed for requests under which back
     /// ends crashed.
-    Quarantine(Vec<ToldOutcome>),
+    Quarantine(Vec<OutcomeNotice>),
     /// Execute a transaction on the table.
     Transact(Transaction),
     /// Remove a row from the table.
@@ -90,29 +90,29 @@
 
 /// The response to a [`RelayRequest`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum RelayAnswer {
+pub enum RelayResponse {
     /// The rows, in response to a read.
     Rows(TableSnapshot),
     /// The changes, in response to a request for changes.
     Changes(TableChanges),
     /// The updates, in response to a request for updates.
     #[serde(rename = "News")]
-    News(FeedAnswer),
+    Updates(FeedResponse),
     /// The counts of the responding root, in response to the counts of another root.
     #[serde(rename = "Running")]
     RunningCounts(RootCounts),
     /// The response to a message with demand.
     #[serde(rename = "Heard")]
-    Heard {
+    DemandReceived {
         /// Whether the demand reached the placement holder.
         by_holder: bool,
     },
     /// The response to a charge or to a request for a send time.
     #[serde(rename = "Allowance")]
-    Allowance(AskAnswer),
+    Quota(QuotaResponse),
     /// The acknowledgement of outcomes of requests under which back ends crashed.
     #[serde(rename = "Noted")]
-    Noted,
+    Acknowledged,
     /// The result of a transaction or a removal.
     Transacted(TableAnswer),
     /// The table did not respond, or the responding gateway does not reach it either.
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -6,7 +6,7 @@
 //! relayed call has the same semantics as a direct one.
 //!
 //! The same connections carry the other requests between gateways: for updates of the tables
-//! ([`crate::feed`]), for quotas ([`crate::allowance`]), and to send demand to the placement
+//! ([`crate::feed`]), for quotas ([`crate::tenant_quotas`]), and to send demand to the placement
 //! holder.
 //!
 //! In: calls of this gateway and of other gateways. Out: the responses.
@@ -17,6 +17,6 @@
 mod table;
 
 pub use client::RelayClient;
-pub use message::{RelayAnswer, RelayRequest, RootCounts, ToldDemand};
+pub use message::{GatewayDemand, RelayRequest, RelayResponse, RootCounts};
 pub use server::serve;
 pub use table::RelayedTable;
--- a/crates/gateway/src/relay/server.rs
+++ b/crates/gateway/src/relay/server.rs
@@ -13,9 +13,9 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::message::{RelayAnswer, RelayRequest, ToldDemand};
+use super::message::{GatewayDemand, RelayRequest, RelayResponse};
 use super::table::table_unreachable;
-use crate::feed::{FeedAnswer, FeedQuestion};
+use crate::feed::{FeedRequest, FeedResponse};
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
 
@@ -58,7 +58,7 @@
     let _ = stream.set_nodelay(true);
     let (read, write) = stream.split();
     let mut requests = FramedRead::new(read, FrameCodec::<RelayRequest>::default());
-    let mut responses = FramedWrite::new(write, FrameCodec::<RelayAnswer>::default());
+    let mut responses = FramedWrite::new(write, FrameCodec::<RelayResponse>::default());
     while let Ok(Some(Ok(request))) = timeout(IDLE_TIMEOUT, requests.next()).await {
         let response = handle_request(shared, request).await;
         if responses.send(&response).await.is_err() {
@@ -67,68 +67,70 @@
     }
 }
 
-async fn handle_request(shared: &Shared, request: RelayRequest) -> RelayAnswer {
+async fn handle_request(shared: &Shared, request: RelayRequest) -> RelayResponse {
     match request {
-        RelayRequest::News(request) => {
-            RelayAnswer::News(handle_update_request(shared, request).await)
+        RelayRequest::Updates(request) => {
+            RelayResponse::Updates(handle_update_request(shared, request).await)
         }
         RelayRequest::RunningCounts(counts) => {
-            shared.note_root(counts);
-            RelayAnswer::RunningCounts(shared.root_counts())
+            shared.record_root(counts);
+            RelayResponse::RunningCounts(shared.root_counts())
         }
         RelayRequest::Demand(demand) => receive_demand(shared, demand).await,
-        RelayRequest::Allowance(request) => RelayAnswer::Allowance(shared.answer_ask(&request)),
+        RelayRequest::Quota(request) => RelayResponse::Quota(shared.handle_quota_request(&request)),
         RelayRequest::Quarantine(outcomes) => {
-            shared.note_told_outcomes(&outcomes);
-            RelayAnswer::Noted
+            shared.merge_child_outcomes(&outcomes);
+            RelayResponse::Acknowledged
         }
         table_call => match shared.table().direct() {
             Some(table) => call_table(table, table_call).await,
-            None => RelayAnswer::Failed(table_unreachable()),
+            None => RelayResponse::Failed(table_unreachable()),
         },
     }
 }
 
 /// Responds to a request of a child for updates, and merges the counts, rate limits and drain
 /// notices of the request.
-async fn handle_update_request(shared: &Shared, request: FeedQuestion) -> FeedAnswer {
+async fn handle_update_request(shared: &Shared, request: FeedRequest) -> FeedResponse {
     let (from, now) = (request.from.as_str(), shared.now());
     let counts = request.running.clone();
-    shared.feed.running.lock().note_fed(now, from, counts);
-    shared.note_told_limits(&request.limits);
-    shared.note_told_departures(&request.departures);
+    shared.feed.running.lock().record_child(now, from, counts);
+    shared.merge_limit_notices(&request.limits);
+    shared.merge_drain_notices(&request.drain_notices);
     let received_at = shared.clock.since_boot();
     let tables = shared
         .feed
         .wait_for_updates(&request, &shared.quarantine)
         .await;
     let held = shared.clock.since_boot().saturating_sub(received_at);
-    let running = shared.running_sums();
-    let quarantine = shared.quarantine.news(shared.now(), request.quarantine);
-    FeedAnswer {
+    let running = shared.running_totals();
+    let quarantine = shared
+        .quarantine
+        .update_for(shared.now(), request.quarantine);
+    FeedResponse {
         tables,
         held_ms: held.as_millis() as u64,
         running,
         quarantine,
-        limits: shared.told_limits(),
-        departures: shared.told_departures(),
+        limits: shared.limit_notices(),
+        drain_notices: shared.drain_notices(),
     }
 }
 
 /// Merges demand if this gateway is the placement holder. Otherwise forwards the demand to the
 /// placement holder if the sender requests that.
-async fn receive_demand(shared: &Shared, demand: ToldDemand) -> RelayAnswer {
+async fn receive_demand(shared: &Shared, demand: GatewayDemand) -> RelayResponse {
     if shared.is_placing() {
         let now = shared.now();
         shared.demand_rows.put(now, demand.from, demand.row);
-        return RelayAnswer::Heard { by_holder: true };
+        return RelayResponse::DemandReceived { by_holder: true };
     }
-    let not_received = RelayAnswer::Heard { by_holder: false };
-    let Some(holder) = shared.holder_address().filter(|_| demand.hand_on) else {
+    let not_received = RelayResponse::DemandReceived { by_holder: false };
+    let Some(holder) = shared.holder_address().filter(|_| demand.should_forward) else {
         return not_received;
     };
-    let request = RelayRequest::Demand(ToldDemand {
-        hand_on: false,
+    let request = RelayRequest::Demand(GatewayDemand {
+        should_forward: false,
         ..demand
     });
     let client = shared.table().client();
@@ -137,11 +139,11 @@
 }
 
 /// Executes a call on the table.
-async fn call_table(table: &dyn WatchedTable, request: RelayRequest) -> RelayAnswer {
+async fn call_table(table: &dyn WatchedTable, request: RelayRequest) -> RelayResponse {
     match request {
         RelayRequest::Read { table: name } => match table.read(&name).await {
-            Ok(rows) => RelayAnswer::Rows(rows),
-            Err(error) => RelayAnswer::Failed(error),
+            Ok(rows) => RelayResponse::Rows(rows),
+            Err(error) => RelayResponse::Failed(error),
         },
         RelayRequest::Changes {
             table: name,
@@ -150,21 +152,21 @@
         } => {
             let wait = Duration::from_millis(wait_ms).min(MAX_WAIT);
             match table.changes(&name, version, wait).await {
-                Ok(changes) => RelayAnswer::Changes(changes),
-                Err(error) => RelayAnswer::Failed(error),
+                Ok(changes) => RelayResponse::Changes(changes),
+                Err(error) => RelayResponse::Failed(error),
             }
         }
         RelayRequest::Transact(transaction) => {
-            RelayAnswer::Transacted(table.transact(transaction).await)
+            RelayResponse::Transacted(table.transact(transaction).await)
         }
         // `handle_request` handles these requests itself, since they are not calls of the table.
-        RelayRequest::News(_)
+        RelayRequest::Updates(_)
         | RelayRequest::RunningCounts(_)
         | RelayRequest::Demand(_)
-        | RelayRequest::Allowance(_)
-        | RelayRequest::Quarantine(_) => RelayAnswer::Failed(table_unreachable()),
+        | RelayRequest::Quota(_)
+        | RelayRequest::Quarantine(_) => RelayResponse::Failed(table_unreachable()),
         RelayRequest::Remove { key, version } => {
-            RelayAnswer::Transacted(table.remove(&key, version).await)
+            RelayResponse::Transacted(table.remove(&key, version).await)
         }
     }
 }
--- a/crates/gateway/src/relay/table.rs
+++ b/crates/gateway/src/relay/table.rs
@@ -22,8 +22,8 @@
 use tokio::time::{Instant, sleep_until};
 
 use super::client::RelayClient;
-use super::message::{RelayAnswer, RelayRequest};
-use crate::lines::{self, Rank};
+use super::message::{RelayRequest, RelayResponse};
+use crate::event_log::{self, LogPriority};
 use crate::ports::{Platform, TableChanges, TableError, TableSnapshot, WatchedTable};
 
 /// Number of consecutive direct calls without a response after which calls are relayed.
@@ -121,15 +121,19 @@
 
     /// Records that a direct call received a response. Resumes the direct path if it was abandoned.
     fn record_success(&self) {
-        self.count("direct");
+        self.count_call("direct");
         let mut state = self.state.lock();
         state.failures = 0;
         state.throttled_since = None;
         let was_relayed = state.probe_at.take().is_some();
         drop(state);
         if was_relayed {
-            self.client.clear();
-            lines::write(Rank::Decision, "table_way", format_args!("way=direct"));
+            self.client.close_idle_connections();
+            event_log::write(
+                LogPriority::Decision,
+                "table_way",
+                format_args!("way=direct"),
+            );
         }
     }
 
@@ -146,7 +150,7 @@
             // table has to learn of revoked keys within the bound on their revocation.
             self.record_failures(MAX_FAILURES);
         } else {
-            self.count("throttled");
+            self.count_call("throttled");
         }
     }
 
@@ -154,7 +158,7 @@
     /// calls are relayed already, or if no direct call was throttled since the last successful one.
     /// A task that pauses before its next call of the table can end the pause then, since calls are
     /// relayed.
-    pub async fn kept_out(&self) {
+    pub async fn wait_until_abandoned(&self) {
         loop {
             let abandon_at = {
                 let state = self.state.lock();
@@ -179,7 +183,7 @@
     /// Records an event that counts as `count` consecutive direct calls without a response.
     /// Abandons the direct path after [`MAX_FAILURES`] of them.
     fn record_failures(&self, count: u32) {
-        self.count("direct_failed");
+        self.count_call("direct_failed");
         let mut state = self.state.lock();
         state.failures += count;
         let is_newly_abandoned = state.failures >= MAX_FAILURES && state.probe_at.is_none();
@@ -191,19 +195,21 @@
         drop(state);
         self.direct_abandoned.notify_waiters();
         let fields = format_args!("way=relayed failures={MAX_FAILURES} gateways={peers}");
-        lines::write(Rank::Decision, "table_way", fields);
+        event_log::write(LogPriority::Decision, "table_way", fields);
     }
 
     /// Increments the metric of calls for a path or result.
-    pub fn count(&self, result: &str) {
+    pub fn count_call(&self, result: &str) {
         self.calls.with_label_values(&[result]).inc();
     }
 
     fn record_read<T>(&self, result: &Result<T, TableError>) {
         match result {
-            Ok(_) | Err(TableError::HistoryGone | TableError::Content(_)) => self.record_success(),
+            Ok(_) | Err(TableError::HistoryGone | TableError::InvalidResponse(_)) => {
+                self.record_success()
+            }
             Err(TableError::Throttled) => self.record_throttled(),
-            Err(TableError::Unavailable(_) | TableError::Lost(_)) => self.record_failure(),
+            Err(TableError::Unavailable(_) | TableError::NoResponse(_)) => self.record_failure(),
         }
     }
 
@@ -222,14 +228,14 @@
     }
 
     /// Sends a call to other gateways in turn, until one of them returns a response of the table.
-    async fn relay(&self, request: RelayRequest, wait: Duration) -> Option<RelayAnswer> {
+    async fn relay(&self, request: RelayRequest, wait: Duration) -> Option<RelayResponse> {
         for peer in self.candidates() {
             let response = self
                 .client
                 .call(peer, &request, wait + RESPONSE_TIMEOUT)
                 .await;
             if let Some(response) = response.filter(is_from_table) {
-                self.count("relayed");
+                self.count_call("relayed");
                 self.state.lock().last_peer = Some(peer);
                 return Some(response);
             }
@@ -238,7 +244,7 @@
                 break;
             }
         }
-        self.count("relay_failed");
+        self.count_call("relay_failed");
         let mut state = self.state.lock();
         state.last_peer = None;
         state.no_relay_until = Some(Instant::now() + RELAY_FAILURE_PAUSE);
@@ -254,8 +260,8 @@
         let table = table.to_owned();
         let request = RelayRequest::Read { table };
         match self.relay(request, Duration::ZERO).await {
-            Some(RelayAnswer::Rows(rows)) => Ok(rows),
-            Some(RelayAnswer::Failed(error)) => Err(error),
+            Some(RelayResponse::Rows(rows)) => Ok(rows),
+            Some(RelayResponse::Failed(error)) => Err(error),
             _ => Err(relay_failed()),
         }
     }
@@ -282,8 +288,8 @@
             wait_ms: wait.as_millis() as u64,
         };
         match self.relay(request, wait).await {
-            Some(RelayAnswer::Changes(changes)) => Ok(changes),
-            Some(RelayAnswer::Failed(error)) => Err(error),
+            Some(RelayResponse::Changes(changes)) => Ok(changes),
+            Some(RelayResponse::Failed(error)) => Err(error),
             _ => Err(relay_failed()),
         }
     }
@@ -320,38 +326,41 @@
 
     async fn relay_write(&self, request: RelayRequest) -> TableAnswer {
         match self.relay(request, Duration::ZERO).await {
-            Some(RelayAnswer::Transacted(answer)) => answer,
+            Some(RelayResponse::Transacted(answer)) => answer,
             _ => TableAnswer::Unknown,
         }
     }
 }
 
 /// Whether a response of another gateway contains a response of the table.
-fn is_from_table(response: &RelayAnswer) -> bool {
+fn is_from_table(response: &RelayResponse) -> bool {
     match response {
-        RelayAnswer::Rows(_) | RelayAnswer::Changes(_) => true,
-        RelayAnswer::News(_)
-        | RelayAnswer::RunningCounts(_)
-        | RelayAnswer::Heard { .. }
-        | RelayAnswer::Allowance(_)
-        | RelayAnswer::Noted => false,
-        RelayAnswer::Transacted(answer) => matches!(
+        RelayResponse::Rows(_) | RelayResponse::Changes(_) => true,
+        RelayResponse::Updates(_)
+        | RelayResponse::RunningCounts(_)
+        | RelayResponse::DemandReceived { .. }
+        | RelayResponse::Quota(_)
+        | RelayResponse::Acknowledged => false,
+        RelayResponse::Transacted(answer) => matches!(
             answer,
             TableAnswer::Committed { .. } | TableAnswer::Conflict { .. }
         ),
-        RelayAnswer::Failed(error) => {
-            matches!(error, TableError::HistoryGone | TableError::Content(_))
+        RelayResponse::Failed(error) => {
+            matches!(
+                error,
+                TableError::HistoryGone | TableError::InvalidResponse(_)
+            )
         }
     }
 }
 
 /// The error of a call on the direct path after that path was abandoned.
 pub fn table_unreachable() -> TableError {
-    TableError::Lost("this gateway cannot reach the table directly".to_owned())
+    TableError::NoResponse("this gateway cannot reach the table directly".to_owned())
 }
 
 fn relay_failed() -> TableError {
-    TableError::Lost("no other gateway could relay the call to the table".to_owned())
+    TableError::NoResponse("no other gateway could relay the call to the table".to_owned())
 }
 
 impl WatchedTable for RelayedTable {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -21,14 +21,14 @@
 use thiserror::Error;
 use tokio::time::{Instant, timeout_at};
 
-use crate::allowance::Grant;
+use crate::event_log::{self, LogPriority};
 use crate::failure::Failure;
-use crate::lines::{self, Rank};
-use crate::ports::Ticket;
+use crate::ports::RequestMetadata;
 use crate::shared::Shared;
 use crate::tenancy::{self, Caller};
+use crate::tenant_quotas::Grant;
 use crate::unread_body::discard;
-use crate::{plain, stream};
+use crate::{single_response, stream};
 
 /// The response body ended early. The gateway closes the caller's connection as well.
 #[derive(Clone, Copy, Debug, Error)]
@@ -74,7 +74,7 @@
     /// The tenant that sent the request, if callers authenticate with keys.
     pub tenant: Option<Arc<Tenant>>,
     /// What the request's headers say.
-    pub metadata: Ticket,
+    pub metadata: RequestMetadata,
     /// Method, path and headers as they are forwarded.
     pub head: Parts,
     /// The complete request body.
@@ -109,7 +109,7 @@
         if !self.may_have_run()
             && let Some(charge) = self.quota_charge.take()
         {
-            self.shared.allowance.give_back(charge);
+            self.shared.tenant_quotas.refund(charge);
         }
     }
 }
@@ -123,7 +123,7 @@
     /// How much longer the request is quarantined, because back ends crash while they run it.
     pub fn quarantine_left(&self) -> Option<Duration> {
         let now = self.shared.now();
-        self.shared.quarantine.verdict(now, self.fingerprint)
+        self.shared.quarantine.remaining(now, self.fingerprint)
     }
 
     /// Marks the request as in doubt: it is being written to a back end, and no response has
@@ -145,8 +145,8 @@
     /// How much time is left to send the request to a back end, so that its response ends before
     /// the process is killed. None if the process is not stopping.
     pub fn time_left_to_send(&self) -> Option<Duration> {
-        let stopping_for_ms = self.shared.stopping_for()?;
-        let grace = self.shared.settings.bounds.grace;
+        let stopping_for_ms = self.shared.stopping_for_ms()?;
+        let grace = self.shared.settings.bounds.shutdown_grace;
         let start_limit = if self.route.kind.is_stream() {
             grace.mul_f64(STREAM_START_FRACTION).min(MAX_STREAM_START)
         } else {
@@ -169,7 +169,7 @@
     /// When the request's head was read. `Instant` does not advance while the machine is suspended,
     /// so time suspended since the arrival is subtracted.
     pub fn arrived(&self) -> Instant {
-        let suspended = self.shared.clock.suspended();
+        let suspended = self.shared.clock.total_suspension();
         let suspended_since_arrival = suspended.saturating_sub(self.suspended_at_arrival);
         self.arrived
             .checked_sub(suspended_since_arrival)
@@ -188,7 +188,7 @@
 
     /// Returns once the deadline has passed, including during a suspension of the machine.
     pub async fn wait_for_deadline(&self) {
-        let mut resumes = self.shared.awakenings();
+        let mut resumes = self.shared.resumes();
         while Instant::now() < self.deadline() {
             // Both a resume notification and a closed channel only cause the time to be checked
             // again.
@@ -211,15 +211,15 @@
     pub fn log_end(&self, outcome: &str, status: u16, back_end: &str) {
         self.is_end_logged.store(true, Ordering::Relaxed);
         let rank = if outcome == "served" {
-            Rank::Served
+            LogPriority::Served
         } else {
-            Rank::Decision
+            LogPriority::Decision
         };
         let total = self.age();
-        self.shared.metrics.ended(outcome, total);
+        self.shared.metrics.record_request_end(outcome, total);
         if let Some(tenant) = &self.tenant {
             let metrics = &self.shared.metrics;
-            metrics.tenant_ended(tenant.id.as_str(), outcome);
+            metrics.record_tenant_request_end(tenant.id.as_str(), outcome);
         }
         let model = self
             .metadata
@@ -227,7 +227,7 @@
             .as_ref()
             .map_or("-", |model| model.as_str());
         let adapter = self.metadata.adapter.as_ref();
-        lines::write(
+        event_log::write(
             rank,
             "request_end",
             format_args!(
@@ -267,7 +267,9 @@
     {
         Ok(call) => (serve(call).await, true),
         Err(failure) => {
-            shared.metrics.ended(failure.reason(), arrived.elapsed());
+            shared
+                .metrics
+                .record_request_end(failure.reason(), arrived.elapsed());
             let response = failure.to_response(shared.platform.as_ref());
             // Reading the body makes hyper send 100 Continue, which asks the caller to send it.
             // This has already happened when the body is found to be too large.
@@ -299,7 +301,7 @@
         if call.route.kind.is_stream() {
             stream::serve(call.clone()).await
         } else {
-            plain::serve(&call).await
+            single_response::serve(&call).await
         }
     };
     let result = tokio::select! {
@@ -318,14 +320,14 @@
 }
 
 /// Logs the end of a request that was rejected before any attempt.
-fn log_rejected(metadata: &Ticket, route: &str, failure: Failure) -> Failure {
+fn log_rejected(metadata: &RequestMetadata, route: &str, failure: Failure) -> Failure {
     let fields = format_args!(
         "request={} outcome={} status={} route={route} attempts=0 exposed=false",
         metadata.id,
         failure.reason(),
         failure.status().as_u16(),
     );
-    lines::write(Rank::Decision, "request_end", fields);
+    event_log::write(LogPriority::Decision, "request_end", fields);
     failure
 }
 
@@ -335,7 +337,7 @@
     body: &mut Incoming,
     arrived: Instant,
 ) -> Result<Call, Failure> {
-    let metadata = shared.platform.ticket(&head.headers);
+    let metadata = shared.platform.request_metadata(&head.headers);
     let Some((configuration, age)) = shared.configuration_for_caller() else {
         return Err(log_rejected(&metadata, "-", Failure::NoConfiguration));
     };
@@ -344,26 +346,28 @@
         return Err(Failure::NoRoute);
     };
     let caller = Caller {
-        ticket: &metadata,
+        metadata: &metadata,
         route: &route,
         arrived,
     };
-    let tenant = tenancy::tenant_of(shared, &caller, &configuration, age, &mut head.headers)
+    let tenant = tenancy::identify_tenant(shared, &caller, &configuration, age, &mut head.headers)
         .map_err(|rejection| log_rejected(&metadata, &route.name, rejection.into()))?;
     let time_limit = metadata
         .deadline
         .map_or(route.timeout, |deadline| deadline.min(route.timeout));
     let deadline = arrived + time_limit;
-    let suspended_at_arrival = shared.clock.suspended();
-    let is_returning = shared.is_returning(&route.name, metadata.deadline);
+    let suspended_at_arrival = shared.clock.total_suspension();
+    let is_returning = shared.is_retrying(&route.name, metadata.deadline);
     let limit = configuration.limits.max_body_bytes;
     let body = read_body(body, limit, deadline)
         .await
         .map_err(|failure| log_rejected(&metadata, &route.name, failure))?;
-    let quota_charge = tenancy::count(shared, &caller, tenant.as_deref())
+    let quota_charge = tenancy::charge(shared, &caller, tenant.as_deref())
         .await
         .map_err(|rejection| log_rejected(&metadata, &route.name, rejection.into()))?;
-    let service = shared.split(&route.services).ok_or(Failure::NoRoute)?;
+    let service = shared
+        .choose_service(&route.services)
+        .ok_or(Failure::NoRoute)?;
     shared.count_request(&service);
     strip_hop_by_hop_headers(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
@@ -396,7 +400,7 @@
 /// Fingerprint of method, host, target, model and body: everything that a retry by the caller has
 /// in common with this request. Headers are left out, because deadline, id and last event differ
 /// between retries.
-fn fingerprint(head: &Parts, metadata: &Ticket, body: &Bytes) -> Fingerprint {
+fn fingerprint(head: &Parts, metadata: &RequestMetadata, body: &Bytes) -> Fingerprint {
     let host = head.headers.get(header::HOST);
     let target = head.uri.path_and_query();
     let model = metadata.model.as_ref().map_or("", |model| model.as_str());
@@ -430,14 +434,14 @@
     configuration.route(host, head.uri.path()).cloned()
 }
 
-fn log_unrouted(metadata: &Ticket, head: &Parts, version: u64) {
+fn log_unrouted(metadata: &RequestMetadata, head: &Parts, version: u64) {
     let host = head.headers.get(header::HOST);
     let fields = format_args!(
         "request={} outcome=no_route status=404 host={host:?} path={} configuration={version}",
         metadata.id,
         head.uri.path(),
     );
-    lines::write(Rank::Decision, "request_end", fields);
+    event_log::write(LogPriority::Decision, "request_end", fields);
 }
 
 async fn read_body(body: &mut Incoming, limit: usize, deadline: Instant) -> Result<Bytes, Failure> {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -35,21 +35,21 @@
 
 /// Open connections of callers.
 #[derive(Clone)]
-pub struct Connections {
+pub struct CallerConnections {
     open: Arc<AtomicUsize>,
     close_idle: watch::Sender<bool>,
 }
 
-impl Default for Connections {
+impl Default for CallerConnections {
     fn default() -> Self {
-        Connections {
+        CallerConnections {
             open: Arc::default(),
             close_idle: watch::channel(false).0,
         }
     }
 }
 
-impl Connections {
+impl CallerConnections {
     /// Waits until callers use other gateways, closes idle connections, and waits until every
     /// request has ended.
     pub async fn drain(&self, grace: Duration, poll: Duration) {
@@ -62,7 +62,11 @@
 }
 
 /// Accepts and serves connections of callers until the process ends.
-pub async fn serve_callers(shared: Arc<Shared>, listener: TcpListener, connections: Connections) {
+pub async fn serve_callers(
+    shared: Arc<Shared>,
+    listener: TcpListener,
+    connections: CallerConnections,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
@@ -82,7 +86,7 @@
     }
 }
 
-async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, connections: Connections) {
+async fn serve_connection(shared: Arc<Shared>, stream: TcpStream, connections: CallerConnections) {
     connections.open.fetch_add(1, Ordering::Relaxed);
     let _open = OpenConnection(connections.open.clone());
     let _ = stream.set_nodelay(true);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -3,7 +3,7 @@
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
 
-use gorsebank_fleet::placement::LoadBound;
+use gorsebank_fleet::placement::LoadRateLimit;
 use gorsebank_fleet::{KeyBounds, LimitBound, RetryShare};
 use gorsebank_world::{NodeId, ZoneId};
 
@@ -23,7 +23,7 @@
     /// CPU share of this process in thousandths of a core; 0 if unknown.
     pub millicores: u32,
     /// Whether all gateways start together, as at the first start of a deployment.
-    pub starts_with_all: bool,
+    pub is_initial_start: bool,
     /// Bounds that the deployment sets.
     pub bounds: Bounds,
 }
@@ -51,26 +51,26 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// The retry budget that all gateways share.
-    pub retries: RetryShare,
+    pub retry_budget: RetryShare,
     /// The rate limit of loads from the weight store.
-    pub loads: LoadBound,
+    pub load_rate_limit: LoadRateLimit,
     /// Duration of the placement lease.
-    pub lease: Duration,
+    pub lease_duration: Duration,
     /// Maximum time from the commit of a back end's drain or of a new configuration in the table
     /// until every gateway knows it.
-    pub news: Duration,
+    pub propagation_bound: Duration,
     /// Maximum times until all gateways accept a new API key and reject a revoked one.
     pub keys: KeyBounds,
     /// How far all gateways together may exceed a tenant's quota.
-    pub limits: LimitBound,
+    pub quota_bound: LimitBound,
     /// Whether back ends that are warming up fail under load, so that warm back ends are preferred.
-    pub spares_cold: bool,
+    pub prefers_warm_back_ends: bool,
     /// Time from the start of a planned stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Maximum rate of read calls to the table of all gateways together, in calls per second.
-    pub table_reads: f64,
+    pub table_reads_per_second: f64,
     /// Maximum rate of write calls to the table of all gateways together, in calls per second.
-    pub table_writes: f64,
+    pub table_writes_per_second: f64,
 }
 
 /// Address at which a gateway serves other gateways. The port is the first one of the inclusive
--- a/crates/gateway/src/shared/gateways.rs
+++ b/crates/gateway/src/shared/gateways.rs
@@ -51,7 +51,7 @@
         members.holder = holder;
         self.update_feed_position(&members);
         drop(members);
-        self.back_end_limits.set_counting(self.now(), is_holder);
+        self.back_end_limits.set_scheduling(self.now(), is_holder);
         self.new_holder.notify_one();
     }
 
@@ -60,7 +60,7 @@
         let holder = members.holder.as_ref().map(NodeId::as_str);
         let mut parents = self.feed.parents.lock();
         if parents.set_members(own, &members.serving, holder) {
-            self.feed.moved.notify_one();
+            self.feed.position_changed.notify_one();
         }
     }
 
@@ -82,18 +82,18 @@
     }
 
     /// The gateways that serve other gateways.
-    pub fn answering_members(&self) -> Vec<Member> {
+    pub fn serving_members(&self) -> Vec<Member> {
         self.members.lock().serving.clone()
     }
 
     /// Number of gateways that have a row.
-    pub fn known_gateways(&self) -> usize {
+    pub fn known_gateway_count(&self) -> usize {
         self.members.lock().count
     }
 
     /// Whether this gateway may place models. That requires that other gateways can send it their
     /// demand, or that no gateway serves others.
-    pub fn can_place(&self) -> bool {
+    pub fn may_place(&self) -> bool {
         let own = self.settings.node.as_str();
         let members = self.members.lock();
         let is_serving = members.serving.iter().any(|member| member.name == own);
@@ -101,7 +101,7 @@
     }
 
     /// CPU capacity of the strongest known machine, in thousandths of a core.
-    pub fn strongest_millicores(&self) -> u32 {
+    pub fn max_millicores(&self) -> u32 {
         let members = self.members.lock();
         let millicores = members.serving.iter().map(|member| member.row.millicores);
         millicores.max().unwrap_or(0)
@@ -116,7 +116,7 @@
     }
 
     /// Upper estimate of the number of gateways.
-    pub fn possible_gateways(&self) -> usize {
+    pub fn max_gateway_count(&self) -> usize {
         self.gateways.load(Ordering::Relaxed) + UNKNOWN_GATEWAYS
     }
 }
--- a/crates/gateway/src/shared/mod.rs
+++ b/crates/gateway/src/shared/mod.rs
@@ -4,11 +4,11 @@
 //! Lock order: `configuration`, `directory`, `demand`, `retries`, `prefill_models`, `members`,
 //! `feed.parents`, then any other lock. No lock is held across an await point.
 
-mod answers;
 mod back_end_limits;
 mod gateways;
-mod limits;
 mod outcomes;
+mod quotas;
+mod responses;
 mod running;
 mod shares;
 
@@ -20,9 +20,9 @@
 use gorsebank_contract::TableRow;
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::placement::StoreRecords;
-use gorsebank_fleet::split::Split;
+use gorsebank_fleet::split::WeightedSplit;
 use gorsebank_fleet::{
-    Configuration, Demand, PausedBackEnds, ReadingModel, ReadingSample, RetryWindow,
+    Configuration, Demand, PausedBackEnds, PrefillModel, PrefillSpeedSample, RetryWindow,
 };
 use gorsebank_world::ServiceId;
 use parking_lot::{Mutex, RwLock};
@@ -31,21 +31,21 @@
 use gateways::{MIN_GATEWAYS, Members};
 pub use shares::RetryPermit;
 
-use crate::allowance::Allowance;
+use crate::adaptive_timeout::AdaptiveTimeout;
 use crate::back_end_limits::BackEndLimits;
 use crate::clock::Clock;
 use crate::demand_rows::DemandRows;
 use crate::directory::Directory;
 use crate::feed::Feed;
-use crate::lateness::TimerLag;
 use crate::metrics::Metrics;
 use crate::orders;
-use crate::patience::Patience;
 use crate::ports::{Platform, RowFault, UNREADABLE_VALUE};
 use crate::quarantine::SharedQuarantine;
 use crate::refused_rows::RefusedRows;
 use crate::relay::RelayedTable;
 use crate::settings::GatewaySettings;
+use crate::tenant_quotas::TenantQuotas;
+use crate::timer_lag::TimerLag;
 
 /// A caller whose time limit is shorter than usual by more than this margin is considered to be
 /// retrying.
@@ -70,7 +70,7 @@
     /// Table rows that could not be parsed.
     pub refused_rows: RefusedRows,
     /// Quotas of tenants.
-    pub allowance: Allowance,
+    pub tenant_quotas: TenantQuotas,
     /// Quarantined requests.
     pub quarantine: SharedQuarantine,
     /// Rate limits that back ends state.
@@ -80,12 +80,12 @@
     /// Demand of all gateways, while this gateway is the placement holder.
     pub demand_rows: DemandRows,
     /// Timeout of orders to engines.
-    pub order_patience: Patience,
+    pub order_timeout: AdaptiveTimeout,
     configuration: RwLock<Option<Arc<Configuration>>>,
     directory: RwLock<Directory>,
     retries: Mutex<HashMap<ServiceId, RetryWindow>>,
-    split: Mutex<Split>,
-    prefill_models: Mutex<HashMap<ServiceId, ReadingModel>>,
+    split: Mutex<WeightedSplit>,
+    prefill_models: Mutex<HashMap<ServiceId, PrefillModel>>,
     usual_deadlines: Mutex<HashMap<Arc<str>, Duration>>,
     changes: watch::Sender<u64>,
     resumes: watch::Sender<u64>,
@@ -108,7 +108,7 @@
         platform: Arc<dyn Platform>,
     ) -> eyre::Result<Self> {
         let mut directory = Directory::new(settings.zone.clone());
-        if settings.bounds.spares_cold {
+        if settings.bounds.prefers_warm_back_ends {
             directory.prefer_warm();
         }
         let metrics = Metrics::new()?;
@@ -123,16 +123,16 @@
             feed: Feed::new(clock.clone()),
             clock,
             refused_rows: RefusedRows::new(metrics.refused_rows.clone()),
-            allowance: Allowance::default(),
+            tenant_quotas: TenantQuotas::default(),
             quarantine: SharedQuarantine::default(),
             back_end_limits: BackEndLimits::default(),
             paused: Mutex::default(),
             demand_rows: DemandRows::default(),
-            order_patience: orders::patience(),
+            order_timeout: orders::adaptive_timeout(),
             configuration: RwLock::new(None),
             directory: RwLock::new(directory),
             retries: Mutex::default(),
-            split: Mutex::new(Split::new(rand::random())),
+            split: Mutex::new(WeightedSplit::new(rand::random())),
             prefill_models: Mutex::default(),
             usual_deadlines: Mutex::default(),
             changes: watch::channel(0).0,
@@ -181,7 +181,7 @@
     }
 
     /// Mean delay with which timers of this process fire.
-    pub fn lateness(&self) -> Duration {
+    pub fn timer_lag(&self) -> Duration {
         self.timer_lag.average()
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Notifies its receiver when the machine has resumed from a suspension.
-    pub fn awakenings(&self) -> watch::Receiver<u64> {
+    pub fn resumes(&self) -> watch::Receiver<u64> {
         self.resumes.subscribe()
     }
 
@@ -216,7 +216,7 @@
     /// configuration than the active one. Returns `None` if there is no such moment.
     pub fn configuration_age(&self) -> Option<Duration> {
         let table = self.platform.tables().configuration;
-        self.feed.proved_age(table)
+        self.feed.verified_age(table)
     }
 
     /// The active configuration and, where callers have API keys, the time since the moment for
@@ -247,7 +247,7 @@
     }
 
     /// Records that a row written by another gateway could not be parsed.
-    pub fn refuse_row(&self, row: &TableRow, error: &dyn std::fmt::Display) {
+    pub fn record_refused_row(&self, row: &TableRow, error: &dyn std::fmt::Display) {
         let fault = if row.value == UNREADABLE_VALUE {
             RowFault::Bytes
         } else {
@@ -285,7 +285,7 @@
     }
 
     /// Chooses the service of the next request on a route.
-    pub fn split(&self, services: &[(ServiceId, u32)]) -> Option<ServiceId> {
+    pub fn choose_service(&self, services: &[(ServiceId, u32)]) -> Option<ServiceId> {
         if let [(only, _)] = services {
             return Some(only.clone());
         }
@@ -294,7 +294,7 @@
 
     /// Whether the caller's time limit is shorter than the usual one of the route, which indicates
     /// that the caller is retrying.
-    pub fn is_returning(&self, route: &Arc<str>, deadline: Option<Duration>) -> bool {
+    pub fn is_retrying(&self, route: &Arc<str>, deadline: Option<Duration>) -> bool {
         let Some(deadline) = deadline else {
             return false;
         };
@@ -305,7 +305,11 @@
     }
 
     /// Runs `act` on the prefill model of a service.
-    pub fn reading<T>(&self, service: &ServiceId, act: impl FnOnce(&mut ReadingModel) -> T) -> T {
+    pub fn with_prefill_model<T>(
+        &self,
+        service: &ServiceId,
+        act: impl FnOnce(&mut PrefillModel) -> T,
+    ) -> T {
         let mut prefill_models = self.prefill_models.lock();
         match prefill_models.get_mut(service) {
             Some(known) => act(known),
@@ -314,9 +318,9 @@
     }
 
     /// Recent measurements of engine speeds by this gateway.
-    pub fn reading_samples(&self) -> BTreeMap<ServiceId, ReadingSample> {
+    pub fn prefill_speed_samples(&self) -> BTreeMap<ServiceId, PrefillSpeedSample> {
         let now = self.now();
-        let gateways = self.possible_gateways();
+        let gateways = self.max_gateway_count();
         let mut prefill_models = self.prefill_models.lock();
         let samples = prefill_models
             .iter_mut()
@@ -337,7 +341,7 @@
     }
 
     /// Milliseconds since the planned stop started; `None` if there is no planned stop.
-    pub fn stopping_for(&self) -> Option<u64> {
+    pub fn stopping_for_ms(&self) -> Option<u64> {
         let since = Timestamp(self.stopping_since.load(Ordering::Relaxed));
         self.is_stopping().then(|| self.now().since(since))
     }
