--- a/crates/gateway/src/shared/outcomes.rs
+++ b/crates/gateway/src/shared/outcomes.rs
@@ -8,22 +8,25 @@
 use std::net::SocketAddr;
 
 use gorsebank_fleet::Fingerprint;
-use gorsebank_fleet::quarantine::{BackEndHash, RunOutcome, Source, ToldOutcome};
+use gorsebank_fleet::quarantine::{EventSource, IncarnationHash, OutcomeNotice, RunOutcome};
 
 use super::Shared;
-use crate::quarantine::QuarantineNews;
+use crate::quarantine::QuarantineUpdate;
 
 impl Shared {
     /// Merges outcome notices from child gateways.
-    pub fn note_told_outcomes(&self, notices: &[ToldOutcome]) {
+    pub fn merge_child_outcomes(&self, notices: &[OutcomeNotice]) {
         self.record_reported_crashes(notices);
-        if self.quarantine.merge(self.now(), notices, Source::Below) {
+        if self
+            .quarantine
+            .merge(self.now(), notices, EventSource::Below)
+        {
             self.notify_changed();
         }
     }
 
     /// Merges a quarantine update with which the gateway at `address` has responded.
-    pub fn note_quarantine_news(&self, address: SocketAddr, update: &QuarantineNews) {
+    pub fn merge_quarantine_update(&self, address: SocketAddr, update: &QuarantineUpdate) {
         self.record_reported_crashes(&update.events);
         if self.quarantine.merge_update(self.now(), address, update) {
             self.notify_changed();
@@ -34,22 +37,25 @@
 
     /// Records crashed back ends. A gateway that had a request at a back end when it crashed
     /// notifies all others, so that they stop sending requests there.
-    fn record_reported_crashes(&self, notices: &[ToldOutcome]) {
+    fn record_reported_crashes(&self, notices: &[OutcomeNotice]) {
         let crashed = notices.iter().filter_map(|event| match event.outcome {
             RunOutcome::Ended(back_end) => Some(back_end),
             RunOutcome::Served => None,
         });
-        let crashed: HashSet<BackEndHash> = crashed.collect();
+        let crashed: HashSet<IncarnationHash> = crashed.collect();
         if !crashed.is_empty() {
             let now = self.now();
-            self.directory(|directory| directory.note_ended(now, &crashed));
+            self.directory(|directory| directory.record_exits(now, &crashed));
             self.notify_changed();
         }
     }
 
     /// Merges outcomes from the quarantine row, which were recorded before this process started.
-    pub fn merge_stored_outcomes(&self, notices: &[ToldOutcome]) {
-        if self.quarantine.merge(self.now(), notices, Source::Beside) {
+    pub fn merge_stored_outcomes(&self, notices: &[OutcomeNotice]) {
+        if self
+            .quarantine
+            .merge(self.now(), notices, EventSource::Beside)
+        {
             self.notify_changed();
         }
     }
@@ -71,7 +77,7 @@
     }
 
     /// Records that a back end crashed while it ran a request of this gateway.
-    pub fn note_end_under(&self, request: Fingerprint, back_end: BackEndHash) {
+    pub fn record_crash(&self, request: Fingerprint, back_end: IncarnationHash) {
         if self.quarantine.record_crash(self.now(), request, back_end) {
             self.notify_changed();
         }
@@ -82,18 +88,18 @@
     /// no other gateway has reported the crash.
     pub fn evaluate_removed_back_ends(&self) {
         let mut removed = Vec::new();
-        self.change_directory(|directory| removed = directory.take_gone_unsaid());
+        self.change_directory(|directory| removed = directory.take_removed_without_drain());
         let now = self.now();
         for back_end in removed {
-            for request in back_end.lost_before(now) {
-                self.note_end_under(request, back_end.life_hash);
+            for request in back_end.recently_lost_requests(now) {
+                self.record_crash(request, back_end.incarnation_hash);
             }
         }
     }
 
     /// Records that a back end sent a complete response to a request of this gateway and still
     /// runs.
-    pub fn note_whole_answer(&self, request: Fingerprint) {
+    pub fn record_complete_response(&self, request: Fingerprint) {
         if self.quarantine.record_served(self.now(), request) {
             self.notify_changed();
         }
--- a/crates/gateway/src/shared/answers.rs
+++ b/crates/gateway/src/shared/responses.rs
@@ -5,27 +5,27 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::{RequestedPause, ToldDeparture};
+use gorsebank_fleet::{DrainNotice, RequestedPause};
 use tokio::time::Instant;
 
 use super::Shared;
 use crate::back_end::BackEnd;
-use crate::lines::{self, Rank};
-use crate::ports::AnswerMarks;
+use crate::event_log::{self, LogPriority};
+use crate::ports::ResponseMetadata;
 
 impl Shared {
     /// Records the metadata of a back end's response to a request that was sent at `sent`.
-    pub fn note_answer(&self, back_end: &BackEnd, sent: Instant, metadata: &AnswerMarks) {
+    pub fn record_response(&self, back_end: &BackEnd, sent: Instant, metadata: &ResponseMetadata) {
         self.record_stated_limit(back_end, sent.elapsed(), metadata.limit);
-        if metadata.is_leaving {
-            self.note_departure(back_end);
+        if metadata.is_draining {
+            self.record_drain(back_end);
         }
         match metadata.pause {
             RequestedPause::None => {}
             RequestedPause::For(pause) => self.record_pause(back_end, pause),
             RequestedPause::Unreadable => {
                 let fields = format_args!("back_end={} reason=no_number", back_end.id);
-                lines::write(Rank::Decision, "back_end_pause_refused", fields);
+                event_log::write(LogPriority::Decision, "back_end_pause_refused", fields);
             }
         }
     }
@@ -33,7 +33,7 @@
     fn record_pause(&self, back_end: &BackEnd, pause: Duration) {
         self.count_statement("pause");
         let mut paused = self.paused.lock();
-        let is_new = paused.note(self.now(), back_end.life_hash, pause);
+        let is_new = paused.record(self.now(), back_end.incarnation_hash, pause);
         drop(paused);
         if is_new {
             let fields = format_args!(
@@ -42,14 +42,14 @@
                 pause.as_millis(),
                 back_end.in_flight(),
             );
-            lines::write(Rank::Decision, "back_end_pause", fields);
+            event_log::write(LogPriority::Decision, "back_end_pause", fields);
         }
     }
 
     /// Remaining time of the pause that a back end has requested from this gateway; `None` if there
     /// is no pause.
     pub fn pause_left(&self, now: Timestamp, back_end: &BackEnd) -> Option<Duration> {
-        self.paused.lock().left(now, back_end.life_hash)
+        self.paused.lock().remaining(now, back_end.incarnation_hash)
     }
 
     /// Returns the back ends that have requested no pause. If all of them are paused, the error is
@@ -63,9 +63,11 @@
         if paused.is_empty() {
             return Ok(back_ends);
         }
-        let pauses = back_ends.iter().map(|it| paused.left(now, it.life_hash));
+        let pauses = back_ends
+            .iter()
+            .map(|it| paused.remaining(now, it.incarnation_hash));
         let shortest = pauses.min().flatten();
-        back_ends.retain(|back_end| paused.left(now, back_end.life_hash).is_none());
+        back_ends.retain(|back_end| paused.remaining(now, back_end.incarnation_hash).is_none());
         match shortest {
             Some(shortest) => Err(shortest),
             None => Ok(back_ends),
@@ -75,35 +77,35 @@
     /// Records a drain that a back end has announced in a response. The announcement takes effect
     /// at once, because the back end's row may be updated much later while the table is
     /// unavailable.
-    pub fn note_departure(&self, back_end: &BackEnd) {
+    pub fn record_drain(&self, back_end: &BackEnd) {
         self.count_statement("leaving");
         if self.directory(|directory| directory.is_draining(back_end)) {
             return;
         }
         let now = self.now();
         let mut is_new = false;
-        self.change_directory(|directory| is_new = directory.note_departure(now, back_end));
+        self.change_directory(|directory| is_new = directory.record_drain(now, back_end));
         if is_new {
             log_drain(back_end, "answer");
         }
     }
 
     /// Merges drain notices from another gateway.
-    pub fn note_told_departures(&self, notices: &[ToldDeparture]) {
-        if self.directory(|directory| directory.knows_departures(notices)) {
+    pub fn merge_drain_notices(&self, notices: &[DrainNotice]) {
+        if self.directory(|directory| directory.knows_drains(notices)) {
             return;
         }
         let now = self.now();
         let mut draining = Vec::new();
-        self.change_directory(|directory| draining = directory.take_departures(now, notices));
+        self.change_directory(|directory| draining = directory.merge_drain_notices(now, notices));
         let draining = draining.iter();
         draining.for_each(|back_end| log_drain(back_end, "gateway"));
     }
 
     /// Drain notices for other gateways.
-    pub fn told_departures(&self) -> Vec<ToldDeparture> {
+    pub fn drain_notices(&self) -> Vec<DrainNotice> {
         let now = self.now();
-        self.directory(|directory| directory.told_departures(now))
+        self.directory(|directory| directory.drain_notices(now))
     }
 
     fn count_statement(&self, kind: &str) {
@@ -118,5 +120,5 @@
         back_end.id,
         back_end.in_flight(),
     );
-    lines::write(Rank::Decision, "back_end_leaving", fields);
+    event_log::write(LogPriority::Decision, "back_end_leaving", fields);
 }
--- a/crates/gateway/src/shared/running.rs
+++ b/crates/gateway/src/shared/running.rs
@@ -1,7 +1,7 @@
 //! Counts of requests in flight at back ends: sums the counts of all gateways and sends the sums to
 //! other gateways.
 
-use gorsebank_fleet::feeders::Place;
+use gorsebank_fleet::distribution_tree::TreePosition;
 use gorsebank_fleet::running::Counts;
 
 use super::Shared;
@@ -21,34 +21,34 @@
         let now = self.now();
         RootCounts {
             from: self.settings.node.clone(),
-            counts: self.feed.running.lock().below(now, &own),
+            counts: self.feed.running.lock().subtree_counts(now, &own),
         }
     }
 
     /// Records the counts of another root.
-    pub fn note_root(&self, root_counts: RootCounts) {
+    pub fn record_root(&self, root_counts: RootCounts) {
         let now = self.now();
         let mut running = self.feed.running.lock();
-        running.note_root(now, root_counts.from.as_str(), root_counts.counts);
+        running.record_root(now, root_counts.from.as_str(), root_counts.counts);
     }
 
     /// Requests of all gateways in flight at each back end; `None` if unknown.
-    pub fn running_sums(&self) -> Option<Counts> {
+    pub fn running_totals(&self) -> Option<Counts> {
         let own = self.own_running();
-        let (now, place) = (self.now(), self.feed.parents.lock().place());
+        let (now, place) = (self.now(), self.feed.parents.lock().position());
         let mut running = self.feed.running.lock();
         match place {
-            Place::Root => Some(running.at_root(now, &own)),
-            _ => running.sums(now, &own),
+            TreePosition::Root => Some(running.root_totals(now, &own)),
+            _ => running.forwarded_totals(now, &own),
         }
     }
 
     /// Computes the sums over all gateways at a root, and records them.
-    pub fn sum_up_running(&self) {
+    pub fn record_own_totals(&self) {
         let own = self.own_running();
         let now = self.now();
         let mut running = self.feed.running.lock();
-        let sums = running.at_root(now, &own);
-        running.note_sums(now, &sums, &own);
+        let sums = running.root_totals(now, &own);
+        running.record_totals(now, &sums, &own);
     }
 }
--- a/crates/gateway/src/shared/shares.rs
+++ b/crates/gateway/src/shared/shares.rs
@@ -24,7 +24,7 @@
     /// Whether the retry may be sent.
     pub granted: bool,
     /// Retries left in this gateway's share.
-    pub left: f64,
+    pub retries_left: f64,
     /// Number of gateways that share the budget.
     pub gateways: usize,
 }
@@ -32,15 +32,15 @@
 impl Shared {
     /// Counts a request to a service for the retry budget.
     pub fn count_request(&self, service: &ServiceId) {
-        self.with_window(service, |window, now| window.request(now));
+        self.with_window(service, |window, now| window.record_request(now));
     }
 
     /// Takes one retry from this gateway's share, if any is left.
-    pub fn withdraw_retry(&self, service: &ServiceId) -> RetryPermit {
-        let gateways = self.possible_gateways();
+    pub fn take_retry_permit(&self, service: &ServiceId) -> RetryPermit {
+        let gateways = self.max_gateway_count();
         self.with_window(service, |window, now| RetryPermit {
-            granted: window.withdraw(now, gateways),
-            left: window.left(now, gateways),
+            granted: window.take(now, gateways),
+            retries_left: window.left(now, gateways),
             gateways,
         })
     }
@@ -51,7 +51,7 @@
         act: impl FnOnce(&mut RetryWindow, Timestamp) -> T,
     ) -> T {
         let now = self.now();
-        let share = self.settings.bounds.retries;
+        let share = self.settings.bounds.retry_budget;
         let mut retries = self.retries.lock();
         let window = retries
             .entry(service.clone())
@@ -61,18 +61,20 @@
 
     /// Minimum time between two reads of one table by this gateway. It keeps all gateways together
     /// within the table's call rate even if all of them follow the table directly.
-    pub fn read_pause(&self) -> Duration {
-        let calls = CLOSELY_FOLLOWED_TABLES * self.possible_gateways() as f64;
-        Duration::from_secs_f64(calls / (self.settings.bounds.table_reads * FOLLOWING_FRACTION))
+    pub fn min_read_interval(&self) -> Duration {
+        let calls = CLOSELY_FOLLOWED_TABLES * self.max_gateway_count() as f64;
+        Duration::from_secs_f64(
+            calls / (self.settings.bounds.table_reads_per_second * FOLLOWING_FRACTION),
+        )
     }
 
     /// Maximum number of idle connections that this gateway may keep to one back end of a service.
-    pub fn idle_connections(&self, service: &ServiceId) -> usize {
+    pub fn max_idle_connections(&self, service: &ServiceId) -> usize {
         let configuration = self.configuration();
         let known = configuration
             .as_ref()
             .and_then(|known| known.service(service));
         let max_connections = known.map_or(0, |service| service.max_connections as usize);
-        (max_connections / (IDLE_DIVISOR * self.possible_gateways())).max(1)
+        (max_connections / (IDLE_DIVISOR * self.max_gateway_count())).max(1)
     }
 }
--- a/crates/gateway/src/plain.rs
+++ b/crates/gateway/src/single_response.rs
@@ -69,30 +69,30 @@
         {
             reason = BACK_END_ENDED;
         }
-        back_end.update_health(|health| health.unreachable(call.shared.now()));
+        back_end.update_health(|health| health.record_unreachable(call.shared.now()));
         return Err(attempts.after_may_have_run(call, reason));
     };
     let latency = response.age().as_millis() as u64;
     let now = call.shared.now();
-    if response.marks.not_run {
+    if response.marks.has_not_run {
         record_absence(call, &response);
         let pause = response.marks.pause;
         response.return_connection(&call.shared);
         return Err(attempts.after_not_run(call, pause));
     }
-    call.shared.note_whole_answer(call.fingerprint);
+    call.shared.record_complete_response(call.fingerprint);
     if response.has_unconfirmed_not_run_status() {
-        back_end.update_health(|health| health.failed(now));
+        back_end.update_health(|health| health.record_failure(now));
         return Err(attempts.after_may_have_run(call, "untrue_promise"));
     }
     if response.is_failure() {
-        back_end.update_health(|health| health.failed(now));
+        back_end.update_health(|health| health.record_failure(now));
         if attempts.take_retry_after_failure(call) {
             response.return_connection(&call.shared);
             return Err(NextStep::Retry);
         }
     } else {
-        back_end.update_health(|health| health.answered(now, latency));
+        back_end.update_health(|health| health.record_response(now, latency));
     }
     Ok(forward_response(call, response, body))
 }
@@ -105,7 +105,7 @@
     let adapter = call.metadata.adapter.as_ref();
     response
         .back_end
-        .note_absent(call.shared.now(), model, adapter);
+        .record_absent(call.shared.now(), model, adapter);
 }
 
 fn forward_response(call: &Call, response: BackEndResponse, body: Bytes) -> Response<ResponseBody> {
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -25,11 +25,11 @@
 use crate::attempt::{AttemptResult, BackEndResponse, send};
 use crate::attempts::{Attempts, CONNECTION_LOST, NextStep};
 use crate::back_end::BackEnd;
+use crate::event_log::{self, LogPriority};
 use crate::failure::Failure;
-use crate::lines::{self, Rank};
 use crate::lost_connection;
-use crate::plain::evaluate_response;
 use crate::request::{Call, ResponseBody, TruncatedBody, response_head};
+use crate::single_response::evaluate_response;
 
 /// Maximum number of events buffered for a slow caller.
 const MAX_BUFFERED_EVENTS: usize = 16;
@@ -111,7 +111,7 @@
     let adapter = call.metadata.adapter.as_ref();
     let is_urgent = admission::load_time(call, model, CopyTier::WeightStore) > call.route.objective;
     let mut demand = call.shared.demand.lock();
-    demand.arrived(now, &call.service, model, adapter, is_urgent);
+    demand.record_arrival(now, &call.service, model, adapter, is_urgent);
 }
 
 /// How long a back end may take to start its response while another one could be asked.
@@ -198,9 +198,9 @@
                 SegmentEnd::Complete => {
                     let latency = self.first_event.unwrap_or_default().as_millis() as u64;
                     let now = self.call.shared.now();
-                    back_end.update_health(|health| health.answered(now, latency));
+                    back_end.update_health(|health| health.record_response(now, latency));
                     let shared = &self.call.shared;
-                    shared.note_whole_answer(self.call.fingerprint);
+                    shared.record_complete_response(self.call.fingerprint);
                     response.return_connection(&self.call.shared);
                     self.is_complete.store(true, Ordering::Release);
                     return self.log_stream_end("served", back_end.id.as_str());
@@ -221,7 +221,7 @@
                 }
                 reason => reason,
             };
-            back_end.update_health(|health| health.unreachable(self.call.shared.now()));
+            back_end.update_health(|health| health.record_unreachable(self.call.shared.now()));
             let call = self.call.clone();
             let next = tokio::select! {
                 next = self.resume(reason) => next,
@@ -289,8 +289,8 @@
         if let Some(before) = self.segment_last_event.replace(now) {
             let gap = milliseconds(now - before) / events as f64;
             let engine = &response.back_end.id;
-            shared.reading(service, |known| {
-                known.note_gap(shared.now(), engine, model, gap);
+            shared.with_prefill_model(service, |known| {
+                known.record_gap(shared.now(), engine, model, gap);
             });
             return;
         }
@@ -299,8 +299,8 @@
         let latency = milliseconds(response.age());
         // The engine may have cached the shared prefixes for another gateway.
         let tokens = self.call.metadata.prompt.own_tokens;
-        shared.reading(service, |known| {
-            known.note_reading(shared.now(), engine, model, latency, tokens);
+        shared.with_prefill_model(service, |known| {
+            known.record_prefill(shared.now(), engine, model, latency, tokens);
         });
     }
 
@@ -332,10 +332,10 @@
 
     /// How long a back end may stay silent.
     fn silence_timeout(&self) -> Duration {
-        if !self.call.route.kind.may_repeat() {
+        if !self.call.route.kind.may_retry() {
             return self.call.route.timeout;
         }
-        let gap_objective = self.call.route.pause_objective;
+        let gap_objective = self.call.route.gap_objective;
         let silence = gap_objective.map_or(DEFAULT_SILENCE, |gap| gap * SILENT_GAPS);
         let silence = silence.max(MIN_SILENCE);
         if self.events == 0 {
@@ -363,7 +363,7 @@
                 AttemptResult::Responded(response) if response.head.status == StatusCode::OK => {
                     return Some(*response);
                 }
-                AttemptResult::Responded(response) if response.marks.not_run => self
+                AttemptResult::Responded(response) if response.marks.has_not_run => self
                     .attempts
                     .after_not_run(&self.call, response.marks.pause),
                 AttemptResult::Responded(_) => self
@@ -379,7 +379,7 @@
             "request={} reason={reason} events={} back_end={} last_event={:?}",
             self.call.metadata.id, self.events, back_end.id, self.last_event
         );
-        lines::write(Rank::Decision, "stream_resumed", fields);
+        event_log::write(LogPriority::Decision, "stream_resumed", fields);
     }
 
     fn log_stream_end(&self, outcome: &str, back_end: &str) {
@@ -393,16 +393,16 @@
             self.max_gap_end.as_millis(),
             self.call
                 .route
-                .pause_objective
+                .gap_objective
                 .unwrap_or_default()
                 .as_millis(),
         );
         let priority = if outcome == "served" {
-            Rank::Served
+            LogPriority::Served
         } else {
-            Rank::Decision
+            LogPriority::Decision
         };
-        lines::write(priority, "stream_end", fields);
+        event_log::write(priority, "stream_end", fields);
         self.call
             .log_end(outcome, StatusCode::OK.as_u16(), back_end);
     }
--- a/crates/gateway/src/suspension.rs
+++ b/crates/gateway/src/suspension.rs
@@ -9,7 +9,7 @@
 
 use tokio::time::sleep;
 
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::shared::Shared;
 
 /// Interval of the check: a tenth of the 1 s within which users expect an expired request to be
@@ -18,17 +18,17 @@
 
 /// Checks for suspensions until the future is dropped.
 pub async fn detect_suspensions(shared: Arc<Shared>) {
-    let mut known = shared.clock.suspended();
+    let mut known = shared.clock.total_suspension();
     loop {
         sleep(CHECK_INTERVAL).await;
         if !shared.clock.was_suspended_since(known) {
             continue;
         }
-        let total = shared.clock.suspended();
+        let total = shared.clock.total_suspension();
         let fields = format_args!("for_ms={}", (total - known).as_millis());
-        lines::write(Rank::Decision, "suspended", fields);
+        event_log::write(LogPriority::Decision, "suspended", fields);
         known = total;
-        shared.table().client().clear();
+        shared.table().client().close_idle_connections();
         shared.notify_resumed();
     }
 }
--- a/crates/gateway/src/sweeper.rs
+++ b/crates/gateway/src/sweeper.rs
@@ -14,10 +14,10 @@
 use tokio::time::sleep;
 
 use crate::directory::Directory;
-use crate::lines::{self, Rank};
+use crate::event_log::{self, LogPriority};
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
-use crate::watch::row_name;
+use crate::table_followers::row_name;
 
 /// Interval of the sweeps.
 const SWEEP_PAUSE: Duration = Duration::from_secs(15);
@@ -42,7 +42,7 @@
             shared.directory(|directory: &Directory| directory.back_end(&id).is_none())
         };
         sweep(&shared, tables.placed, &mut engines, is_gone).await;
-        let senders = shared.demand_rows.heard(shared.now());
+        let senders = shared.demand_rows.reporting_gateways(shared.now());
         let is_silent = |key: &str| !senders.iter().any(|name| name.as_str() == row_name(key));
         sweep(&shared, tables.members, &mut gateways, is_silent).await;
     }
@@ -66,6 +66,6 @@
         let answer = shared.table().remove(&key, version).await;
         let removed = matches!(answer, TableAnswer::Committed { .. });
         let fields = format_args!("row={key} version={version} removed={removed}");
-        lines::write(Rank::Decision, "row_swept", fields);
+        event_log::write(LogPriority::Decision, "row_swept", fields);
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/table_followers.rs
@@ -9,24 +9,24 @@
 use std::time::Duration;
 
 use gorsebank_contract::TableRow;
-use gorsebank_fleet::counting_seat::seat_of_lease;
+use gorsebank_fleet::quota_shard::shard_of_lease;
 use gorsebank_fleet::{BackEndReport, LeaseRow, PlacedRow};
 use gorsebank_world::{BackEndId, ZoneId};
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
 use crate::directory::Directory;
-use crate::feed::{Rhythm, TablePosition, Told, rhythms};
+use crate::event_log::{self, LogPriority};
+use crate::feed::{FollowerUpdate, TablePosition, TableSyncPolicy, table_sync_policies};
 use crate::holder;
-use crate::lines::{self, Rank};
 use crate::members::MemberFollower;
-use crate::ports::{ContentError, RowChange};
-use crate::reading_rows::PrefillSpeedFollower;
+use crate::ports::{RowChange, SchemaError};
+use crate::prefill_speed_rows::PrefillSpeedFollower;
 use crate::shared::Shared;
 
 /// Pause after a failed table call in the tasks that maintain leases and in those of the placement
 /// holder.
-pub const LOST_PAUSE: Duration = Duration::from_millis(200);
+pub const NO_RESPONSE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Applies the rows of one table to the state of this gateway.
 pub trait Follower: Send + 'static {
@@ -52,7 +52,7 @@
         (tables.back_ends, Box::new(BackEndFollower(shared.clone()))),
         (tables.placed, Box::new(PlacedFollower(shared.clone()))),
         (
-            tables.reading,
+            tables.prefill_speeds,
             Box::new(PrefillSpeedFollower(shared.clone())),
         ),
         (
@@ -62,7 +62,7 @@
         (tables.lease, Box::new(LeaseFollower(shared.clone()))),
     ];
     let mut tasks = vec![tokio::spawn(retry_deferred_rows(shared.clone()))];
-    for sync_policy in rhythms(&tables) {
+    for sync_policy in table_sync_policies(&tables) {
         let index = followers
             .iter()
             .position(|(table, _)| *table == sync_policy.table);
@@ -82,29 +82,33 @@
 async fn retry_deferred_rows(shared: Arc<Shared>) {
     loop {
         sleep(DEFERRED_ROW_RETRY_INTERVAL).await;
-        if shared.directory(Directory::is_unsettled) {
+        if shared.directory(Directory::has_deferred_rows) {
             let now = shared.now();
-            shared.change_directory(|directory| directory.settle(now));
+            shared.change_directory(|directory| directory.retry_deferred_rows(now));
             shared.evaluate_removed_back_ends();
         }
     }
 }
 
 /// Passes updates of one table to its follower, until the future is dropped.
-async fn follow_table(shared: Arc<Shared>, sync_policy: Rhythm, mut follower: Box<dyn Follower>) {
+async fn follow_table(
+    shared: Arc<Shared>,
+    sync_policy: TableSyncPolicy,
+    mut follower: Box<dyn Follower>,
+) {
     let mut updates = shared.feed.subscribe(sync_policy.table);
     let mut position = TablePosition {
         table: sync_policy.table.to_owned(),
         version: None,
         newest_only: sync_policy.newest_only,
-        most_age: u64::MAX,
+        max_age_ms: u64::MAX,
         page: None,
     };
     loop {
         updates.mark_unchanged();
-        match shared.feed.told(&mut position) {
-            Some(Told::Rows(rows)) => follower.replace(rows),
-            Some(Told::Changes(changes)) => {
+        match shared.feed.next_update(&mut position) {
+            Some(FollowerUpdate::Rows(rows)) => follower.replace(rows),
+            Some(FollowerUpdate::Changes(changes)) => {
                 changes
                     .into_iter()
                     .for_each(|change| follower.change(change));
@@ -118,7 +122,7 @@
             }
         }
         if let Some(version) = position.version {
-            shared.feed.note_taken(sync_policy.table, version);
+            shared.feed.record_applied(sync_policy.table, version);
         }
     }
 }
@@ -142,18 +146,18 @@
             self.evacuated.insert(zone);
             return;
         }
-        match self.shared.platform.configuration(row) {
+        match self.shared.platform.parse_configuration(row) {
             Ok(None) => {}
             Ok(Some(configuration)) => {
                 let version = configuration.version;
                 let routes = configuration.route_count();
                 let was_activated = self.shared.set_configuration(configuration);
                 let fields = format_args!("version={version} routes={routes} news={was_activated}");
-                lines::write(Rank::Decision, "configuration", fields);
+                event_log::write(LogPriority::Decision, "configuration", fields);
             }
             Err(error) => {
                 let fields = format_args!("error=\"{error}\"");
-                lines::write(Rank::Decision, "configuration_refused", fields);
+                event_log::write(LogPriority::Decision, "configuration_refused", fields);
             }
         }
     }
@@ -165,7 +169,7 @@
             .change_directory(|directory| has_changed = directory.set_evacuated(zones));
         if has_changed {
             let fields = format_args!("zones={:?}", self.evacuated);
-            lines::write(Rank::Decision, "evacuated", fields);
+            event_log::write(LogPriority::Decision, "evacuated", fields);
         }
     }
 }
@@ -207,7 +211,7 @@
 }
 
 impl BackEndFollower {
-    fn record_refused_row(&self, row: &TableRow, error: &ContentError) {
+    fn record_refused_row(&self, row: &TableRow, error: &SchemaError) {
         let rows = &self.0.refused_rows;
         rows.record(&row.key, row.modified, error.fault, error);
     }
@@ -218,14 +222,14 @@
         "back_end={} draining={} models={:?} version={version}",
         report.id, report.draining, report.holdings
     );
-    lines::write(Rank::Decision, "back_end", fields);
+    event_log::write(LogPriority::Decision, "back_end", fields);
 }
 
 impl Follower for BackEndFollower {
     fn replace(&mut self, rows: Vec<TableRow>) {
         let (mut reports, mut unreadable) = (Vec::new(), Vec::new());
         for row in rows {
-            match self.0.platform.back_end(&row) {
+            match self.0.platform.parse_back_end(&row) {
                 Ok(report) => reports.push((report, row.modified)),
                 Err(error) => {
                     self.record_refused_row(&row, &error);
@@ -241,8 +245,8 @@
         self.0
             .change_directory(|directory| directory.replace(now, reports, unreadable));
         self.0.evaluate_removed_back_ends();
-        lines::write(
-            Rank::Decision,
+        event_log::write(
+            LogPriority::Decision,
             "back_ends_read",
             format_args!("count={count}"),
         );
@@ -250,7 +254,7 @@
 
     fn change(&mut self, change: RowChange) {
         match change {
-            RowChange::Put(row) => match self.0.platform.back_end(&row) {
+            RowChange::Put(row) => match self.0.platform.parse_back_end(&row) {
                 Ok(report) => {
                     self.0.refused_rows.forget(&row.key);
                     if self.should_log(&report) {
@@ -275,7 +279,7 @@
                 self.0.refused_rows.forget(&key);
                 let id = BackEndId::from(row_name(&key));
                 let fields = format_args!("back_end={id} version={version}");
-                lines::write(Rank::Decision, "back_end_gone", fields);
+                event_log::write(LogPriority::Decision, "back_end_gone", fields);
                 self.0.change_directory(|directory| directory.remove(&id));
                 self.0.evaluate_removed_back_ends();
             }
@@ -295,7 +299,7 @@
                     directory.put_placed(now, id, placed, row.modified);
                 });
             }
-            Err(error) => self.0.refuse_row(row, &error),
+            Err(error) => self.0.record_refused_row(row, &error),
         }
     }
 }
@@ -325,15 +329,15 @@
     fn apply(&self, row: &TableRow) {
         match serde_json::from_str::<LeaseRow>(&row.value) {
             Ok(lease) => self.apply_lease(row_name(&row.key), lease),
-            Err(error) => self.0.refuse_row(row, &error),
+            Err(error) => self.0.record_refused_row(row, &error),
         }
     }
 
     fn apply_lease(&self, name: &str, lease: LeaseRow) {
         if name == holder::LEASE_NAME {
             self.0.set_holder(lease.holder);
-        } else if let Some(seat) = seat_of_lease(name) {
-            self.0.allowance.set_holder(seat, lease.holder);
+        } else if let Some(seat) = shard_of_lease(name) {
+            self.0.tenant_quotas.set_holder(seat, lease.holder);
         }
     }
 }
--- a/crates/gateway/src/tenancy.rs
+++ b/crates/gateway/src/tenancy.rs
@@ -12,13 +12,13 @@
 use http::HeaderMap;
 use tokio::time::Instant;
 
-use crate::allowance::{Grant, Obtained, Want};
-use crate::lines::{self, Rank};
-use crate::ports::Ticket;
+use crate::event_log::{self, LogPriority};
+use crate::ports::RequestMetadata;
 use crate::shared::Shared;
+use crate::tenant_quotas::{Grant, QuotaDemand, QuotaOutcome};
 
 /// Reason for log lines and metric labels: the request exceeds its tenant's quota.
-pub const BEYOND_LIMIT: &str = "beyond_limit";
+pub const QUOTA_EXCEEDED: &str = "beyond_limit";
 /// Reason for log lines and metric labels: no gateway could decide whether the request is within
 /// the quota.
 const LIMIT_NOT_KNOWN: &str = "limit_not_known";
@@ -37,11 +37,11 @@
 
 /// Why a request was rejected before it ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SentAway {
+pub enum Rejection {
     /// The API key does not permit use of the route.
     Unauthorized { reason: &'static str },
     /// The request exceeds its tenant's quota.
-    BeyondLimit {
+    QuotaExceeded {
         /// Time until the quota has capacity for the request.
         retry_after: Duration,
     },
@@ -54,12 +54,12 @@
     },
 }
 
-impl SentAway {
+impl Rejection {
     fn from_denial(denial: Denial) -> Self {
         let reason = denial.reason();
         match denial {
-            Denial::NoKey | Denial::UnknownKey => SentAway::Unauthorized { reason },
-            Denial::OldKnowledge => SentAway::Unknown {
+            Denial::NoKey | Denial::UnknownKey => Rejection::Unauthorized { reason },
+            Denial::StaleKeys => Rejection::Unknown {
                 reason,
                 retry_after: UNVERIFIED_KEY_PAUSE,
             },
@@ -70,7 +70,7 @@
 /// The parts of a request that determine its tenant and its charge.
 pub struct Caller<'a> {
     /// Metadata from the request's headers.
-    pub ticket: &'a Ticket,
+    pub metadata: &'a RequestMetadata,
     pub route: &'a Route,
     /// Time at which the request's headers were read.
     pub arrived: Instant,
@@ -82,30 +82,30 @@
 /// # Errors
 ///
 /// Returns an error if the request is rejected.
-pub fn tenant_of(
+pub fn identify_tenant(
     shared: &Shared,
     caller: &Caller<'_>,
     configuration: &Configuration,
     age: Option<Duration>,
     headers: &mut HeaderMap,
-) -> Result<Option<Arc<Tenant>>, SentAway> {
+) -> Result<Option<Arc<Tenant>>, Rejection> {
     if configuration.tenants.is_none() {
         return Ok(None);
     }
-    let key = shared.platform.take_key(headers);
+    let key = shared.platform.take_api_key(headers);
     let bounds = shared.settings.bounds.keys;
     let identified = identify(configuration, caller.route, key.as_ref(), age, bounds);
     identified.map_err(|denial| {
         let fields = format_args!(
             "request={} reason={} route={} age_ms={} configuration={}",
-            caller.ticket.id,
+            caller.metadata.id,
             denial.reason(),
             caller.route.name,
             age.map_or(-1, |age| age.as_millis() as i64),
             configuration.version,
         );
-        lines::write(Rank::Decision, "access_denied", fields);
-        SentAway::from_denial(denial)
+        event_log::write(LogPriority::Decision, "access_denied", fields);
+        Rejection::from_denial(denial)
     })
 }
 
@@ -114,28 +114,28 @@
 /// # Errors
 ///
 /// Returns an error if the request exceeds the quota, or if no gateway could decide in time.
-pub async fn count(
+pub async fn charge(
     shared: &Shared,
     caller: &Caller<'_>,
     tenant: Option<&Tenant>,
-) -> Result<Option<Grant>, SentAway> {
+) -> Result<Option<Grant>, Rejection> {
     let limited = tenant.and_then(|tenant| Some((tenant, tenant.limit?)));
     let Some((tenant, limit)) = limited else {
         return Ok(None);
     };
-    let demand = Want {
+    let demand = QuotaDemand {
         tenant: tenant.id.clone(),
-        cost: limit.cost(caller.ticket.tokens),
+        cost: limit.cost(caller.metadata.tokens),
     };
     let until = caller.arrived + caller.route.objective.mul_f64(CHARGE_WAIT_FRACTION);
     let (reason, retry_after) = match shared.charge(&demand, until).await {
-        Obtained::Granted(grant) => return Ok(Some(grant)),
-        Obtained::Beyond(wait) => (BEYOND_LIMIT, wait.max(MIN_QUOTA_PAUSE)),
-        Obtained::Unknown => (LIMIT_NOT_KNOWN, UNCHARGED_PAUSE),
+        QuotaOutcome::Granted(grant) => return Ok(Some(grant)),
+        QuotaOutcome::OverQuota(wait) => (QUOTA_EXCEEDED, wait.max(MIN_QUOTA_PAUSE)),
+        QuotaOutcome::Unknown => (LIMIT_NOT_KNOWN, UNCHARGED_PAUSE),
     };
     let fields = format_args!(
         "request={} reason={reason} tenant={} cost={} rate={} burst={} waited_ms={} retry_after_ms={}",
-        caller.ticket.id,
+        caller.metadata.id,
         demand.tenant,
         demand.cost,
         limit.rate,
@@ -143,12 +143,14 @@
         caller.arrived.elapsed().as_millis(),
         retry_after.as_millis(),
     );
-    lines::write(Rank::Decision, "limited", fields);
-    shared.metrics.tenant_ended(demand.tenant.as_str(), reason);
-    Err(if reason == BEYOND_LIMIT {
-        SentAway::BeyondLimit { retry_after }
+    event_log::write(LogPriority::Decision, "limited", fields);
+    shared
+        .metrics
+        .record_tenant_request_end(demand.tenant.as_str(), reason);
+    Err(if reason == QUOTA_EXCEEDED {
+        Rejection::QuotaExceeded { retry_after }
     } else {
-        SentAway::Unknown {
+        Rejection::Unknown {
             reason,
             retry_after,
         }
--- a/crates/gateway/src/allowance/denials.rs
+++ b/crates/gateway/src/tenant_quotas/denials.rs
@@ -11,7 +11,7 @@
 use gorsebank_world::TenantId;
 use tokio::time::Instant;
 
-use super::Want;
+use super::QuotaDemand;
 
 /// Maximum time for which a denial is used. After that the shard holders are asked again, since
 /// requests that were charged may have been refunded.
@@ -34,7 +34,7 @@
 
 impl DenialCache {
     /// Records that the quota has no capacity for this demand until `wait` has passed.
-    pub(super) fn record(&mut self, demand: &Want, wait: Duration) {
+    pub(super) fn record(&mut self, demand: &QuotaDemand, wait: Duration) {
         let now = Instant::now();
         let denial = Denial {
             cost: demand.cost,
@@ -46,7 +46,7 @@
 
     /// Time until there is capacity for this demand, if a valid denial covers it; none if the
     /// demand may be granted now.
-    pub(super) fn remaining_wait(&self, demand: &Want) -> Option<Duration> {
+    pub(super) fn remaining_wait(&self, demand: &QuotaDemand) -> Option<Duration> {
         let denial = self.last.get(&demand.tenant)?;
         let now = Instant::now();
         let is_denied = now < denial.valid_until && demand.cost >= denial.cost;
--- a/crates/gateway/src/allowance/message.rs
+++ b/crates/gateway/src/tenant_quotas/message.rs
@@ -1,7 +1,7 @@
 //! Messages between gateways about tenants' quotas and the rate limits that back ends state.
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::quarantine::BackEndHash;
+use gorsebank_fleet::quarantine::IncarnationHash;
 use gorsebank_world::TenantId;
 use serde::{Deserialize, Serialize};
 
@@ -25,7 +25,7 @@
 
 /// Asks a shard holder to charge one request to its tenant's quota.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct QuotaRequest {
     /// The quota shard.
     #[serde(rename = "s")]
     pub shard: usize,
@@ -40,14 +40,14 @@
     pub refunds: Vec<Refund>,
     /// If set, the message asks for a send time at a back end and charges no tenant.
     #[serde(rename = "b", default, skip_serializing_if = "Option::is_none")]
-    pub send_time: Option<SendTimeAsk>,
+    pub send_time: Option<SendTimeRequest>,
 }
 
-impl Ask {
+impl QuotaRequest {
     /// A request that charges nothing. Every gateway answers it, whether or not it holds the
     /// shard.
-    pub fn nothing() -> Self {
-        Ask {
+    pub fn without_charge() -> Self {
+        QuotaRequest {
             shard: 0,
             tenant: TenantId::from(""),
             cost: 0.0,
@@ -58,31 +58,31 @@
 
     /// A request for a send time at a back end. A gateway of an earlier build reads it as a
     /// charge to a tenant with an empty name, and responds that it does not hold the shard.
-    pub fn for_send_time(send_time: SendTimeAsk) -> Self {
-        Ask {
+    pub fn for_send_time(send_time: SendTimeRequest) -> Self {
+        QuotaRequest {
             send_time: Some(send_time),
-            ..Ask::nothing()
+            ..QuotaRequest::without_charge()
         }
     }
 }
 
 /// Asks for a time at which a request may be sent to a back end that states a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SendTimeAsk {
+pub struct SendTimeRequest {
     /// Identifies one incarnation of the back end.
     #[serde(rename = "h")]
-    pub back_end: BackEndHash,
+    pub back_end: IncarnationHash,
     /// The back end's rate limit as the sender knows it, in requests per second.
     #[serde(rename = "r")]
     pub rate: f64,
     /// Maximum time that the request can wait, in milliseconds.
     #[serde(rename = "w")]
-    pub most_wait: u64,
+    pub max_wait_ms: u64,
 }
 
-/// The response to an [`Ask`].
+/// The response to an [`QuotaRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum AskAnswer {
+pub enum QuotaResponse {
     /// The request is within the quota and was charged.
     Granted {
         /// The fencing token of the lease under which the request was charged.
@@ -93,10 +93,10 @@
     },
     /// The request would exceed the quota or, for a send time, wait longer than it can.
     #[serde(rename = "Beyond")]
-    Beyond {
+    OverLimit {
         /// Time after which there is capacity for the request, in milliseconds.
         #[serde(rename = "wait")]
-        wait: u64,
+        wait_ms: u64,
     },
     /// The shard holder has just started, does not know the earlier grants, and cannot grant
     /// the request yet.
@@ -108,12 +108,12 @@
     },
     /// This gateway does not hold the tenant's shard, or does not assign send times.
     #[serde(rename = "NotHere")]
-    NotHere,
+    NotHolder,
     /// A send time at the back end was reserved. Only the response to a request for a send
     /// time has this value.
     Reserved {
         /// Time after which the request may be sent, in milliseconds.
         #[serde(rename = "wait")]
-        wait: u64,
+        wait_ms: u64,
     },
 }
--- a/crates/gateway/src/allowance/mod.rs
+++ b/crates/gateway/src/tenant_quotas/mod.rs
@@ -7,8 +7,8 @@
 //! ```
 //!
 //! Each tenant's quota is divided equally between two of a fixed number of quota shards
-//! ([`gorsebank_fleet::counting_seat`]). A gateway holds a shard by a lease in the table
-//! ([`seats`]) and charges requests to it only while the lease is valid, so no two gateways
+//! ([`gorsebank_fleet::quota_shard`]). A gateway holds a shard by a lease in the table
+//! ([`shards`]) and charges requests to it only while the lease is valid, so no two gateways
 //! charge to the same shard at a time. A gateway first asks the holder of one of the two shards,
 //! chosen at random, and asks the other one before it rejects a request. The requests of a
 //! single gateway are too few to tell whether a quota is exceeded: with 87 gateways, each sees
@@ -20,7 +20,7 @@
 
 mod denials;
 mod message;
-pub mod seats;
+pub mod shards;
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -28,16 +28,16 @@
 use std::time::Duration;
 
 use gorsebank_coordination::Timestamp;
-use gorsebank_fleet::counting_seat::{HALVES, SEATS, seats_of};
-use gorsebank_fleet::ledger::SavedUse;
-use gorsebank_fleet::{Configuration, LeaseKeeper, Ledger, LimitBound, Taken, Tenants};
+use gorsebank_fleet::ledger::SavedUsage;
+use gorsebank_fleet::quota_shard::{QUOTA_SHARDS, SHARDS_PER_TENANT, shards_of};
+use gorsebank_fleet::{Configuration, LeaseKeeper, Ledger, LimitBound, QuotaDecision, Tenants};
 use gorsebank_world::{NodeId, TenantId};
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
 use denials::DenialCache;
-pub use message::{Ask, AskAnswer, Refund, SendTimeAsk};
+pub use message::{QuotaRequest, QuotaResponse, Refund, SendTimeRequest};
 
 /// Pause before a retry while no gateway holds a tenant's shard or no holder responds.
 const RETRY_PAUSE: Duration = Duration::from_millis(60);
@@ -64,11 +64,11 @@
 
 /// The result of charging a request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Obtained {
+pub enum QuotaOutcome {
     /// The request is within the quota and was charged.
     Granted(Grant),
     /// The request would exceed the quota; there is capacity for it after this time.
-    Beyond(Duration),
+    OverQuota(Duration),
     /// The shard holders gave no conclusive response before the deadline.
     Unknown,
 }
@@ -86,7 +86,7 @@
 
 /// What is to be charged for one request.
 #[derive(Clone, Debug)]
-pub struct Want {
+pub struct QuotaDemand {
     /// The tenant that sent the request.
     pub tenant: TenantId,
     /// The cost to charge.
@@ -121,8 +121,8 @@
 /// Quotas of tenants: charges requests at the shard holders, and keeps the ledgers of the shards
 /// that this gateway holds.
 #[derive(Default)]
-pub struct Allowance {
-    shards: [Mutex<Shard>; SEATS],
+pub struct TenantQuotas {
+    shards: [Mutex<Shard>; QUOTA_SHARDS],
     /// Notified when a ledger should be saved soon.
     pub save_wanted: Notify,
     denials: Mutex<DenialCache>,
@@ -130,14 +130,14 @@
     cooldowns: Mutex<HashMap<NodeId, Instant>>,
 }
 
-impl Allowance {
+impl TenantQuotas {
     /// Updates the holder of a shard, as read from the table.
     pub fn set_holder(&self, shard: usize, holder: Option<NodeId>) {
         self.shards[shard].lock().holder = holder;
     }
 
     /// The holder of each shard, according to the table.
-    pub fn shard_holders(&self) -> [Option<NodeId>; SEATS] {
+    pub fn shard_holders(&self) -> [Option<NodeId>; QUOTA_SHARDS] {
         std::array::from_fn(|shard| self.shards[shard].lock().holder.clone())
     }
 
@@ -150,13 +150,13 @@
         shard: usize,
         keeper: &Arc<Mutex<LeaseKeeper>>,
         bound: LimitBound,
-        saved: SavedUse,
+        saved: SavedUsage,
     ) -> bool {
         let fence = keeper.lock().fence(now);
         let active = fence.map(|fence| ActiveShard {
             keeper: keeper.clone(),
             fence,
-            ledger: Ledger::new(bound, HALVES, now, saved),
+            ledger: Ledger::new(bound, SHARDS_PER_TENANT, now, saved),
         });
         let is_active = active.is_some();
         self.shards[shard].lock().active = active;
@@ -170,19 +170,19 @@
         now: Timestamp,
         shard: usize,
         configuration: &Configuration,
-    ) -> Option<SavedUse> {
+    ) -> Option<SavedUsage> {
         let mut own = self.shards[shard].lock();
         let active = own.active.as_mut()?;
         let tenants = configuration.tenants.iter().flat_map(Tenants::iter);
-        let charged = tenants.filter(|tenant| seats_of(&tenant.id).contains(&shard));
+        let charged = tenants.filter(|tenant| shards_of(&tenant.id).contains(&shard));
         let limits = charged.filter_map(|tenant| Some((&tenant.id, tenant.limit.as_ref()?)));
-        Some(active.ledger.save(now, limits))
+        Some(active.ledger.begin_save(now, limits))
     }
 
-    /// Records that the write of the last [`Allowance::usage_to_save`] of a shard succeeded.
+    /// Records that the write of the last [`TenantQuotas::usage_to_save`] of a shard succeeded.
     pub fn confirm_saved(&self, shard: usize) {
         if let Some(active) = self.shards[shard].lock().active.as_mut() {
-            active.ledger.saved();
+            active.ledger.confirm_save();
         }
     }
 
@@ -199,30 +199,30 @@
     }
 
     /// Responds to a request of another gateway, or of this one, to charge a shard.
-    pub fn answer(
+    pub fn handle_request(
         &self,
         now: Timestamp,
-        request: &Ask,
+        request: &QuotaRequest,
         configuration: Option<&Configuration>,
-    ) -> AskAnswer {
+    ) -> QuotaResponse {
         let Some(shard) = self.shards.get(request.shard) else {
-            return AskAnswer::NotHere;
+            return QuotaResponse::NotHolder;
         };
         let mut shard = shard.lock();
         let active = shard.active.as_mut();
         let valid = active.filter(|active| active.is_valid(now));
         let tenants = configuration.and_then(|known| known.tenants.as_ref());
         let (Some(active), Some(tenants)) = (valid, tenants) else {
-            return AskAnswer::NotHere;
+            return QuotaResponse::NotHolder;
         };
         for refund in request.refunds.iter().filter(|it| it.fence == active.fence) {
             let ledger = &mut active.ledger;
-            ledger.give_back(now, &refund.tenant, refund.granted_at, refund.cost);
+            ledger.refund(now, &refund.tenant, refund.granted_at, refund.cost);
         }
         let Some(tenant) = tenants.tenant(&request.tenant) else {
-            return AskAnswer::NotHere;
+            return QuotaResponse::NotHolder;
         };
-        let granted = AskAnswer::Granted {
+        let granted = QuotaResponse::Granted {
             fence: active.fence,
             granted_at: now,
         };
@@ -232,16 +232,16 @@
         let milliseconds = |wait: Duration| wait.as_millis() as u64 + 1;
         let decision = active
             .ledger
-            .take(now, &request.tenant, &limit, request.cost);
+            .charge(now, &request.tenant, &limit, request.cost);
         if active.ledger.needs_saving() {
             self.save_wanted.notify_one();
         }
         match decision {
-            Taken::Granted => granted,
-            Taken::Beyond(wait) => AskAnswer::Beyond {
-                wait: milliseconds(wait),
+            QuotaDecision::Granted => granted,
+            QuotaDecision::Beyond(wait) => QuotaResponse::OverLimit {
+                wait_ms: milliseconds(wait),
             },
-            Taken::NotYet(wait) => AskAnswer::NotReady {
+            QuotaDecision::NotYet(wait) => QuotaResponse::NotReady {
                 wait_ms: milliseconds(wait),
             },
         }
@@ -251,29 +251,29 @@
     /// all holders respond that it exceeds the quota, or the time `until` would be passed.
     /// `send` sends a request to a gateway, this one included, and returns none if there was no
     /// response.
-    pub async fn obtain<F>(
+    pub async fn charge<F>(
         &self,
-        demand: &Want,
+        demand: &QuotaDemand,
         until: Instant,
-        send: impl Fn(NodeId, Ask) -> F,
-    ) -> Obtained
+        send: impl Fn(NodeId, QuotaRequest) -> F,
+    ) -> QuotaOutcome
     where
-        F: Future<Output = Option<AskAnswer>>,
+        F: Future<Output = Option<QuotaResponse>>,
     {
         if let Some(remaining) = self.denials.lock().remaining_wait(demand) {
-            return Obtained::Beyond(remaining);
+            return QuotaOutcome::OverQuota(remaining);
         }
         loop {
             let pause = match self.charge_at_any_shard(demand, &send).await {
-                RoundOutcome::Granted(grant) => return Obtained::Granted(grant),
+                RoundOutcome::Granted(grant) => return QuotaOutcome::Granted(grant),
                 RoundOutcome::OverQuota(wait) => {
                     self.denials.lock().record(demand, wait);
-                    return Obtained::Beyond(wait);
+                    return QuotaOutcome::OverQuota(wait);
                 }
                 RoundOutcome::Unknown(pause) => pause,
             };
             if Instant::now() + pause >= until {
-                return Obtained::Unknown;
+                return QuotaOutcome::Unknown;
             }
             sleep(pause).await;
         }
@@ -283,20 +283,20 @@
     /// request.
     async fn charge_at_any_shard<F>(
         &self,
-        demand: &Want,
-        send: &impl Fn(NodeId, Ask) -> F,
+        demand: &QuotaDemand,
+        send: &impl Fn(NodeId, QuotaRequest) -> F,
     ) -> RoundOutcome
     where
-        F: Future<Output = Option<AskAnswer>>,
+        F: Future<Output = Option<QuotaResponse>>,
     {
-        let mut shards = seats_of(&demand.tenant);
+        let mut shards = shards_of(&demand.tenant);
         // A random first shard balances the usage of the two.
-        shards.rotate_left(rand::random_range(0..HALVES));
+        shards.rotate_left(rand::random_range(0..SHARDS_PER_TENANT));
         let (mut denials, mut soonest) = (0, None::<Duration>);
         let mut pause = RETRY_PAUSE;
         for shard in shards {
             match self.charge_at_shard(shard, demand, send).await {
-                Some(AskAnswer::Granted { fence, granted_at }) => {
+                Some(QuotaResponse::Granted { fence, granted_at }) => {
                     return RoundOutcome::Granted(Grant {
                         tenant: demand.tenant.clone(),
                         cost: demand.cost,
@@ -305,20 +305,20 @@
                         granted_at,
                     });
                 }
-                Some(AskAnswer::Beyond { wait }) => {
+                Some(QuotaResponse::OverLimit { wait_ms: wait }) => {
                     let wait = Duration::from_millis(wait);
                     denials += 1;
                     soonest = Some(soonest.map_or(wait, |soonest| soonest.min(wait)));
                 }
-                Some(AskAnswer::NotReady { wait_ms }) => {
+                Some(QuotaResponse::NotReady { wait_ms }) => {
                     pause = pause.min(Duration::from_millis(wait_ms));
                 }
                 // `Reserved` responds to requests for send times only.
-                Some(AskAnswer::NotHere | AskAnswer::Reserved { .. }) | None => {}
+                Some(QuotaResponse::NotHolder | QuotaResponse::Reserved { .. }) | None => {}
             }
         }
         match soonest {
-            Some(wait) if denials == HALVES => RoundOutcome::OverQuota(wait),
+            Some(wait) if denials == SHARDS_PER_TENANT => RoundOutcome::OverQuota(wait),
             _ => RoundOutcome::Unknown(pause),
         }
     }
@@ -326,17 +326,17 @@
     async fn charge_at_shard<F>(
         &self,
         shard: usize,
-        demand: &Want,
-        send: &impl Fn(NodeId, Ask) -> F,
-    ) -> Option<AskAnswer>
+        demand: &QuotaDemand,
+        send: &impl Fn(NodeId, QuotaRequest) -> F,
+    ) -> Option<QuotaResponse>
     where
-        F: Future<Output = Option<AskAnswer>>,
+        F: Future<Output = Option<QuotaResponse>>,
     {
         let holder = self.shards[shard].lock().holder.clone()?;
         if self.is_in_cooldown(&holder) {
             return None;
         }
-        let request = Ask {
+        let request = QuotaRequest {
             shard,
             tenant: demand.tenant.clone(),
             cost: demand.cost,
@@ -360,7 +360,7 @@
 
     /// Refunds a request that was charged and is known not to have run. The refund is sent with
     /// the next request to the shard's holder, since it only matters for later charges.
-    pub fn give_back(&self, grant: Grant) {
+    pub fn refund(&self, grant: Grant) {
         let mut shard = self.shards[grant.shard].lock();
         if shard.refunds.len() < MAX_PENDING_REFUNDS {
             shard.refunds.push(Refund {
--- a/crates/gateway/src/allowance/seats.rs
+++ b/crates/gateway/src/tenant_quotas/shards.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use gorsebank_contract::Put;
-use gorsebank_fleet::Offer;
-use gorsebank_fleet::counting_seat::{self, SEATS, SeatCandidate, SeatOrder, lease_name};
-use gorsebank_fleet::ledger::SavedUse;
+use gorsebank_fleet::Candidacy;
+use gorsebank_fleet::ledger::SavedUsage;
+use gorsebank_fleet::quota_shard::{self, QUOTA_SHARDS, ShardCandidate, ShardOrder, lease_name};
 use gorsebank_world::NodeId;
 use tokio::time::{Instant, sleep};
 
+use crate::event_log::{self, LogPriority};
 use crate::feed::Member;
-use crate::lease_seat::{LeaseSeat, Stepped};
-use crate::lines::{self, Rank};
+use crate::lease_session::{LeaseSession, LeaseStepResult};
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
 
@@ -41,12 +41,12 @@
 
 /// Acquires and keeps shards until the future is dropped.
 pub async fn run(shared: Arc<Shared>) {
-    let lease = shared.settings.bounds.lease.mul_f64(LEASE_FACTOR);
-    let shard_lease = |shard| LeaseSeat::new(&shared, &lease_name(shard), lease);
+    let lease = shared.settings.bounds.lease_duration.mul_f64(LEASE_FACTOR);
+    let shard_lease = |shard| LeaseSession::new(&shared, &lease_name(shard), lease);
     let mut shards = ShardLeases {
-        leases: (0..SEATS).map(shard_lease).collect(),
-        is_active: [false; SEATS],
-        order: SeatOrder::default(),
+        leases: (0..QUOTA_SHARDS).map(shard_lease).collect(),
+        is_active: [false; QUOTA_SHARDS],
+        order: ShardOrder::default(),
         order_computed_at: None,
         handing_over: None,
         unresponsive: HashMap::new(),
@@ -61,21 +61,25 @@
         rows.mark_unchanged();
         shards.choose_hand_over().await;
         let mut pause = MAX_PAUSE;
-        for shard in 0..SEATS {
+        for shard in 0..QUOTA_SHARDS {
             pause = pause.min(shards.step(shard).await);
         }
         sleep(MIN_PAUSE).await;
         tokio::select! {
             () = sleep(pause) => {}
             _ = rows.changed() => {}
-            () = shared.allowance.save_wanted.notified() => {}
+            () = shared.tenant_quotas.save_wanted.notified() => {}
         }
     }
 }
 
 /// Key of the row in which the granted usage of a shard is saved.
 fn usage_key(shared: &Shared, shard: usize) -> String {
-    format!("{}/{}", shared.platform.tables().loads, lease_name(shard))
+    format!(
+        "{}/{}",
+        shared.platform.tables().saved_state,
+        lease_name(shard)
+    )
 }
 
 /// The write that saves the granted usage of a shard, to be made together with its lease; none if
@@ -83,7 +87,7 @@
 fn usage_write(shared: &Shared, shard: usize) -> Option<Put> {
     let configuration = shared.configuration()?;
     let saved = shared
-        .allowance
+        .tenant_quotas
         .usage_to_save(shared.now(), shard, &configuration)?;
     let value = serde_json::to_string(&saved).ok()?;
     Some(Put {
@@ -93,20 +97,23 @@
 }
 
 /// Reads the last saved usage of a shard; none if the table could not be read.
-async fn read_usage(shared: &Shared, shard: usize) -> Option<SavedUse> {
-    let snapshot = shared.table().read(shared.platform.tables().loads).await;
+async fn read_usage(shared: &Shared, shard: usize) -> Option<SavedUsage> {
+    let snapshot = shared
+        .table()
+        .read(shared.platform.tables().saved_state)
+        .await;
     let key = usage_key(shared, shard);
     let rows = snapshot.ok()?.rows;
     let Some(row) = rows.iter().find(|row| row.key == key) else {
-        return Some(SavedUse::default());
+        return Some(SavedUsage::default());
     };
     match serde_json::from_str(&row.value) {
         Ok(saved) => Some(saved),
         Err(error) => {
             // Only gateways write this row. An unreadable row is treated as if no usage had been
             // saved.
-            shared.refuse_row(row, &error);
-            Some(SavedUse::default())
+            shared.record_refused_row(row, &error);
+            Some(SavedUsage::default())
         }
     }
 }
@@ -114,11 +121,11 @@
 /// The leases of all shards, as this process takes part in them.
 struct ShardLeases {
     shared: Arc<Shared>,
-    leases: Vec<LeaseSeat>,
+    leases: Vec<LeaseSession>,
     /// Whether this gateway charges requests to each shard.
-    is_active: [bool; SEATS],
+    is_active: [bool; QUOTA_SHARDS],
     /// The order in which gateways offer to take a free shard.
-    order: SeatOrder,
+    order: ShardOrder,
     /// When `order` was computed.
     order_computed_at: Option<Instant>,
     /// The shard whose lease is being released for another gateway.
@@ -143,19 +150,19 @@
     async fn step(&mut self, shard: usize) -> Duration {
         let offer = self.offer(shard);
         let shared = self.shared.clone();
-        if shared.allowance.needs_saving(shard) {
-            self.leases[shard].keeper.lock().renew_soon();
+        if shared.tenant_quotas.needs_saving(shard) {
+            self.leases[shard].keeper.lock().request_renewal();
         }
         let stepped = self.leases[shard]
             .step(offer, || usage_write(&shared, shard))
             .await;
-        if stepped == Stepped::Written {
-            shared.allowance.confirm_saved(shard);
+        if stepped == LeaseStepResult::Written {
+            shared.tenant_quotas.confirm_saved(shard);
         }
         self.update_active(shard).await;
         match stepped {
-            Stepped::Idle(pause) => pause,
-            Stepped::Done | Stepped::Written => MIN_PAUSE,
+            LeaseStepResult::Idle(pause) => pause,
+            LeaseStepResult::Done | LeaseStepResult::Written => MIN_PAUSE,
         }
     }
 
@@ -167,38 +174,38 @@
             let Some(saved) = read_usage(shared, shard).await else {
                 return;
             };
-            let bound = shared.settings.bounds.limits;
+            let bound = shared.settings.bounds.quota_bound;
             let keeper = &self.leases[shard].keeper;
-            let (allowance, now) = (&shared.allowance, shared.now());
+            let (allowance, now) = (&shared.tenant_quotas, shared.now());
             self.is_active[shard] = allowance.activate_shard(now, shard, keeper, bound, saved);
         } else if !is_held && was_active {
-            shared.allowance.deactivate_shard(shard);
+            shared.tenant_quotas.deactivate_shard(shard);
             self.is_active[shard] = false;
         }
         if self.is_active[shard] != was_active {
             let change = if was_active { "lost" } else { "taken" };
             let fields = format_args!("seat={shard} change={change}");
-            lines::write(Rank::Decision, "counting_seat", fields);
+            event_log::write(LogPriority::Decision, "counting_seat", fields);
         }
     }
 
-    fn offer(&mut self, shard: usize) -> Offer {
+    fn offer(&mut self, shard: usize) -> Candidacy {
         let shared = &self.shared;
-        if shared.is_stopping() || !shared.can_place() || !self.has_tenants() {
-            return Offer::Never;
+        if shared.is_stopping() || !shared.may_place() || !self.has_tenants() {
+            return Candidacy::Never;
         }
         if self.leases[shard].is_held() {
             return if self.handing_over == Some(shard) {
-                Offer::Never
+                Candidacy::Never
             } else {
-                Offer::After(0)
+                Candidacy::After(0)
             };
         }
-        if shared.lateness() > MAX_TIMER_LAG {
-            return Offer::Never;
+        if shared.timer_lag() > MAX_TIMER_LAG {
+            return Candidacy::Never;
         }
         self.update_order();
-        Offer::After(self.order.delay_beside(shard, &self.is_active))
+        Candidacy::After(self.order.delay_with_held_shards(shard, &self.is_active))
     }
 
     /// Chooses a shard to hand over to a gateway that responds. Half of the quota of the shard's
@@ -220,7 +227,7 @@
         if held.is_none_or(|held| Duration::from_millis(held) < MIN_HOLD) {
             return;
         }
-        if self.shared.answers_for_limits(&to).await {
+        if self.shared.responds_to_quota_requests(&to).await {
             self.handing_over = Some(shard);
         } else {
             self.unresponsive.insert(to, now + MIN_HOLD);
@@ -232,14 +239,14 @@
         let shared = &self.shared;
         let own = shared.settings.node.as_str();
         let least = f64::from(shared.settings.millicores) * STRONG_FRACTION;
-        let members = shared.answering_members();
+        let members = shared.serving_members();
         let is_as_strong = |member: &&Member| f64::from(member.row.millicores) >= least;
         let strong = members.iter().filter(is_as_strong);
         let others: Vec<&str> = strong
             .map(|member| member.name.as_str())
             .filter(|name| *name != own && !self.unresponsive.contains_key(&NodeId::from(*name)))
             .collect();
-        let holders = shared.allowance.shard_holders();
+        let holders = shared.tenant_quotas.shard_holders();
         let holders = std::array::from_fn(|shard| {
             let known = holders[shard].as_ref().map(NodeId::as_str);
             if self.is_active[shard] {
@@ -248,8 +255,8 @@
                 known
             }
         });
-        let hand_over = counting_seat::seat_to_spread(own, &holders, &others)?;
-        Some((hand_over.seat, hand_over.to.into()))
+        let hand_over = quota_shard::shard_to_hand_over(own, &holders, &others)?;
+        Some((hand_over.shard, hand_over.to.into()))
     }
 
     /// Computes the order in which the known gateways offer to take free shards, unless the current
@@ -263,15 +270,15 @@
         }
         self.order_computed_at = Some(Instant::now());
         let shared = &self.shared;
-        let strongest = f64::from(shared.strongest_millicores());
-        let members = shared.answering_members();
-        let candidates: Vec<SeatCandidate<'_>> = members
+        let strongest = f64::from(shared.max_millicores());
+        let members = shared.serving_members();
+        let candidates: Vec<ShardCandidate<'_>> = members
             .iter()
-            .map(|member| SeatCandidate {
+            .map(|member| ShardCandidate {
                 name: &member.name,
                 is_strong: f64::from(member.row.millicores) >= strongest * STRONG_FRACTION,
             })
             .collect();
-        self.order = SeatOrder::new(shared.settings.node.as_str(), &candidates);
+        self.order = ShardOrder::new(shared.settings.node.as_str(), &candidates);
     }
 }
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -17,7 +17,7 @@
         address: "127.0.0.1:1".parse().expect("an address"),
         zone: "hall".into(),
         slots: 8,
-        cold_left: 0,
+        warm_up_left_ms: 0,
         draining: false,
         holdings: [(ModelId::from("m"), Default::default())].into(),
         in_memory: Default::default(),
@@ -34,16 +34,16 @@
     directory.put(NOW, engine("i-2"), 2);
     let (service, model) = (ServiceId::from("llm"), ModelId::from("m"));
     let ready = |directory: &Directory| -> Vec<BackEndId> {
-        let places = directory.places(NOW, &service, &model, None);
+        let places = directory.availability(NOW, &service, &model, None);
         places.ready.iter().map(|it| it.id.clone()).collect()
     };
     assert_eq!(ready(&directory).len(), 2);
 
-    let ended: HashSet<_> = [quarantine::hash(&"i-1".into(), None)].into();
-    directory.note_ended(NOW, &ended);
+    let ended: HashSet<_> = [quarantine::incarnation_hash(&"i-1".into(), None)].into();
+    directory.record_exits(NOW, &ended);
     assert_eq!(ready(&directory), [BackEndId::from("i-2")]);
-    assert_eq!(directory.members(NOW, &service).len(), 1);
-    assert!(directory.ended(NOW).contains(&BackEndId::from("i-1")));
+    assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
+    assert!(directory.exited(NOW).contains(&BackEndId::from("i-1")));
 
     // What is at its address later has another name.
     directory.put(NOW, engine("i-3"), 3);
@@ -51,8 +51,8 @@
 
     // A row that stands for so long is that of an engine that lives after all.
     let later = NOW + 10_000;
-    assert!(directory.ended(later).is_empty());
-    assert_eq!(directory.members(later, &service).len(), 3);
+    assert!(directory.exited(later).is_empty());
+    assert_eq!(directory.active_back_ends(later, &service).len(), 3);
 }
 
 fn of_life(id: &str, born: u64) -> BackEndReport {
@@ -63,7 +63,7 @@
 }
 
 fn holds(directory: &Directory, model: &str) -> bool {
-    let places = directory.places(NOW, &"llm".into(), &model.into(), None);
+    let places = directory.availability(NOW, &"llm".into(), &model.into(), None);
     !places.ready.is_empty()
 }
 
@@ -73,29 +73,32 @@
     let (service, id) = (ServiceId::from("llm"), BackEndId::from("i-1"));
     directory.put(NOW, of_life("i-1", 1), 1);
     let former = directory.back_end(&id).expect("a back end");
-    former.note_absent(NOW, &"m".into(), None);
+    former.record_absent(NOW, &"m".into(), None);
     let leaving = BackEndReport {
         draining: true,
         ..of_life("i-1", 1)
     };
     directory.put(NOW, leaving, 2);
     assert!(!directory.is_active(&id));
-    assert!(directory.take_gone_unsaid().is_empty(), "it said so");
+    assert!(
+        directory.take_removed_without_drain().is_empty(),
+        "it said so"
+    );
 
     directory.put(NOW, of_life("i-1", 2), 3);
     assert!(directory.is_active(&id));
     assert!(holds(&directory, "m"));
-    assert_eq!(directory.members(NOW, &service).len(), 1);
-    let ended: HashSet<_> = [former.life_hash].into();
-    directory.note_ended(NOW, &ended);
+    assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
+    let ended: HashSet<_> = [former.incarnation_hash].into();
+    directory.record_exits(NOW, &ended);
     assert!(
-        directory.ended(NOW).is_empty(),
+        directory.exited(NOW).is_empty(),
         "the end of the former life"
     );
 
     directory.put(NOW, of_life("i-1", 3), 4);
     assert_eq!(
-        directory.take_gone_unsaid().len(),
+        directory.take_removed_without_drain().len(),
         1,
         "it ended without a word"
     );
@@ -135,12 +138,12 @@
     let born = |directory: &Directory| directory.back_end(&id).and_then(|it| it.born);
     directory.put(NOW, of_life("i-1", 5), 1);
     directory.put(NOW, of_life("i-1", 4), 2);
-    assert!(directory.is_unsettled());
-    directory.settle(NOW + 1_000);
+    assert!(directory.has_deferred_rows());
+    directory.retry_deferred_rows(NOW + 1_000);
     assert_eq!(born(&directory), Some(Born(5)));
-    directory.settle(NOW + 6_000);
+    directory.retry_deferred_rows(NOW + 6_000);
     assert_eq!(born(&directory), Some(Born(4)));
-    assert!(!directory.is_unsettled());
+    assert!(!directory.has_deferred_rows());
 }
 
 #[test]
@@ -155,9 +158,9 @@
     let unreadable = vec![(id.clone(), 4)];
     directory.replace(NOW, Vec::new(), unreadable);
     assert!(!directory.is_active(&id));
-    assert!(directory.take_gone_unsaid().is_empty());
+    assert!(directory.take_removed_without_drain().is_empty());
     directory.remove(&id);
-    assert!(directory.take_gone_unsaid().is_empty());
+    assert!(directory.take_removed_without_drain().is_empty());
 }
 
 /// The table lost its row for a moment, and the back end, which has said that it leaves, writes
@@ -176,17 +179,17 @@
             };
             directory.put(NOW, leaving, 2);
         } else {
-            assert!(directory.note_departure(NOW, &back_end));
+            assert!(directory.record_drain(NOW, &back_end));
         }
         directory.remove(&id);
         assert!(
-            directory.take_gone_unsaid().is_empty(),
+            directory.take_removed_without_drain().is_empty(),
             "it said that it leaves"
         );
         directory.put(NOW, of_life("i-1", 1), 3);
-        assert!(directory.members(NOW, &service).is_empty());
+        assert!(directory.active_back_ends(NOW, &service).is_empty());
         directory.put(NOW, of_life("i-1", 9_000), 4);
-        assert_eq!(directory.members(NOW, &service).len(), 1);
+        assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
     }
 }
 
@@ -195,15 +198,18 @@
     let mut teller = Directory::new("hall".into());
     teller.put(NOW, engine("i-1"), 1);
     let back_end = teller.back_end(&"i-1".into()).expect("a back end");
-    teller.note_departure(NOW, &back_end);
-    let told = teller.told_departures(NOW + 100);
+    teller.record_drain(NOW, &back_end);
+    let told = teller.drain_notices(NOW + 100);
     assert_eq!(told.len(), 1);
 
     let mut directory = Directory::new("hall".into());
-    assert!(!directory.knows_departures(&told));
-    assert!(directory.take_departures(NOW, &told).is_empty(), "no row");
+    assert!(!directory.knows_drains(&told));
+    assert!(
+        directory.merge_drain_notices(NOW, &told).is_empty(),
+        "no row"
+    );
     directory.put(NOW, engine("i-1"), 1);
-    assert!(directory.members(NOW, &"llm".into()).is_empty());
+    assert!(directory.active_back_ends(NOW, &"llm".into()).is_empty());
     assert!(!directory.is_active(&"i-1".into()));
     assert!(directory.reports()[0].draining, "nothing is loaded there");
 }
@@ -216,17 +222,17 @@
         directory.put(NOW, engine("i-1"), 1);
     }
     let back_end = directories[0].back_end(&"i-1".into()).expect("a back end");
-    directories[0].note_departure(NOW, &back_end);
+    directories[0].record_drain(NOW, &back_end);
     for round in 1..=30 {
         let now = NOW + 500 * round;
         let [first, second] = &mut directories;
-        second.take_departures(now, &first.told_departures(now));
-        first.take_departures(now, &second.told_departures(now));
+        second.merge_drain_notices(now, &first.drain_notices(now));
+        first.merge_drain_notices(now, &second.drain_notices(now));
     }
     let later = NOW + 15_000;
     assert!(
         directories
             .iter()
-            .all(|it| it.told_departures(later).is_empty())
+            .all(|it| it.drain_notices(later).is_empty())
     );
 }
--- a/crates/gateway/tests/earlier_builds.rs
+++ b/crates/gateway/tests/earlier_builds.rs
@@ -7,13 +7,13 @@
 use std::path::PathBuf;
 
 use ciborium::Value as Cbor;
-use gorsebank_fleet::ledger::SavedUse;
+use gorsebank_fleet::ledger::SavedUsage;
 use gorsebank_fleet::placement::StoreRecords;
-use gorsebank_fleet::quarantine::ToldOutcome;
-use gorsebank_fleet::{LeaseRow, MemberRow, PlacedRow, ReadingRow, ToldDeparture, ToldLimit};
-use gorsebank_gateway::allowance::{Ask, SendTimeAsk};
-use gorsebank_gateway::feed::{FeedQuestion, TablePosition};
-use gorsebank_gateway::relay::{RelayAnswer, RelayRequest};
+use gorsebank_fleet::quarantine::OutcomeNotice;
+use gorsebank_fleet::{DrainNotice, LeaseRow, LimitNotice, MemberRow, PlacedRow, PrefillSpeedRow};
+use gorsebank_gateway::feed::{FeedRequest, TablePosition};
+use gorsebank_gateway::relay::{RelayRequest, RelayResponse};
+use gorsebank_gateway::tenant_quotas::{QuotaRequest, SendTimeRequest};
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -77,7 +77,7 @@
 fn messages_of_earlier_builds_are_read_and_said_as_they_were() {
     for build in BUILDS {
         read_and_say_again::<RelayRequest>(build, "requests.txt");
-        read_and_say_again::<RelayAnswer>(build, "answers.txt");
+        read_and_say_again::<RelayResponse>(build, "answers.txt");
     }
 }
 
@@ -97,9 +97,9 @@
         row_is_read::<PlacedRow>(&rows, "placed");
         row_is_read::<LeaseRow>(&rows, "lease");
         row_is_read::<StoreRecords>(&rows, "loads");
-        row_is_read::<ReadingRow>(&rows, "reading");
-        row_is_read::<Vec<ToldOutcome>>(&rows, "quarantine");
-        row_is_read::<SavedUse>(&rows, "saved_use");
+        row_is_read::<PrefillSpeedRow>(&rows, "reading");
+        row_is_read::<Vec<OutcomeNotice>>(&rows, "quarantine");
+        row_is_read::<SavedUsage>(&rows, "saved_use");
     }
 }
 
@@ -115,7 +115,7 @@
         assert!(serde_json::from_value::<MemberRow>(read("member")).is_ok());
         assert!(serde_json::from_value::<PlacedRow>(read("placed")).is_ok());
         assert!(serde_json::from_value::<LeaseRow>(read("lease")).is_ok());
-        assert!(serde_json::from_value::<ReadingRow>(read("reading")).is_ok());
+        assert!(serde_json::from_value::<PrefillSpeedRow>(read("reading")).is_ok());
     }
 }
 
@@ -136,7 +136,7 @@
     tables: Vec<TablePosition>,
     wait: u64,
     from: String,
-    limits: Vec<ToldLimit>,
+    limits: Vec<LimitNotice>,
 }
 
 #[derive(Debug, Deserialize, PartialEq)]
@@ -148,13 +148,13 @@
 /// It counts for no tenant without a name, and answers that.
 #[test]
 fn a_question_for_a_time_at_a_back_end_is_one_of_no_tenant_to_earlier_builds() {
-    let send_time = SendTimeAsk {
+    let send_time = SendTimeRequest {
         back_end: 7,
         rate: 0.5,
-        most_wait: 300,
+        max_wait_ms: 300,
     };
     let mut bytes = Vec::new();
-    let request = RelayRequest::Allowance(Ask::for_send_time(send_time));
+    let request = RelayRequest::Quota(QuotaRequest::for_send_time(send_time));
     ciborium::into_writer(&request, &mut bytes).expect("it can be encoded");
     let read: EarlierRequest = ciborium::from_reader(bytes.as_slice()).expect("it is read");
     let nothing = EarlierAsk {
@@ -168,25 +168,25 @@
 /// They read what they know of it, and go by the back end's row.
 #[test]
 fn back_ends_that_leave_are_passed_over_by_earlier_builds() {
-    let limits = vec![ToldLimit {
+    let limits = vec![LimitNotice {
         back_end: 7,
         rate: Some(0.5),
         age: 20,
     }];
-    let question = FeedQuestion {
+    let question = FeedRequest {
         tables: Vec::new(),
-        wait: 300,
+        wait_ms: 300,
         from: "node-1".into(),
         running: Vec::new(),
         quarantine: None,
         limits: limits.clone(),
-        departures: vec![ToldDeparture {
+        drain_notices: vec![DrainNotice {
             back_end: 8,
             age: 30,
         }],
     };
     let mut bytes = Vec::new();
-    let request = RelayRequest::News(question);
+    let request = RelayRequest::Updates(question);
     ciborium::into_writer(&request, &mut bytes).expect("it can be encoded");
     let read: EarlierRequest = ciborium::from_reader(bytes.as_slice()).expect("it is read");
     let known = EarlierQuestion {
--- a/crates/gateway/tests/lines.rs
+++ b/crates/gateway/tests/lines.rs
@@ -4,7 +4,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-use gorsebank_gateway::lines::{self, Rank};
+use gorsebank_gateway::event_log::{self, LogPriority};
 
 /// Blocks until the test lets it go.
 struct Stuck(Receiver<()>);
@@ -23,16 +23,16 @@
 #[test]
 fn a_reader_that_has_stopped_reading_holds_nothing_up_and_lines_are_counted() {
     let (_keep, stuck) = channel();
-    lines::start_to("node-1", Stuck(stuck)).expect("a log");
+    event_log::start_to("node-1", Stuck(stuck)).expect("a log");
     let began = Instant::now();
     for second in 0..10 {
         for number in 0..400 {
             let fields = format_args!("request=r{second}-{number} outcome=refused");
-            lines::write(Rank::Decision, "request_end", fields);
+            event_log::write(LogPriority::Decision, "request_end", fields);
         }
         for number in 0..400 {
-            lines::write(
-                Rank::Served,
+            event_log::write(
+                LogPriority::Served,
                 "request_end",
                 format_args!("request=s{number}"),
             );
@@ -43,6 +43,6 @@
         "{:?}",
         began.elapsed()
     );
-    let left_out = lines::left_out();
+    let left_out = event_log::dropped_lines();
     assert!(left_out >= 10 * 800 - 2_048 - 400, "{left_out}");
 }
--- a/crates/gateway/tests/metrics.rs
+++ b/crates/gateway/tests/metrics.rs
@@ -6,10 +6,10 @@
 fn thousands_of_tenants_make_a_bounded_number_of_series() {
     let metrics = Metrics::new().expect("figures");
     for number in 0..2_000 {
-        metrics.tenant_ended(&format!("tenant-{number}"), "served");
+        metrics.record_tenant_request_end(&format!("tenant-{number}"), "served");
     }
-    metrics.tenant_ended("tenant-0", "served");
-    let text = String::from_utf8(metrics.text().expect("a text")).expect("text");
+    metrics.record_tenant_request_end("tenant-0", "served");
+    let text = String::from_utf8(metrics.encode().expect("a text")).expect("text");
     let of_tenants: Vec<&str> = text
         .lines()
         .filter(|line| line.starts_with("gateway_tenant_requests_total{"))
--- a/crates/gateway/tests/patience.rs
+++ b/crates/gateway/tests/patience.rs
@@ -2,38 +2,38 @@
 
 use std::time::Duration;
 
-use gorsebank_gateway::patience::Patience;
+use gorsebank_gateway::adaptive_timeout::AdaptiveTimeout;
 
 const LEAST: Duration = Duration::from_millis(150);
 const MOST: Duration = Duration::from_millis(800);
 
 #[test]
 fn a_lost_answer_of_a_quick_service_is_noticed_soon() {
-    let patience = Patience::new(LEAST, MOST);
-    assert_eq!(patience.wait(), MOST, "nothing is known yet");
+    let patience = AdaptiveTimeout::new(LEAST, MOST);
+    assert_eq!(patience.current(), MOST, "nothing is known yet");
     for _ in 0..10 {
-        patience.answered(Duration::from_millis(5));
+        patience.record_response(Duration::from_millis(5));
     }
-    assert_eq!(patience.wait(), LEAST);
+    assert_eq!(patience.current(), LEAST);
 }
 
 #[test]
 fn a_service_that_turned_slow_is_waited_for_again() {
-    let patience = Patience::new(LEAST, MOST);
-    patience.answered(Duration::from_millis(5));
+    let patience = AdaptiveTimeout::new(LEAST, MOST);
+    patience.record_response(Duration::from_millis(5));
     let slow = Duration::from_millis(300);
     let mut lost = 0;
-    while patience.wait() < slow {
-        patience.expired();
+    while patience.current() < slow {
+        patience.record_timeout();
         lost += 1;
     }
     assert_eq!(lost, 3, "one or two answers may have been lost");
     for _ in 0..20 {
-        patience.answered(slow);
-        assert!(patience.wait() > slow);
+        patience.record_response(slow);
+        assert!(patience.current() > slow);
     }
     for _ in 0..3 {
-        patience.expired();
+        patience.record_timeout();
     }
-    assert_eq!(patience.wait(), MOST);
+    assert_eq!(patience.current(), MOST);
 }
--- a/crates/gateway/tests/table_cache.rs
+++ b/crates/gateway/tests/table_cache.rs
@@ -7,7 +7,7 @@
 use gorsebank_contract::TableRow;
 use gorsebank_gateway::clock::{Clock, TimeSource};
 use gorsebank_gateway::feed::packed::PackedChange;
-use gorsebank_gateway::feed::{News, TableCache, TablePosition};
+use gorsebank_gateway::feed::{TableCache, TablePosition, UpdateContent};
 use gorsebank_gateway::ports::{RowChange, TableChanges, TableSnapshot};
 
 /// When the table was asked, where that is of no matter.
@@ -38,17 +38,17 @@
         table: "t".to_owned(),
         version,
         newest_only,
-        most_age: 1_000,
+        max_age_ms: 1_000,
         page: None,
     }
 }
 
 /// Changes after a version; none if the asker has to begin with all rows.
 fn changes_of(cache: &TableCache, version: u64, newest_only: bool) -> Option<TableChanges> {
-    let news = cache.news(&position(Some(version), newest_only))?;
-    match news.news {
-        News::Rows { .. } | News::Page(_) => None,
-        News::Changes { changes, version } => {
+    let news = cache.update_for(&position(Some(version), newest_only))?;
+    match news.content {
+        UpdateContent::Rows { .. } | UpdateContent::Page(_) => None,
+        UpdateContent::Changes { changes, version } => {
             let unpacked = changes
                 .iter()
                 .map(|change| change.unpack().expect("packed"));
@@ -63,8 +63,8 @@
 
 /// All rows with the table's version.
 fn rows(cache: &TableCache) -> Option<TableSnapshot> {
-    let news = cache.news(&position(None, false))?;
-    let News::Rows { rows, version } = news.news else {
+    let news = cache.update_for(&position(None, false))?;
+    let UpdateContent::Rows { rows, version } = news.content else {
         panic!("one that knows nothing is told all rows");
     };
     let rows = rows.iter().map(|row| match row.unpack().expect("packed") {
@@ -122,7 +122,7 @@
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), ASKED);
     cache.advance("t", 8, &told(vec![put("t/a", 9)], 9), ASKED);
     assert!(
-        cache.news(&position(Some(5), false)).is_none(),
+        cache.update_for(&position(Some(5), false)).is_none(),
         "rows may lack a change"
     );
     assert!(rows(&cache).is_none(), "rows may lack a change");
@@ -141,7 +141,7 @@
         &snapshot(vec![row("t/a", 3), row("t/b", 4), row("t/c", 5)], 5),
         ASKED,
     );
-    cache.note_gap("t");
+    cache.record_gap("t");
     assert_eq!(cache.version("t"), None, "it is to be read again");
     cache.replace(
         "t",
@@ -176,24 +176,24 @@
     let mut first = TableCache::default();
     first.replace("t", &snapshot(vec![row("t/a", 3)], 5), ASKED);
     std::thread::sleep(Duration::from_millis(30));
-    let news = first.news(&position(None, false)).expect("news");
-    assert!(news.age >= 30, "{} ms", news.age);
+    let news = first.update_for(&position(None, false)).expect("news");
+    assert!(news.age_ms >= 30, "{} ms", news.age_ms);
     let mut second = TableCache::default();
-    second.take(None, news, ASKED);
+    second.apply_update(None, news, ASKED);
     std::thread::sleep(Duration::from_millis(30));
     let age = second.age("t").expect("known");
     assert!(age >= Duration::from_millis(60), "{age:?}");
-    let news = first.news(&position(Some(5), false)).expect("news");
-    second.take(Some(5), news, ASKED);
+    let news = first.update_for(&position(Some(5), false)).expect("news");
+    second.apply_update(Some(5), news, ASKED);
     let age = second.age("t").expect("known");
     assert!(
         age >= Duration::from_millis(60),
         "nobody confirmed it: {age:?}"
     );
     first.advance("t", 5, &told(vec![], 5), ASKED);
-    second.take(
+    second.apply_update(
         Some(5),
-        first.news(&position(Some(5), false)).expect("news"),
+        first.update_for(&position(Some(5), false)).expect("news"),
         ASKED,
     );
     let age = second.age("t").expect("known");
@@ -209,7 +209,7 @@
     long.value = format!("[{}]", routes.join(","));
     let mut cache = TableCache::default();
     cache.replace("t", &snapshot(vec![long.clone()], 5), ASKED);
-    let news = cache.news(&position(None, true)).expect("news");
+    let news = cache.update_for(&position(None, true)).expect("news");
     let bytes = gorsebank_contract::frame::encode(&news).expect("encoded");
     assert!(bytes.len() * 5 < long.value.len(), "{} bytes", bytes.len());
     assert_eq!(rows(&cache), Some(snapshot(vec![long], 5)));
@@ -252,16 +252,16 @@
 #[test]
 fn an_answer_proves_what_stood_in_the_table_when_it_was_asked_for() {
     let (mut cache, time) = cache_with_time();
-    assert_eq!(cache.proved_age("t", 5), None, "nothing is proved yet");
+    assert_eq!(cache.verified_age("t", 5), None, "nothing is proved yet");
     time.0.store(3_000, Ordering::Relaxed);
     // The answer was under way for two seconds.
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(1_000));
-    assert_eq!(cache.proved_age("t", 5), Some(at(2_000)));
+    assert_eq!(cache.verified_age("t", 5), Some(at(2_000)));
     cache.advance("t", 5, &told(vec![], 6), at(2_500));
-    assert_eq!(cache.proved_age("t", 5), Some(at(500)));
+    assert_eq!(cache.verified_age("t", 5), Some(at(500)));
     // A question that was asked before proves nothing more.
     cache.advance("t", 6, &told(vec![], 6), at(1_200));
-    assert_eq!(cache.proved_age("t", 5), Some(at(500)));
+    assert_eq!(cache.verified_age("t", 5), Some(at(500)));
 }
 
 #[test]
@@ -271,8 +271,8 @@
     time.0.store(1_000, Ordering::Relaxed);
     cache.advance("t", 5, &told(vec![put("t/a", 7)], 7), at(900));
     time.0.store(1_500, Ordering::Relaxed);
-    assert_eq!(cache.proved_age("t", 5), Some(at(1_500)));
-    assert_eq!(cache.proved_age("t", 7), Some(at(600)));
+    assert_eq!(cache.verified_age("t", 5), Some(at(1_500)));
+    assert_eq!(cache.verified_age("t", 7), Some(at(600)));
 }
 
 #[test]
@@ -281,7 +281,7 @@
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(0));
     time.0.store(4_000, Ordering::Relaxed);
     cache.advance("t", 8, &told(vec![], 9), at(3_900));
-    assert_eq!(cache.proved_age("t", 9), Some(at(4_000)));
+    assert_eq!(cache.verified_age("t", 9), Some(at(4_000)));
 }
 
 #[test]
@@ -289,16 +289,16 @@
     let (mut first, time) = cache_with_time();
     first.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(0));
     time.0.store(700, Ordering::Relaxed);
-    let news = first.news(&position(None, false)).expect("news");
+    let news = first.update_for(&position(None, false)).expect("news");
     let (mut second, later) = cache_with_time();
     later.0.store(10_000, Ordering::Relaxed);
     // Asked at 9,000, answered no sooner than 300 ms after that, and a while under way.
-    second.take(None, news, at(9_300));
-    let age = second.proved_age("t", 5).expect("proved");
+    second.apply_update(None, news, at(9_300));
+    let age = second.verified_age("t", 5).expect("proved");
     assert!(age >= at(1_400) && age <= at(1_401), "{age:?}");
-    let mut unproved = first.news(&position(None, false)).expect("news");
-    unproved.proved_age = None;
+    let mut unproved = first.update_for(&position(None, false)).expect("news");
+    unproved.verified_age_ms = None;
     let (mut third, _) = cache_with_time();
-    third.take(None, unproved, at(9_300));
-    assert_eq!(third.proved_age("t", 5), None);
+    third.apply_update(None, unproved, at(9_300));
+    assert_eq!(third.verified_age("t", 5), None);
 }
--- a/crates/gateway/tests/table_pages.rs
+++ b/crates/gateway/tests/table_pages.rs
@@ -4,7 +4,9 @@
 
 use gorsebank_contract::TableRow;
 use gorsebank_gateway::Clock;
-use gorsebank_gateway::feed::{FeedAnswer, News, TableCache, TableNews, TablePosition};
+use gorsebank_gateway::feed::{
+    FeedResponse, TableCache, TablePosition, TableUpdate, UpdateContent,
+};
 use gorsebank_gateway::ports::{RowChange, TableChanges, TableSnapshot};
 
 const TABLE: &str = "servers";
@@ -47,15 +49,15 @@
         table: TABLE.to_owned(),
         version: asker.version(TABLE),
         newest_only: false,
-        most_age: 1_000,
+        max_age_ms: 1_000,
         page: Some(asker.next_page(TABLE)),
     }
 }
 
-fn message_bytes(news: &TableNews) -> usize {
-    let answer = FeedAnswer {
+fn message_bytes(news: &TableUpdate) -> usize {
+    let answer = FeedResponse {
         tables: vec![news.clone()],
-        ..FeedAnswer::default()
+        ..FeedResponse::default()
     };
     let mut bytes = Vec::new();
     ciborium::into_writer(&answer, &mut bytes).expect("it can be encoded");
@@ -65,9 +67,9 @@
 /// One question and its answer. Out: the answer's bytes.
 fn ask(asker: &mut TableCache, feeder: &TableCache) -> usize {
     let position = position(asker);
-    let news = feeder.news(&position).expect("the table is known");
+    let news = feeder.update_for(&position).expect("the table is known");
     let bytes = message_bytes(&news);
-    asker.take(position.version, news, Duration::ZERO);
+    asker.apply_update(position.version, news, Duration::ZERO);
     bytes
 }
 
@@ -87,10 +89,11 @@
         table: TABLE.to_owned(),
         version: None,
         newest_only: true,
-        most_age: u64::MAX,
+        max_age_ms: u64::MAX,
         page: None,
     };
-    let Some(News::Rows { rows, .. }) = cache.news(&whole).map(|news| news.news) else {
+    let Some(UpdateContent::Rows { rows, .. }) = cache.update_for(&whole).map(|news| news.content)
+    else {
         panic!("a gateway that knows no pages is told all rows");
     };
     rows.iter()
@@ -159,6 +162,6 @@
         change(&mut feeder, vec![written], version);
     }
     let position = position(&asker);
-    let news = feeder.news(&position).expect("news").news;
-    assert!(matches!(news, News::Changes { .. }));
+    let news = feeder.update_for(&position).expect("news").content;
+    assert!(matches!(news, UpdateContent::Changes { .. }));
 }
--- a/crates/gorsebank/src/commands/gateway.rs
+++ b/crates/gorsebank/src/commands/gateway.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use gorsebank_gateway::lines;
+use gorsebank_gateway::event_log;
 use gorsebank_platform::{NodeSettings, UsersPlatform, settings_path};
 
 use crate::arguments::GatewayArguments;
@@ -14,7 +14,7 @@
         None => settings_path()?,
     };
     let settings = NodeSettings::read(&path, arguments.metrics.as_deref())?;
-    lines::start(settings.gateway.node.as_str())?;
+    event_log::start(settings.gateway.node.as_str())?;
     let platform = Arc::new(UsersPlatform::new(&settings));
     gorsebank_gateway::run(settings.gateway, platform).await
 }
