--- a/crates/fleet/tests/configuration.rs
+++ b/crates/fleet/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Routes: host and longest prefix.
+//! Tests the lookup of routes by host and path prefix, and which kinds of requests may be retried.
 
 use std::time::Duration;
 
@@ -30,41 +30,41 @@
     Configuration::new(7, routes, Vec::new(), limits)
 }
 
-fn name(configuration: &Configuration, host: &str, path: &str) -> Option<String> {
+fn route_name(configuration: &Configuration, host: &str, path: &str) -> Option<String> {
     let route = configuration.route(host, path)?;
     Some(route.name.to_string())
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn the_route_with_the_longest_matching_prefix_is_chosen() {
     let configuration = configuration(vec![
         route("short", "crew.example", "/a/"),
         route("long", "crew.example", "/a/b/"),
         route("other-host", "desk.example", "/a/b/c/"),
     ]);
     assert_eq!(
-        name(&configuration, "crew.example", "/a/b/c/d").as_deref(),
+        route_name(&configuration, "crew.example", "/a/b/c/d").as_deref(),
         Some("long")
     );
     assert_eq!(
-        name(&configuration, "crew.example", "/a/x").as_deref(),
+        route_name(&configuration, "crew.example", "/a/x").as_deref(),
         Some("short")
     );
-    assert_eq!(name(&configuration, "crew.example", "/a"), None);
-    assert_eq!(name(&configuration, "night.example", "/a/b/"), None);
+    assert_eq!(route_name(&configuration, "crew.example", "/a"), None);
+    assert_eq!(route_name(&configuration, "night.example", "/a/b/"), None);
 }
 
 #[test]
-fn case_and_port_of_the_host_do_not_matter() {
+fn case_and_port_of_the_host_are_ignored() {
     let configuration = configuration(vec![route("only", "crew.example", "/")]);
     assert_eq!(
-        name(&configuration, "CREW.example:8149", "/x").as_deref(),
+        route_name(&configuration, "CREW.example:8149", "/x").as_deref(),
         Some("only")
     );
 }
 
 #[test]
-fn only_what_may_repeat_is_repeated() {
+fn only_idempotent_requests_and_resumable_streams_may_be_retried() {
     assert!(RequestKind::Idempotent.may_retry());
     assert!(!RequestKind::Mutating.may_retry());
     assert!(RequestKind::Stream { resumable: true }.may_retry());
--- a/crates/fleet/tests/departures.rs
+++ b/crates/fleet/tests/departures.rs
@@ -1,52 +1,52 @@
-//! Back ends that have said that they leave.
+//! Tests the records of back ends that have announced that they are draining.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::{DrainNotice, DrainNotices};
 
 const NOW: Timestamp = Timestamp(1_000_000);
-/// Longer than a departure is remembered.
-const LONG: u64 = 700_000;
+/// Longer than a drain is remembered.
+const EXPIRY_MS: u64 = 700_000;
 
-fn told(back_end: u64, age: u64) -> DrainNotice {
+fn notice(back_end: u64, age: u64) -> DrainNotice {
     DrainNotice { back_end, age }
 }
 
 #[test]
-fn a_departure_is_news_once_whoever_tells_it() {
-    let mut departures = DrainNotices::default();
-    assert!(departures.record(NOW, 1));
-    assert!(!departures.record(NOW, 1));
-    assert_eq!(departures.merge(NOW, &[told(1, 5), told(2, 5)]), [2]);
-    assert!(!departures.record(NOW, 2));
-    assert!(departures.contains(1) && departures.contains(2));
-    assert!(!departures.contains(3));
+fn a_drain_is_new_once_whether_observed_or_received() {
+    let mut drains = DrainNotices::default();
+    assert!(drains.record(NOW, 1));
+    assert!(!drains.record(NOW, 1));
+    assert_eq!(drains.merge(NOW, &[notice(1, 5), notice(2, 5)]), [2]);
+    assert!(!drains.record(NOW, 2));
+    assert!(drains.contains(1) && drains.contains(2));
+    assert!(!drains.contains(3));
 }
 
-/// Nothing that a gateway remembers grows for ever, however it hears of it.
+/// The records must stay bounded, whether a drain was observed or received in a notice.
 #[test]
-fn departures_of_long_ago_are_forgotten() {
-    let later = NOW + LONG;
-    let mut departures = DrainNotices::default();
-    departures.record(NOW, 1);
-    departures.record(later, 2);
-    assert!(!departures.contains(1));
-    let mut departures = DrainNotices::default();
-    departures.merge(NOW, &[told(1, 0)]);
-    departures.merge(later, &[told(2, 0), told(3, LONG)]);
-    assert!(!departures.contains(1));
-    assert!(departures.contains(2));
-    assert!(!departures.contains(3), "too old when it was told");
+fn old_drains_are_forgotten() {
+    let later = NOW + EXPIRY_MS;
+    let mut drains = DrainNotices::default();
+    drains.record(NOW, 1);
+    drains.record(later, 2);
+    assert!(!drains.contains(1));
+    let mut drains = DrainNotices::default();
+    drains.merge(NOW, &[notice(1, 0)]);
+    drains.merge(later, &[notice(2, 0), notice(3, EXPIRY_MS)]);
+    assert!(!drains.contains(1));
+    assert!(drains.contains(2));
+    assert!(!drains.contains(3), "too old when it was received");
 }
 
-/// However many leave at once, what each gateway tells is bounded: the newest first.
+/// The notices that a gateway sends are bounded, newest first, however many back ends drain at once.
 #[test]
-fn the_newest_departures_are_told_and_no_more_than_a_message_bears() {
-    let mut departures = DrainNotices::default();
+fn a_bounded_number_of_notices_is_sent_newest_first() {
+    let mut drains = DrainNotices::default();
     for back_end in 0..1_000 {
-        departures.record(NOW + back_end, back_end);
+        drains.record(NOW + back_end, back_end);
     }
-    let told = departures.notices(NOW + 1_000);
-    assert_eq!(told.len(), 200);
-    assert!(told.is_sorted_by_key(|departure| departure.age));
-    assert_eq!(told[0].back_end, 999);
+    let notices = drains.notices(NOW + 1_000);
+    assert_eq!(notices.len(), 200);
+    assert!(notices.is_sorted_by_key(|notice| notice.age));
+    assert_eq!(notices[0].back_end, 999);
 }
--- a/crates/fleet/tests/events.rs
+++ b/crates/fleet/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events, however the bytes arrive.
+//! Tests that a stream is split into complete events wherever its bytes are cut.
 
 use gorsebank_fleet::events::{CompleteEvent, EventSplitter};
 use proptest::prelude::*;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_part_of_an_event_is_kept_back() {
+fn a_partial_event_is_not_emitted() {
     let (events, partial) = split(&[b"id: 1\ndata: a\n\nid: 2\nda"]);
     assert_eq!(events.len(), 1);
     assert_eq!(events[0].id.as_deref(), Some("1"));
@@ -24,14 +24,14 @@
 }
 
 #[test]
-fn carriage_returns_end_an_event_too() {
+fn events_may_end_with_carriage_returns() {
     let (events, partial) = split(&[b"id:7\r\ndata: a\r\n\r\n"]);
     assert_eq!(events[0].id.as_deref(), Some("7"));
     assert!(!partial);
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_event_over_the_size_limit_is_rejected() {
     let mut splitter = EventSplitter::default();
     let piece = vec![b'x'; 1 << 19];
     splitter.push(&piece).expect("half of the limit");
@@ -41,7 +41,7 @@
 
 proptest! {
     #[test]
-    fn cuts_do_not_matter(
+    fn events_do_not_depend_on_how_bytes_are_cut(
         texts in prop::collection::vec("[a-z]{0,20}", 1..10),
         cuts in prop::collection::vec(0usize..400, 0..12),
     ) {
--- a/crates/fleet/tests/health.rs
+++ b/crates/fleet/tests/health.rs
@@ -1,12 +1,12 @@
-//! What a gateway remembers of a back end's answers.
+//! Tests the record of a back end's responses.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::health::Health;
 
-/// A back end that was slow once got nothing more while its peers answered sooner, so its mean
-/// stayed as it was.
+/// Guards against a mean that never expires: a back end that had been slow once received no more
+/// requests while its peers responded sooner, so its mean could not improve.
 #[test]
-fn a_mean_time_to_answer_lapses_without_answers() {
+fn the_mean_latency_expires_without_responses() {
     let mut health = Health::default();
     let now = Timestamp(1_000);
     assert_eq!(health.latency(now), None);
@@ -17,7 +17,7 @@
     assert!(health.latency(now + 4_000).is_some());
     let later = now + 6_000;
     assert_eq!(health.latency(later), None);
-    // What was known long ago has no weight in the next mean.
+    // The expired mean has no weight in the next one.
     health.record_response(later, 0);
     assert_eq!(health.latency(later), Some(0.0));
 }
--- a/crates/fleet/tests/incarnation.rs
+++ b/crates/fleet/tests/incarnation.rs
@@ -1,111 +1,145 @@
-//! Back ends that start again under the name that they had: what is known of a life of one is
-//! not held against the next, nor counted for it.
+//! Tests back ends that restart under the same name: state known of one incarnation must not be
+//! applied to the next.
 
 mod support;
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::{Born, Incarnation, IncarnationMatch};
 use proptest::prelude::*;
-use support::{LOAD_TIME, Trouble, World, demand, moving_demand, play_without_overcommitment};
+use support::{
+    FaultPlan, LOAD_TIME_MS, Simulation, check_no_overcommitment, demand, shifting_demand,
+};
 
-const EARLY: Option<Born> = Some(Born(1_000));
-const LATE: Option<Born> = Some(Born(2_000));
+const EARLIER_START: Option<Born> = Some(Born(1_000));
+const LATER_START: Option<Born> = Some(Born(2_000));
 
 #[test]
-fn a_later_start_takes_the_place_of_a_known_one_and_an_earlier_one_does_not() {
-    let mut known = Incarnation::new(EARLY);
-    assert_eq!(known.observe(Timestamp(0), EARLY), IncarnationMatch::Same);
-    assert_eq!(known.observe(Timestamp(1), LATE), IncarnationMatch::Other);
-    assert_eq!(known.born(), LATE);
+fn a_later_start_replaces_the_known_incarnation_and_an_earlier_one_does_not() {
+    let mut incarnation = Incarnation::new(EARLIER_START);
     assert_eq!(
-        known.observe(Timestamp(2), EARLY),
+        incarnation.observe(Timestamp(0), EARLIER_START),
+        IncarnationMatch::Same
+    );
+    assert_eq!(
+        incarnation.observe(Timestamp(1), LATER_START),
+        IncarnationMatch::Other
+    );
+    assert_eq!(incarnation.born(), LATER_START);
+    assert_eq!(
+        incarnation.observe(Timestamp(2), EARLIER_START),
         IncarnationMatch::Outdated
     );
-    assert_eq!(known.born(), LATE);
+    assert_eq!(incarnation.born(), LATER_START);
 }
 
 #[test]
-fn what_tells_no_start_speaks_of_the_life_that_is_known() {
-    let mut known = Incarnation::new(None);
-    assert_eq!(known.observe(Timestamp(0), None), IncarnationMatch::Same);
-    assert_eq!(known.observe(Timestamp(1), EARLY), IncarnationMatch::Same);
-    assert_eq!(known.observe(Timestamp(2), None), IncarnationMatch::Same);
-    assert_eq!(known.born(), EARLY);
+fn a_report_without_a_start_belongs_to_the_known_incarnation() {
+    let mut incarnation = Incarnation::new(None);
+    assert_eq!(
+        incarnation.observe(Timestamp(0), None),
+        IncarnationMatch::Same
+    );
+    assert_eq!(
+        incarnation.observe(Timestamp(1), EARLIER_START),
+        IncarnationMatch::Same
+    );
+    assert_eq!(
+        incarnation.observe(Timestamp(2), None),
+        IncarnationMatch::Same
+    );
+    assert_eq!(incarnation.born(), EARLIER_START);
 }
 
-/// The clock of its machine was set back before it started again.
+/// The clock of the back end's machine may be set back before a restart.
 #[test]
-fn an_earlier_start_is_believed_when_nothing_contradicts_it() {
-    let mut known = Incarnation::new(LATE);
+fn an_earlier_start_is_accepted_when_nothing_contradicts_it() {
+    let mut incarnation = Incarnation::new(LATER_START);
     assert_eq!(
-        known.observe(Timestamp(0), EARLY),
+        incarnation.observe(Timestamp(0), EARLIER_START),
         IncarnationMatch::Outdated
     );
     assert_eq!(
-        known.observe(Timestamp(3_000), LATE),
+        incarnation.observe(Timestamp(3_000), LATER_START),
         IncarnationMatch::Same
     );
     assert_eq!(
-        known.observe(Timestamp(4_000), EARLY),
+        incarnation.observe(Timestamp(4_000), EARLIER_START),
         IncarnationMatch::Outdated
     );
     assert_eq!(
-        known.observe(Timestamp(7_000), EARLY),
+        incarnation.observe(Timestamp(7_000), EARLIER_START),
         IncarnationMatch::Outdated
     );
     assert_eq!(
-        known.observe(Timestamp(9_000), EARLY),
+        incarnation.observe(Timestamp(9_000), EARLIER_START),
         IncarnationMatch::Other
     );
-    assert_eq!(known.born(), EARLY);
+    assert_eq!(incarnation.born(), EARLIER_START);
 }
 
-/// Its orders are counted anew, so each report seemed to be older than what was known.
+/// A restarted engine numbers its orders from the beginning, so its reports must not be taken for
+/// outdated ones of the previous incarnation.
 #[test]
-fn an_engine_that_starts_again_under_its_name_is_used_again_at_once() {
-    let mut world = World::new(1, &[]);
+fn an_engine_restarted_under_the_same_name_is_used_again_at_once() {
+    let mut simulation = Simulation::new(1, &[]);
     let rows = vec![demand(&[("m1", 1.0, 1), ("m2", 1.0, 1)])];
-    let turns = |world: &mut World, from: u64, to: u64| {
+    let run = |simulation: &mut Simulation, from: u64, to: u64| {
         for now in (from..to).step_by(50) {
-            world.turn(now, &rows);
+            simulation.run_iteration(now, &rows);
         }
     };
-    // By then no order of a holder before this one can be under way.
-    let restart = 14_000;
-    turns(&mut world, 0, restart);
-    assert_eq!((world.holders("m1"), world.holders("m2")), (1, 1));
-    world.restart_under_its_name(restart, 0);
-    turns(&mut world, restart, restart + 2 * LOAD_TIME + 2_000);
-    assert_eq!((world.holders("m1"), world.holders("m2")), (1, 1));
+    // By this time no order of a previous holder can be under way any more.
+    let restart_at = 14_000;
+    run(&mut simulation, 0, restart_at);
+    assert_eq!(
+        (
+            simulation.replica_count("m1"),
+            simulation.replica_count("m2")
+        ),
+        (1, 1)
+    );
+    simulation.restart_under_same_name(restart_at, 0);
+    run(
+        &mut simulation,
+        restart_at,
+        restart_at + 2 * LOAD_TIME_MS + 2_000,
+    );
+    assert_eq!(
+        (
+            simulation.replica_count("m1"),
+            simulation.replica_count("m2")
+        ),
+        (1, 1)
+    );
 }
 
-/// What was asked of it before it told its start is answered by the same life: an order whose
-/// answer is dropped would be waited for without end.
+/// An engine that begins to report its start time is still the same incarnation. If the response
+/// to an order sent before were dropped, the planner would wait for it indefinitely.
 #[test]
-fn an_engine_that_begins_to_tell_its_start_is_still_the_one_that_was_asked() {
-    let mut world = World::new(1, &[]);
-    world.engines[0].born = None;
-    world.observe(0);
-    let engine = world.engines[0].id.clone();
-    world.engines[0].born = EARLY;
-    world.observe(100);
-    assert!(world.planner.plans_for(&engine, None));
-    assert!(world.planner.plans_for(&engine, EARLY));
-    assert!(!world.planner.plans_for(&engine, LATE));
+fn an_engine_that_begins_to_report_its_start_is_the_same_incarnation() {
+    let mut simulation = Simulation::new(1, &[]);
+    simulation.engines[0].born = None;
+    simulation.observe(0);
+    let engine = simulation.engines[0].id.clone();
+    simulation.engines[0].born = EARLIER_START;
+    simulation.observe(100);
+    assert!(simulation.planner.plans_for(&engine, None));
+    assert!(simulation.planner.plans_for(&engine, EARLIER_START));
+    assert!(!simulation.planner.plans_for(&engine, LATER_START));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
-    /// An order of a former life that had no answer may be carried out in the next one: it bears
-    /// a number that the engine may come by again.
+    /// An order to a previous incarnation that had no response may be carried out by the next one,
+    /// because the engine may reach the same sequence number again.
     #[test]
-    fn engines_that_start_again_are_never_overcommitted(
-        rows in moving_demand(),
+    fn engines_restarted_under_the_same_name_are_never_overcommitted(
+        rows in shifting_demand(),
         faults in prop::collection::vec(0u8..12, 200..400),
         holder_changes in prop::collection::vec(1u64..16_000, 0..3),
         restarts in prop::collection::vec((0usize..4, 0u64..16_000), 1..8),
     ) {
-        let trouble = Trouble { faults, holder_changes, restarts };
-        play_without_overcommitment(&rows, trouble, World::restart_under_its_name)?;
+        let fault_plan = FaultPlan { faults, holder_changes, restarts };
+        check_no_overcommitment(&rows, fault_plan, Simulation::restart_under_same_name)?;
     }
 }
--- a/crates/fleet/tests/load_window.rs
+++ b/crates/fleet/tests/load_window.rs
@@ -1,4 +1,5 @@
-//! The window of loads from the weight store, against stores that make some at full speed.
+//! Tests the concurrency limit of loads against simulated weight stores that serve a given number of
+//! loads at full speed.
 
 use std::time::Duration;
 
@@ -6,21 +7,22 @@
 use gorsebank_fleet::placement::{LoadConcurrency, LoadConcurrencyEstimate};
 use gorsebank_world::BackEndId;
 
-const ALONE: Duration = Duration::from_millis(4_000);
-/// The end of a load is seen so late.
-const SEEN_LATE: u64 = 300;
+const SINGLE_LOAD_TIME: Duration = Duration::from_millis(4_000);
+/// Delay until the end of a load is observed.
+const DETECTION_DELAY_MS: u64 = 300;
 
 fn engine(number: usize) -> BackEndId {
     BackEndId::from(format!("e{number}"))
 }
 
-/// A weight store: a load takes longer by what was under way when it began.
+/// A simulated weight store. A load takes longer if more loads than `full_speed` were under way when
+/// it began.
 struct Store {
     full_speed: usize,
     window: LoadConcurrency,
     under_way: Vec<(u64, BackEndId)>,
-    begun: usize,
-    most: usize,
+    started_count: usize,
+    max_under_way: usize,
 }
 
 impl Store {
@@ -29,14 +31,14 @@
             full_speed,
             window: LoadConcurrency::new(LoadConcurrencyEstimate::default()),
             under_way: Vec::new(),
-            begun: 0,
-            most: 0,
+            started_count: 0,
+            max_under_way: 0,
         }
     }
 
-    /// Begins loads whenever the window allows it.
+    /// Begins loads whenever the window permits, from `from` until `until` (milliseconds).
     fn run(&mut self, from: u64, until: u64) {
-        self.most = 0;
+        self.max_under_way = 0;
         for now in (from..until).step_by(100) {
             let due = |(at, _): &(u64, BackEndId)| *at <= now;
             let ended: Vec<_> = self.under_way.extract_if(.., |load| due(load)).collect();
@@ -46,76 +48,89 @@
             while self.window.allows(Timestamp(now), 0) {
                 self.begin(now);
             }
-            self.most = self.most.max(self.under_way.len());
+            self.max_under_way = self.max_under_way.max(self.under_way.len());
         }
     }
 
     fn begin(&mut self, now: u64) {
-        let id = engine(self.begun);
-        self.begun += 1;
-        self.window.record_order(Timestamp(now), &id, 0, ALONE);
-        let crowd = self.under_way.len() + 1;
-        let stretch = (crowd as f64 / self.full_speed as f64).max(1.0);
-        let time = (ALONE.as_millis() as f64 * stretch) as u64;
-        self.under_way.push((now + time + SEEN_LATE, id));
+        let id = engine(self.started_count);
+        self.started_count += 1;
+        self.window
+            .record_order(Timestamp(now), &id, 0, SINGLE_LOAD_TIME);
+        let concurrency = self.under_way.len() + 1;
+        let slowdown = (concurrency as f64 / self.full_speed as f64).max(1.0);
+        let time = (SINGLE_LOAD_TIME.as_millis() as f64 * slowdown) as u64;
+        self.under_way.push((now + time + DETECTION_DELAY_MS, id));
     }
 }
 
 #[test]
-fn the_window_finds_what_the_store_makes_at_full_speed() {
+fn the_estimate_approaches_the_full_speed_concurrency_of_the_store() {
     for full_speed in [2, 6, 25, 140] {
         let mut store = Store::new(full_speed);
         store.run(0, 60_000);
         store.run(60_000, 120_000);
-        let most = store.most as f64;
-        let part = most / full_speed as f64;
-        assert!((0.8..=1.5).contains(&part), "{most} of {full_speed}");
+        let max_under_way = store.max_under_way as f64;
+        let ratio = max_under_way / full_speed as f64;
+        assert!(
+            (0.8..=1.5).contains(&ratio),
+            "{max_under_way} of {full_speed}"
+        );
     }
 }
 
 #[test]
-fn a_store_for_many_is_found_within_three_loads() {
+fn a_high_concurrency_is_estimated_within_three_load_times() {
     let mut store = Store::new(140);
     store.run(0, 3 * 4_500);
-    assert!(store.most >= 120, "{}", store.most);
+    assert!(store.max_under_way >= 120, "{}", store.max_under_way);
 }
 
-/// Begins loads at engines from `first` on, and ends each after `time`.
-fn round(window: &mut LoadConcurrency, now: u64, engines: std::ops::Range<usize>, time: u64) {
+/// Records loads at these engines that begin at `now` and take `time` milliseconds each.
+fn record_loads(
+    window: &mut LoadConcurrency,
+    now: u64,
+    engines: std::ops::Range<usize>,
+    time: u64,
+) {
     for number in engines.clone() {
-        window.record_order(Timestamp(now), &engine(number), 0, ALONE);
+        window.record_order(Timestamp(now), &engine(number), 0, SINGLE_LOAD_TIME);
     }
     for number in engines {
-        window.record_idle(Timestamp(now + time + SEEN_LATE), &engine(number), 1);
+        window.record_idle(
+            Timestamp(now + time + DETECTION_DELAY_MS),
+            &engine(number),
+            1,
+        );
     }
 }
 
 #[test]
-fn a_slow_engine_does_not_narrow_the_window() {
+fn a_slow_engine_does_not_lower_the_estimate() {
     let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
-    round(&mut window, 0, 0..8, 4_000);
+    record_loads(&mut window, 0, 0..8, 4_000);
     let before = window.estimate();
-    round(&mut window, 10_000, 10..16, 7_000);
+    record_loads(&mut window, 10_000, 10..16, 7_000);
     assert_eq!(
         window.estimate(),
         before,
-        "eight at once were seen to be well"
+        "eight concurrent loads ran at full speed shortly before"
     );
-    round(&mut window, 40_000, 20..26, 7_000);
+    record_loads(&mut window, 40_000, 20..26, 7_000);
     assert!(
         window.estimate().max_loads < before.max_loads,
-        "it was long ago"
+        "the observation of eight loads is too old"
     );
 }
 
 #[test]
-fn a_load_counts_until_its_engine_is_seen_without_an_order() {
+fn a_load_counts_until_its_engine_reports_no_order() {
     let limit = LoadConcurrencyEstimate {
         max_loads: 1.0,
         has_been_saturated: true,
     };
     let mut window = LoadConcurrency::new(limit);
-    window.record_order(Timestamp(0), &engine(0), 4, ALONE);
+    window.record_order(Timestamp(0), &engine(0), 4, SINGLE_LOAD_TIME);
     assert!(!window.allows(Timestamp(5_000), 0));
     window.record_idle(Timestamp(100), &engine(0), 4);
     assert!(
@@ -126,21 +141,27 @@
     assert!(window.allows(Timestamp(5_000), 0));
     assert!(
         !window.allows(Timestamp(5_000), 1),
-        "one is about to be ordered"
+        "one order is about to be sent"
     );
 }
 
 #[test]
-fn an_order_without_an_answer_counts_and_tells_nothing_of_the_store() {
+fn an_order_without_a_response_counts_and_leaves_the_estimate_unchanged() {
     let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
     let before = window.estimate();
     for number in 0..8 {
-        window.record_order(Timestamp(0), &engine(number), 0, ALONE);
+        window.record_order(Timestamp(0), &engine(number), 0, SINGLE_LOAD_TIME);
         window.record_no_response(&engine(number));
     }
     window.cancel_order(&engine(0));
-    assert!(!window.allows(Timestamp(12_000), 0), "it may have begun");
-    assert!(window.allows(Timestamp(20_000), 7), "it never did");
+    assert!(
+        !window.allows(Timestamp(12_000), 0),
+        "the load may have begun"
+    );
+    assert!(
+        window.allows(Timestamp(20_000), 7),
+        "the load can no longer begin"
+    );
     for number in 0..8 {
         window.record_idle(Timestamp(30_000), &engine(number), 1);
     }
@@ -149,10 +170,10 @@
 }
 
 #[test]
-fn engines_that_are_gone_or_silent_give_their_place_back() {
+fn loads_of_removed_or_silent_engines_stop_counting() {
     let mut window = LoadConcurrency::new(LoadConcurrencyEstimate::default());
     for number in 0..8 {
-        window.record_order(Timestamp(0), &engine(number), 0, ALONE);
+        window.record_order(Timestamp(0), &engine(number), 0, SINGLE_LOAD_TIME);
     }
     assert!(!window.allows(Timestamp(5_000), 0));
     window.remove(&engine(3));
@@ -162,7 +183,7 @@
 }
 
 #[test]
-fn the_next_holder_counts_what_a_former_one_ordered() {
+fn the_next_holder_counts_loads_that_the_previous_holder_ordered() {
     let limit = LoadConcurrencyEstimate {
         max_loads: 2.0,
         has_been_saturated: true,
@@ -176,14 +197,14 @@
 }
 
 #[test]
-fn a_row_that_makes_no_sense_allows_one_load() {
-    for at_once in [0.0, -3.0, f64::NAN] {
+fn an_invalid_stored_estimate_permits_one_load() {
+    for max_loads in [0.0, -3.0, f64::NAN] {
         let mut window = LoadConcurrency::new(LoadConcurrencyEstimate {
-            max_loads: at_once,
+            max_loads,
             has_been_saturated: true,
         });
-        assert!(window.allows(Timestamp(0), 0), "{at_once}");
-        round(&mut window, 0, 0..1, 30_000);
-        assert!(window.allows(Timestamp(40_000), 0), "{at_once}");
+        assert!(window.allows(Timestamp(0), 0), "{max_loads}");
+        record_loads(&mut window, 0, 0..1, 30_000);
+        assert!(window.allows(Timestamp(40_000), 0), "{max_loads}");
     }
 }
--- a/crates/fleet/tests/pacer.rs
+++ b/crates/fleet/tests/pacer.rs
@@ -1,4 +1,4 @@
-//! Times at which gateways may send to back ends that state a limit.
+//! Tests the pacer, which assigns send times for requests to back ends that state a rate limit.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::pacer::{BURST_MS, MAX_LEAD_MS, Pacer, SendTime};
@@ -6,31 +6,33 @@
 
 const ENGINE: u64 = 7;
 
-/// What users look at: no more than half as much again as the limit in four seconds, and five.
-const USERS_SPAN: f64 = 4_000.0;
+/// The span of the requirement that the paced requests must meet: in any 4 s, a back end receives at
+/// most 1.5 times the requests that its limit permits, plus 5.
+const CHECKED_SPAN_MS: f64 = 4_000.0;
 
-/// A gateway that has counted for long enough to give out times at any rate.
-fn settled() -> (Pacer, u64) {
+/// Returns a pacer that has been running long enough to assign times at any rate, and the time.
+fn settled_pacer() -> (Pacer, u64) {
     (Pacer::new(Timestamp(0)), MAX_LEAD_MS + 10_000)
 }
 
 #[test]
-fn times_follow_each_other_at_the_rate() {
-    let (mut pacer, now) = settled();
-    let take = |pacer: &mut Pacer, now, most| pacer.assign(Timestamp(now), ENGINE, 2.0, most);
-    // After a rest the first one counts as a tenth of a second old.
-    assert_eq!(take(&mut pacer, now, 0), SendTime::In(0));
-    assert_eq!(take(&mut pacer, now, 0), SendTime::Later(400));
-    assert_eq!(take(&mut pacer, now, 600), SendTime::In(400));
-    assert_eq!(take(&mut pacer, now, 9_000), SendTime::In(900));
+fn send_times_follow_each_other_at_the_rate() {
+    let (mut pacer, now) = settled_pacer();
+    let assign =
+        |pacer: &mut Pacer, now, max_wait| pacer.assign(Timestamp(now), ENGINE, 2.0, max_wait);
+    // After an idle period the first request counts as sent 0.1 s ago.
+    assert_eq!(assign(&mut pacer, now, 0), SendTime::In(0));
+    assert_eq!(assign(&mut pacer, now, 0), SendTime::Later(400));
+    assert_eq!(assign(&mut pacer, now, 600), SendTime::In(400));
+    assert_eq!(assign(&mut pacer, now, 9_000), SendTime::In(900));
     let too_far_ahead = SendTime::Later(1_400);
-    assert_eq!(take(&mut pacer, now, 9_000), too_far_ahead);
-    // A time that was refused is nobody's.
-    assert_eq!(take(&mut pacer, now + 1_400, 0), SendTime::In(0));
+    assert_eq!(assign(&mut pacer, now, 9_000), too_far_ahead);
+    // A refused time is not reserved.
+    assert_eq!(assign(&mut pacer, now + 1_400, 0), SendTime::In(0));
 }
 
 #[test]
-fn whoever_begins_to_count_leaves_room_for_what_the_former_one_gave_out() {
+fn a_new_pacer_leaves_room_for_times_that_its_predecessor_assigned() {
     let mut pacer = Pacer::new(Timestamp(5_000));
     assert_eq!(
         pacer.assign(Timestamp(5_200), ENGINE, 4.0, 0),
@@ -43,8 +45,8 @@
 }
 
 #[test]
-fn each_back_end_has_its_own_times() {
-    let (mut pacer, now) = settled();
+fn each_back_end_is_paced_separately() {
+    let (mut pacer, now) = settled_pacer();
     assert_eq!(pacer.assign(Timestamp(now), 1, 1.0, 0), SendTime::In(0));
     assert_eq!(pacer.assign(Timestamp(now), 2, 1.0, 0), SendTime::In(0));
     assert_eq!(
@@ -53,10 +55,11 @@
     );
 }
 
-/// One that takes nothing has to be asked some time whether it still says so.
+/// A back end with a limit of zero needs a request from time to time, because only its response can
+/// show that the limit has changed.
 #[test]
-fn a_back_end_that_takes_nothing_is_asked_now_and_then() {
-    let (mut pacer, now) = settled();
+fn a_back_end_with_a_zero_limit_gets_an_occasional_request() {
+    let (mut pacer, now) = settled_pacer();
     assert_eq!(
         pacer.assign(Timestamp(now), ENGINE, 0.0, 0),
         SendTime::In(0)
@@ -68,8 +71,8 @@
 }
 
 #[test]
-fn a_rate_that_rises_counts_at_once() {
-    let (mut pacer, now) = settled();
+fn a_raised_rate_takes_effect_at_once() {
+    let (mut pacer, now) = settled_pacer();
     assert_eq!(
         pacer.assign(Timestamp(now), ENGINE, 0.1, 0),
         SendTime::In(0)
@@ -83,31 +86,32 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Several gateways count one after the other; each begins when the former one has stopped.
+    /// Several gateways run the pacer one after the other; each begins when the previous one has
+    /// stopped.
     #[test]
-    fn no_span_holds_more_than_the_rate(
+    fn no_span_exceeds_the_rate(
         rate in 0.1..200.0_f64,
-        asks in proptest::collection::vec((0..400_u64, 0..3_000_u64, 0..60_u32), 1..400),
+        requests in proptest::collection::vec((0..400_u64, 0..3_000_u64, 0..60_u32), 1..400),
     ) {
         let mut pacer = Pacer::new(Timestamp(0));
         let mut now = 0;
         let mut times: Vec<f64> = Vec::new();
-        for (pause, most_wait, turn) in asks {
-            now += pause;
-            if turn == 0 {
+        for (elapsed, max_wait, restart) in requests {
+            now += elapsed;
+            if restart == 0 {
                 pacer = Pacer::new(Timestamp(now));
             }
-            if let SendTime::In(wait) = pacer.assign(Timestamp(now), ENGINE, rate, most_wait) {
-                prop_assert!(wait <= most_wait.min(MAX_LEAD_MS));
+            if let SendTime::In(wait) = pacer.assign(Timestamp(now), ENGINE, rate, max_wait) {
+                prop_assert!(wait <= max_wait.min(MAX_LEAD_MS));
                 times.push((now + wait) as f64);
             }
         }
         times.sort_by(f64::total_cmp);
-        for (index, begin) in times.iter().enumerate() {
-            let within = times[index..].iter().filter(|time| **time - begin < USERS_SPAN);
-            let most = rate * (USERS_SPAN + BURST_MS) / 1_000.0 + 1.0;
-            prop_assert!(within.count() as f64 <= most, "more than {most}");
-            prop_assert!(most <= rate * 6.0 + 5.0, "within what users allow");
+        for (index, start) in times.iter().enumerate() {
+            let within = times[index..].iter().filter(|time| **time - start < CHECKED_SPAN_MS);
+            let max_sends = rate * (CHECKED_SPAN_MS + BURST_MS) / 1_000.0 + 1.0;
+            prop_assert!(within.count() as f64 <= max_sends, "more than {max_sends}");
+            prop_assert!(max_sends <= rate * 6.0 + 5.0, "the bound of the pacer must be within the requirement");
         }
     }
 }
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -1,4 +1,5 @@
-//! Which requests are kept away from back ends, as gateways tell each other of ends.
+//! Tests which requests are quarantined when gateways exchange notices of crashes and of served
+//! requests.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,7 +15,7 @@
     Fingerprint::of(&[&[number]])
 }
 
-fn end(quarantine: &mut Quarantine, at: u64, number: u8, back_end: &str) {
+fn record_crash(quarantine: &mut Quarantine, at: u64, number: u8, back_end: &str) {
     quarantine.record_crash(
         Timestamp(at),
         request(number),
@@ -22,16 +23,16 @@
     );
 }
 
-fn is_kept_away(quarantine: &Quarantine, at: u64, number: u8) -> bool {
+fn is_quarantined(quarantine: &Quarantine, at: u64, number: u8) -> bool {
     quarantine
         .remaining_ms(Timestamp(at), request(number))
         .is_some()
 }
 
-/// Tells everything that one knows to another.
-fn tell_all(at: u64, from: &Quarantine, to: &mut Quarantine) {
-    let told = from.notices_since(Timestamp(at), None);
-    to.merge(Timestamp(at), &told, EventSource::Beside);
+/// Sends all notices of one gateway to another.
+fn send_all(at: u64, from: &Quarantine, to: &mut Quarantine) {
+    let notices = from.notices_since(Timestamp(at), None);
+    to.merge(Timestamp(at), &notices, EventSource::Beside);
 }
 
 #[test]
@@ -43,28 +44,29 @@
 }
 
 #[test]
-fn the_third_end_keeps_a_request_away_and_says_for_how_long() {
+fn the_third_crash_quarantines_a_request_for_a_given_time() {
     let mut quarantine = Quarantine::new(1);
-    end(&mut quarantine, 1_000, 1, "i-1");
-    end(&mut quarantine, 2_000, 1, "i-2");
-    // Several of its copies were there.
-    end(&mut quarantine, 2_000, 1, "i-2");
-    assert!(!is_kept_away(&quarantine, 2_000, 1));
-    end(&mut quarantine, 3_000, 1, "i-3");
-    let left = quarantine.remaining_ms(Timestamp(4_000), request(1));
-    assert_eq!(left, Some(QUARANTINE_MS - 1_000));
+    record_crash(&mut quarantine, 1_000, 1, "i-1");
+    record_crash(&mut quarantine, 2_000, 1, "i-2");
+    // Several copies of the request were running on the same back end.
+    record_crash(&mut quarantine, 2_000, 1, "i-2");
+    assert!(!is_quarantined(&quarantine, 2_000, 1));
+    record_crash(&mut quarantine, 3_000, 1, "i-3");
+    let remaining = quarantine.remaining_ms(Timestamp(4_000), request(1));
+    assert_eq!(remaining, Some(QUARANTINE_MS - 1_000));
 }
 
-/// Guards against storing an arbitrary subset when there are more verdicts than the row holds:
-/// expired verdicts could displace those in force, and gateways could store different subsets.
+/// Guards against storing an arbitrary subset when there are more quarantine entries than the row
+/// holds: expired entries could displace entries in force, and gateways could store different
+/// subsets.
 #[test]
-fn verdict_events_keeps_the_newest_verdicts() {
-    const VERDICTS: u8 = 100;
+fn entry_notices_keeps_the_newest_entries() {
+    const ENTRIES: u8 = 100;
     let mut quarantine = Quarantine::new(1);
-    for number in 0..VERDICTS {
+    for number in 0..ENTRIES {
         for back_end in 0..3 {
             let at = u64::from(number) * 1_000 + back_end;
-            end(
+            record_crash(
                 &mut quarantine,
                 at,
                 number,
@@ -72,88 +74,94 @@
             );
         }
     }
-    assert_eq!(quarantine.quarantined_count(), usize::from(VERDICTS));
+    assert_eq!(quarantine.quarantined_count(), usize::from(ENTRIES));
     let events = quarantine.entry_notices(Timestamp(200_000));
-    let kept_requests: BTreeSet<Fingerprint> =
+    let stored_requests: BTreeSet<Fingerprint> =
         events.iter().map(|event| event.fingerprint).collect();
-    let newest_requests: BTreeSet<Fingerprint> = (40..VERDICTS).map(request).collect();
-    assert_eq!(kept_requests, newest_requests);
+    let newest_requests: BTreeSet<Fingerprint> = (40..ENTRIES).map(request).collect();
+    assert_eq!(stored_requests, newest_requests);
 }
 
 #[test]
-fn after_a_verdict_one_more_end_is_enough() {
+fn after_a_quarantine_one_more_crash_is_enough() {
     let mut quarantine = Quarantine::new(1);
     for (at, back_end) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
-        end(&mut quarantine, at, 1, back_end);
+        record_crash(&mut quarantine, at, 1, back_end);
     }
     let later = QUARANTINE_MS + 2;
-    assert!(is_kept_away(&quarantine, later - 1, 1));
-    assert!(!is_kept_away(&quarantine, later, 1));
-    end(&mut quarantine, later, 1, "i-4");
-    assert!(is_kept_away(&quarantine, later + QUARANTINE_MS - 1, 1));
+    assert!(is_quarantined(&quarantine, later - 1, 1));
+    assert!(!is_quarantined(&quarantine, later, 1));
+    record_crash(&mut quarantine, later, 1, "i-4");
+    assert!(is_quarantined(&quarantine, later + QUARANTINE_MS - 1, 1));
 }
 
 #[test]
-fn what_ran_beside_it_is_let_go_once_it_ends_a_back_end_alone() {
+fn a_request_that_ran_beside_the_cause_is_cleared_once_the_cause_crashes_a_back_end_alone() {
     let mut quarantine = Quarantine::new(1);
     for (at, back_end) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
-        end(&mut quarantine, at, 1, back_end);
-        end(&mut quarantine, at, 2, back_end);
+        record_crash(&mut quarantine, at, 1, back_end);
+        record_crash(&mut quarantine, at, 2, back_end);
     }
-    assert!(is_kept_away(&quarantine, 10, 1) && is_kept_away(&quarantine, 10, 2));
-    end(&mut quarantine, 11, 1, "i-4");
-    assert!(is_kept_away(&quarantine, 12, 1));
-    assert!(!is_kept_away(&quarantine, 12, 2), "it was beside the first");
+    assert!(is_quarantined(&quarantine, 10, 1) && is_quarantined(&quarantine, 10, 2));
+    record_crash(&mut quarantine, 11, 1, "i-4");
+    assert!(is_quarantined(&quarantine, 12, 1));
+    assert!(
+        !is_quarantined(&quarantine, 12, 2),
+        "the request was running beside the cause"
+    );
 }
 
 #[test]
-fn of_two_that_end_back_ends_the_second_is_found_as_soon_as_it_does_so_alone() {
+fn the_second_of_two_causes_is_quarantined_once_it_crashes_a_back_end_alone() {
     let mut quarantine = Quarantine::new(1);
     for back_end in ["i-1", "i-2", "i-3", "i-4"] {
-        end(&mut quarantine, 0, 1, back_end);
+        record_crash(&mut quarantine, 0, 1, back_end);
     }
     for back_end in ["i-2", "i-3"] {
-        end(&mut quarantine, 0, 2, back_end);
+        record_crash(&mut quarantine, 0, 2, back_end);
     }
-    assert!(!is_kept_away(&quarantine, 1, 2));
-    end(&mut quarantine, 1, 2, "i-5");
-    assert!(is_kept_away(&quarantine, 2, 2));
+    assert!(!is_quarantined(&quarantine, 1, 2));
+    record_crash(&mut quarantine, 1, 2, "i-5");
+    assert!(is_quarantined(&quarantine, 2, 2));
 }
 
 #[test]
-fn a_request_that_was_served_is_innocent_of_what_ended_before() {
+fn a_served_request_is_cleared_of_earlier_crashes() {
     let mut quarantine = Quarantine::new(1);
     for (at, back_end) in [(0, "i-1"), (1, "i-2"), (2, "i-3")] {
-        end(&mut quarantine, at, 1, back_end);
+        record_crash(&mut quarantine, at, 1, back_end);
     }
     quarantine.record_served(Timestamp(2_000), request(1));
-    assert!(!is_kept_away(&quarantine, 2_000, 1));
-    end(&mut quarantine, 40_000, 1, "i-4");
-    end(&mut quarantine, 40_001, 1, "i-5");
-    assert!(!is_kept_away(&quarantine, 40_001, 1));
-    end(&mut quarantine, 40_002, 1, "i-6");
-    assert!(is_kept_away(&quarantine, 40_002, 1), "it ended three since");
+    assert!(!is_quarantined(&quarantine, 2_000, 1));
+    record_crash(&mut quarantine, 40_000, 1, "i-4");
+    record_crash(&mut quarantine, 40_001, 1, "i-5");
+    assert!(!is_quarantined(&quarantine, 40_001, 1));
+    record_crash(&mut quarantine, 40_002, 1, "i-6");
+    assert!(
+        is_quarantined(&quarantine, 40_002, 1),
+        "the request has crashed three back ends since"
+    );
 }
 
-/// Many callers ask for the same thing; three back ends end at once under it.
+/// Many callers send the same request, and three back ends that run it crash for another reason.
 #[test]
-fn a_gateway_that_served_it_of_late_vouches_for_it_to_all() {
+fn a_gateway_that_served_a_request_recently_clears_it_at_all_gateways() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
     other.record_served(Timestamp(500), request(1));
     for back_end in ["i-1", "i-2", "i-3"] {
-        end(&mut one, 9_000, 1, back_end);
+        record_crash(&mut one, 9_000, 1, back_end);
     }
-    assert!(is_kept_away(&one, 9_000, 1));
-    tell_all(9_100, &one, &mut other);
-    assert!(!is_kept_away(&other, 9_100, 1));
-    tell_all(9_200, &other, &mut one);
-    assert!(!is_kept_away(&one, 9_200, 1));
+    assert!(is_quarantined(&one, 9_000, 1));
+    send_all(9_100, &one, &mut other);
+    assert!(!is_quarantined(&other, 9_100, 1));
+    send_all(9_200, &other, &mut one);
+    assert!(!is_quarantined(&one, 9_200, 1));
 }
 
-/// The first acquittal was a moment ago, and the ends after it are cleared all the same.
+/// The request was cleared a moment before; crashes after that are cleared as well.
 #[test]
-fn a_request_that_is_served_elsewhere_is_not_kept_away_however_many_end_at_once() {
+fn a_request_served_elsewhere_is_not_quarantined_by_simultaneous_crashes() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
     other.record_served(Timestamp(500), request(1));
@@ -162,54 +170,54 @@
         .enumerate()
     {
         let now = 9_000 + number as u64;
-        end(&mut one, now, 1, back_end);
-        tell_all(now, &one, &mut other);
-        tell_all(now, &other, &mut one);
+        record_crash(&mut one, now, 1, back_end);
+        send_all(now, &one, &mut other);
+        send_all(now, &other, &mut one);
     }
-    assert!(!is_kept_away(&one, 9_010, 1) && !is_kept_away(&other, 9_010, 1));
+    assert!(!is_quarantined(&one, 9_010, 1) && !is_quarantined(&other, 9_010, 1));
 }
 
 #[test]
-fn ends_that_several_gateways_saw_add_up_and_count_once() {
+fn crashes_seen_by_several_gateways_add_up_and_count_once() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
-    end(&mut one, 0, 1, "i-1");
-    end(&mut one, 0, 1, "i-2");
-    end(&mut other, 0, 1, "i-2");
-    tell_all(10, &one, &mut other);
-    assert!(!is_kept_away(&other, 10, 1), "two back ends");
-    end(&mut other, 20, 1, "i-3");
-    tell_all(30, &other, &mut one);
-    assert!(is_kept_away(&one, 30, 1) && is_kept_away(&other, 30, 1));
+    record_crash(&mut one, 0, 1, "i-1");
+    record_crash(&mut one, 0, 1, "i-2");
+    record_crash(&mut other, 0, 1, "i-2");
+    send_all(10, &one, &mut other);
+    assert!(!is_quarantined(&other, 10, 1), "two back ends");
+    record_crash(&mut other, 20, 1, "i-3");
+    send_all(30, &other, &mut one);
+    assert!(is_quarantined(&one, 30, 1) && is_quarantined(&other, 30, 1));
 }
 
 #[test]
-fn what_is_told_round_in_a_ring_comes_to_rest() {
+fn notices_that_go_round_in_a_cycle_die_out() {
     let mut one = Quarantine::new(1);
     let mut other = Quarantine::new(2);
-    end(&mut one, 0, 1, "i-1");
+    record_crash(&mut one, 0, 1, "i-1");
     other.record_served(Timestamp(5), request(1));
     for round in 0..10 {
-        tell_all(10 + round, &one, &mut other);
-        tell_all(10 + round, &other, &mut one);
+        send_all(10 + round, &one, &mut other);
+        send_all(10 + round, &other, &mut one);
     }
-    let (former, latter) = (one.position(), other.position());
-    tell_all(50, &one, &mut other);
-    tell_all(50, &other, &mut one);
-    assert_eq!((one.position(), other.position()), (former, latter));
+    let positions = (one.position(), other.position());
+    send_all(50, &one, &mut other);
+    send_all(50, &other, &mut one);
+    assert_eq!((one.position(), other.position()), positions);
 }
 
 #[test]
-fn only_what_is_new_is_told_and_only_what_was_seen_below_goes_up() {
+fn only_new_notices_are_sent_and_only_those_of_the_subtree_go_to_the_parent() {
     let mut quarantine = Quarantine::new(1);
-    assert!(!quarantine.is_ahead_of(None), "there is nothing to tell");
-    end(&mut quarantine, 0, 1, "i-1");
-    let told_above = OutcomeNotice {
+    assert!(!quarantine.is_ahead_of(None), "there is nothing to send");
+    record_crash(&mut quarantine, 0, 1, "i-1");
+    let notice_from_above = OutcomeNotice {
         fingerprint: request(2),
         outcome: RunOutcome::Ended(7),
         age: 3,
     };
-    quarantine.merge(Timestamp(5), &[told_above], EventSource::Beside);
+    quarantine.merge(Timestamp(5), &[notice_from_above], EventSource::Beside);
     assert_eq!(quarantine.notices_since(Timestamp(5), None).len(), 2);
     assert_eq!(
         quarantine.subtree_notices_since(Timestamp(5), None).len(),
@@ -218,32 +226,33 @@
     let position = Some(quarantine.position());
     assert!(!quarantine.is_ahead_of(position));
     assert!(quarantine.notices_since(Timestamp(5), position).is_empty());
-    end(&mut quarantine, 6, 1, "i-2");
+    record_crash(&mut quarantine, 6, 1, "i-2");
     assert_eq!(quarantine.notices_since(Timestamp(9), position)[0].age, 3);
-    let of_a_former_process = Quarantine::new(2).position();
+    let position_of_another_process = Quarantine::new(2).position();
     assert_eq!(
         quarantine
-            .notices_since(Timestamp(9), Some(of_a_former_process))
+            .notices_since(Timestamp(9), Some(position_of_another_process))
             .len(),
         3
     );
 }
 
-/// One that starts later learns how old a verdict is, so that it ends everywhere at once.
+/// A gateway that starts later learns the age of a quarantine entry, so that the entry expires
+/// everywhere at the same time.
 #[test]
-fn a_verdict_is_as_old_at_a_gateway_that_has_just_started() {
+fn a_quarantine_entry_keeps_its_age_at_a_gateway_that_has_just_started() {
     let mut old = Quarantine::new(1);
     for back_end in ["i-1", "i-2", "i-3"] {
-        end(&mut old, 0, 1, back_end);
+        record_crash(&mut old, 0, 1, back_end);
     }
-    let mut young = Quarantine::new(2);
-    let told = old.notices_since(Timestamp(QUARANTINE_MS - 1_000), None);
-    young.merge(Timestamp(10), &told, EventSource::Beside);
-    assert_eq!(young.remaining_ms(Timestamp(10), request(1)), Some(1_000));
+    let mut new = Quarantine::new(2);
+    let notices = old.notices_since(Timestamp(QUARANTINE_MS - 1_000), None);
+    new.merge(Timestamp(10), &notices, EventSource::Beside);
+    assert_eq!(new.remaining_ms(Timestamp(10), request(1)), Some(1_000));
 }
 
 #[test]
-fn a_flood_of_ends_is_forgotten_from_its_beginning() {
+fn the_oldest_of_many_crashes_are_forgotten_first() {
     let mut quarantine = Quarantine::new(1);
     for number in 0..20_000_u32 {
         let fingerprint = Fingerprint::of(&[&number.to_le_bytes()]);
@@ -256,30 +265,30 @@
     }
     assert!(quarantine.notices_since(Timestamp(20_000), None).len() <= 4_096);
     for back_end in ["i-a", "i-b", "i-c"] {
-        end(&mut quarantine, 20_001, 1, back_end);
+        record_crash(&mut quarantine, 20_001, 1, back_end);
     }
-    assert!(is_kept_away(&quarantine, 20_002, 1));
+    assert!(is_quarantined(&quarantine, 20_002, 1));
 }
 
 proptest! {
-    /// Whoever is blamed was there when three ended; and every back end at whose end
-    /// somebody to blame was there has one who is blamed.
+    /// A blamed request was running at three crashes or more, and every crash at which such a request
+    /// was running is attributed to a blamed request.
     #[test]
-    fn blame_needs_three_ends_and_leaves_none_that_could_be_explained(
-        there in proptest::collection::vec((0_u8..6, 0_u64..12), 0..60)
+    fn blame_needs_three_crashes_and_explains_all_that_it_can(
+        running in proptest::collection::vec((0_u8..6, 0_u64..12), 0..60)
     ) {
-        let mut ends: HashMap<Fingerprint, BTreeSet<u64>> = HashMap::new();
-        for (number, back_end) in there {
-            ends.entry(request(number)).or_default().insert(back_end);
+        let mut crashes: HashMap<Fingerprint, BTreeSet<u64>> = HashMap::new();
+        for (number, back_end) in running {
+            crashes.entry(request(number)).or_default().insert(back_end);
         }
-        let blamed = attribute_crashes(&ends);
+        let blamed = attribute_crashes(&crashes);
         for fingerprint in &blamed {
-            prop_assert!(ends[fingerprint].len() >= MIN_CRASHES);
+            prop_assert!(crashes[fingerprint].len() >= MIN_CRASHES);
         }
-        let explained: BTreeSet<u64> = blamed.iter().flat_map(|it| ends[it].clone()).collect();
-        for (fingerprint, ends) in &ends {
-            if ends.len() >= MIN_CRASHES {
-                prop_assert!(blamed.contains(fingerprint) || ends.is_subset(&explained));
+        let explained: BTreeSet<u64> = blamed.iter().flat_map(|it| crashes[it].clone()).collect();
+        for (fingerprint, crashed) in &crashes {
+            if crashed.len() >= MIN_CRASHES {
+                prop_assert!(blamed.contains(fingerprint) || crashed.is_subset(&explained));
             }
         }
     }
--- a/crates/fleet/tests/reading.rs
+++ b/crates/fleet/tests/reading.rs
@@ -1,4 +1,5 @@
-//! How long engines read prompts, and the choice that follows from it.
+//! Tests the estimates of prefill times, the exchange of prefill speeds between gateways, the choice
+//! of a back end by them, and the record of cached prefixes.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::choice::{Candidate, cheapest};
@@ -7,10 +8,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-/// Time between two events at an engine of usual speed, in milliseconds.
-const GAP: f64 = 20.0;
-/// Time in which such an engine reads a token, in milliseconds.
-const READ: f64 = 0.05;
+/// Time between two events of a stream at an engine of usual speed.
+const GAP_MS: f64 = 20.0;
+/// Time that the prefill of a token takes at an engine of usual speed.
+const PREFILL_MS_PER_TOKEN: f64 = 0.05;
 
 fn part(id: &str, tokens: u32) -> PromptPart {
     PromptPart {
@@ -19,10 +20,10 @@
     }
 }
 
-/// A well back end near by that is connected to.
-fn candidate(in_flight: u32, stall: f64, relative_pace: f64) -> Candidate {
+/// Returns a healthy, connected back end in the same zone.
+fn candidate(running: u32, stall: f64, relative_gap: f64) -> Candidate {
     Candidate {
-        running: in_flight,
+        running,
         slots: 0,
         is_in_same_zone: true,
         failure_rate: 0.0,
@@ -30,7 +31,7 @@
         has_cached_prefix: false,
         is_connected: true,
         stall,
-        relative_gap: relative_pace,
+        relative_gap,
     }
 }
 
@@ -44,27 +45,27 @@
     ModelId::from("m")
 }
 
-/// A model that has seen streams at engines of these speeds.
-fn learned(speeds: &[f64]) -> PrefillModel {
-    let mut reading = PrefillModel::default();
+/// Returns a model that has observed streams at engines with these relative gaps.
+fn trained_model(speeds: &[f64]) -> PrefillModel {
+    let mut prefill_model = PrefillModel::default();
     for round in 0..300 {
         let number = round % speeds.len();
-        // Every tenth event waits for the reading of another prompt.
-        let waits = if round % 10 == 0 { 90.0 } else { 0.0 };
-        let gap = (GAP + waits) * speeds[number];
-        reading.record_gap(NOW, &engine(number), &model(), gap);
-        let latency = (1_000.0 * READ + waits) * speeds[number];
-        reading.record_prefill(NOW, &engine(number), &model(), latency, 1_000);
+        // Every tenth event waits for the prefill of another prompt.
+        let wait = if round % 10 == 0 { 90.0 } else { 0.0 };
+        let gap = (GAP_MS + wait) * speeds[number];
+        prefill_model.record_gap(NOW, &engine(number), &model(), gap);
+        let latency = (1_000.0 * PREFILL_MS_PER_TOKEN + wait) * speeds[number];
+        prefill_model.record_prefill(NOW, &engine(number), &model(), latency, 1_000);
     }
-    reading
+    prefill_model
 }
 
 #[test]
-fn a_slow_engine_is_expected_to_read_longer() {
-    let reading = learned(&[1.0, 1.3]);
+fn a_slow_engine_has_a_longer_expected_prefill_time() {
+    let prefill_model = trained_model(&[1.0, 1.3]);
     let time = |number: usize| {
-        let time = reading.prefill_time(NOW, &engine(number), &model(), 4_000);
-        time.expect("something was learned")
+        let time = prefill_model.prefill_time(NOW, &engine(number), &model(), 4_000);
+        time.expect("the model has observations")
     };
     assert!((170.0..250.0).contains(&time(0)), "{}", time(0));
     let ratio = time(1) / time(0);
@@ -72,87 +73,94 @@
 }
 
 #[test]
-fn an_unknown_engine_is_expected_to_be_like_the_others() {
-    let reading = learned(&[1.0, 1.0]);
-    let time = reading.prefill_time(NOW, &engine(7), &model(), 4_000);
+fn an_unknown_engine_is_expected_to_be_as_fast_as_the_others() {
+    let prefill_model = trained_model(&[1.0, 1.0]);
+    let time = prefill_model.prefill_time(NOW, &engine(7), &model(), 4_000);
     let time = time.expect("the model is known");
     assert!((150.0..300.0).contains(&time), "{time}");
     assert_eq!(
-        reading.prefill_time(NOW, &engine(7), &"other".into(), 10),
+        prefill_model.prefill_time(NOW, &engine(7), &"other".into(), 10),
         None
     );
 }
 
-/// Found on tks-indoor, quiet-1: gateways that had sent nothing to a slow engine
-/// sent it prompts of 4,000 tokens, one after the other.
+/// Guards against learning only from a gateway's own requests: gateways that had not used a slow
+/// engine yet sent it prompts of 4,000 tokens, one after the other.
 #[test]
-fn a_gateway_knows_a_slow_engine_from_what_others_saw() {
-    let mut busy = learned(&[1.0, 1.3]);
-    let mut other = learned(&[1.0, 1.3]);
+fn a_gateway_knows_a_slow_engine_from_observations_of_others() {
+    let mut busy = trained_model(&[1.0, 1.3]);
+    let mut other = trained_model(&[1.0, 1.3]);
     let row = PrefillSpeedRow::merge(&[busy.sample(NOW, 9), other.sample(NOW, 9)]);
-    let mut new = PrefillModel::default();
-    assert_eq!(new.prefill_time(NOW, &engine(1), &model(), 4_000), None);
-    new.set_merged(row);
+    let mut new_gateway = PrefillModel::default();
+    assert_eq!(
+        new_gateway.prefill_time(NOW, &engine(1), &model(), 4_000),
+        None
+    );
+    new_gateway.set_merged(row);
     let time = |number: usize| {
-        let time = new.prefill_time(NOW, &engine(number), &model(), 4_000);
-        time.expect("others have told")
+        let time = new_gateway.prefill_time(NOW, &engine(number), &model(), 4_000);
+        time.expect("other gateways have sent their speeds")
     };
     let ratio = time(1) / time(0);
     assert!((1.2..1.4).contains(&ratio), "{ratio}");
 }
 
-/// An engine that has just turned slow is known as such by who uses it.
+/// A gateway that uses an engine notices first that the engine has become slow.
 #[test]
-fn own_events_of_late_are_believed_more_than_what_others_saw() {
-    let mut reading = learned(&[1.0]);
-    let told = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
-    reading.set_merged(told.clone());
-    let before = reading.prefill_time(NOW, &engine(0), &model(), 4_000);
+fn recent_own_observations_outweigh_those_of_others() {
+    let mut prefill_model = trained_model(&[1.0]);
+    let row = PrefillSpeedRow::merge(&[prefill_model.sample(NOW, 9)]);
+    prefill_model.set_merged(row.clone());
+    let before = prefill_model.prefill_time(NOW, &engine(0), &model(), 4_000);
     for _ in 0..100 {
-        reading.record_gap(NOW, &engine(0), &model(), GAP * 3.0);
+        prefill_model.record_gap(NOW, &engine(0), &model(), GAP_MS * 3.0);
     }
-    let after = reading.prefill_time(NOW, &engine(0), &model(), 4_000);
+    let after = prefill_model.prefill_time(NOW, &engine(0), &model(), 4_000);
     assert!(
         after > before.map(|time| time * 2.0),
         "{before:?} {after:?}"
     );
     let later = Timestamp(NOW.0 + 6_000);
-    let old = reading.prefill_time(later, &engine(0), &model(), 4_000);
-    let mut told_only = PrefillModel::default();
-    told_only.set_merged(told);
-    let told = told_only.prefill_time(later, &engine(0), &model(), 4_000);
-    assert_eq!(old, told, "then it counts no more");
+    let old = prefill_model.prefill_time(later, &engine(0), &model(), 4_000);
+    let mut merged_only = PrefillModel::default();
+    merged_only.set_merged(row);
+    let merged = merged_only.prefill_time(later, &engine(0), &model(), 4_000);
+    assert_eq!(
+        old, merged,
+        "old observations of the gateway itself no longer count"
+    );
 }
 
 #[test]
-fn a_row_is_news_only_when_it_says_something_else() {
-    let mut reading = learned(&[1.0, 1.3]);
-    let told = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
-    assert!(told.differs_from(&PrefillSpeedRow::default()));
-    assert!(!told.differs_from(&told));
-    let mut near = told.clone();
-    *near
+fn a_row_differs_only_if_a_speed_changed_significantly() {
+    let mut prefill_model = trained_model(&[1.0, 1.3]);
+    let row = PrefillSpeedRow::merge(&[prefill_model.sample(NOW, 9)]);
+    assert!(row.differs_from(&PrefillSpeedRow::default()));
+    assert!(!row.differs_from(&row));
+    let mut slightly_changed = row.clone();
+    *slightly_changed
         .engines
         .get_mut(&engine(0))
         .unwrap()
         .get_mut(&model())
         .unwrap() *= 1.05;
-    assert!(!near.differs_from(&told));
-    let mut far = told.clone();
-    *far.engines
+    assert!(!slightly_changed.differs_from(&row));
+    let mut clearly_changed = row.clone();
+    *clearly_changed
+        .engines
         .get_mut(&engine(0))
         .unwrap()
         .get_mut(&model())
         .unwrap() *= 1.2;
-    assert!(far.differs_from(&told));
+    assert!(clearly_changed.differs_from(&row));
 }
 
-/// A holder that has just begun has heard little: what is told stays, but for
-/// engines that are gone.
+/// A new holder has received few samples, so it keeps the speeds of the previous row, except for
+/// engines that no longer exist.
 #[test]
-fn what_nobody_has_seen_of_late_is_kept_while_the_engine_is_there() {
-    let mut reading = learned(&[1.0, 1.3]);
-    let earlier = PrefillSpeedRow::merge(&[reading.sample(NOW, 9)]);
+fn speeds_without_recent_observations_are_kept_while_the_engine_exists() {
+    let mut prefill_model = trained_model(&[1.0, 1.3]);
+    let earlier = PrefillSpeedRow::merge(&[prefill_model.sample(NOW, 9)]);
     let mut row = PrefillSpeedRow::default();
     row.fill_from(&earlier, |id| *id == engine(1));
     assert_eq!(row.gap(&engine(0), &model()), None);
@@ -161,25 +169,29 @@
         earlier.gap(&engine(1), &model())
     );
     assert_eq!(row.gaps_per_token, earlier.gaps_per_token);
-    assert!(row.differs_from(&earlier), "an engine left");
+    assert!(row.differs_from(&earlier), "an engine was removed");
 }
 
 #[test]
-fn rows_have_room_for_a_bounded_number_of_engines() {
-    let mut reading = PrefillModel::default();
+fn the_number_of_engines_in_samples_and_rows_is_bounded() {
+    let mut prefill_model = PrefillModel::default();
     for number in 0..3_000 {
-        reading.record_gap(NOW, &engine(number), &model(), GAP);
+        prefill_model.record_gap(NOW, &engine(number), &model(), GAP_MS);
     }
-    let sample = reading.sample(NOW, 9);
+    let sample = prefill_model.sample(NOW, 9);
     assert_eq!(sample.engines.len(), 48);
-    let one_of_many = reading.sample(NOW, 64);
-    assert_eq!(one_of_many.engines.len(), 12, "others tell the rest");
-    assert_eq!(reading.sample(NOW, 1_300).engines.len(), 8);
+    let one_of_many = prefill_model.sample(NOW, 64);
+    assert_eq!(
+        one_of_many.engines.len(),
+        12,
+        "other gateways send the remaining engines"
+    );
+    assert_eq!(prefill_model.sample(NOW, 1_300).engines.len(), 8);
     let many: Vec<_> = (0..100)
         .map(|gateway| {
             let seen = (0..40).map(|number| {
                 let sample = gorsebank_fleet::GapSample {
-                    gap: GAP,
+                    gap: GAP_MS,
                     events: 9,
                 };
                 (engine(gateway * 40 + number), model(), sample)
@@ -193,11 +205,11 @@
     assert!(text.len() < 48_000, "{} bytes", text.len());
 }
 
-/// Found on tks-indoor, quiet-1: prompts of 4,000 tokens made all streams of a
-/// slow engine pause for longer than their callers accept.
+/// Guards against long gaps: prompts of 4,000 tokens stalled all streams of a slow engine for longer
+/// than their callers accept.
 #[test]
-fn a_long_prompt_goes_where_streams_pause_least() {
-    let candidate = |in_flight, stall| candidate(in_flight, stall, 1.0);
+fn a_long_prompt_goes_where_it_stalls_streams_least() {
+    let candidate = |running, stall| candidate(running, stall, 1.0);
     let mut random = SmallRng::seed_from_u64(1);
     let busy_but_fast = [candidate(0, 1.05), candidate(2, 0.8)];
     assert_eq!(cheapest(&busy_but_fast, &mut random), Some(1));
@@ -205,11 +217,11 @@
     assert_eq!(cheapest(&short, &mut random), Some(0));
 }
 
-/// Engines run many streams at nearly the speed of one, so a slower engine costs
-/// more than a fast one that already runs a request of this gateway.
+/// Engines run many streams at nearly the speed of a single stream, so a slower engine costs more
+/// than a faster one that already runs a request of this gateway.
 #[test]
 fn a_slower_engine_is_chosen_only_when_the_faster_one_is_busier() {
-    let candidate = |in_flight, relative_pace| candidate(in_flight, 0.0, relative_pace);
+    let candidate = |running, relative_gap| candidate(running, 0.0, relative_gap);
     let mut random = SmallRng::seed_from_u64(1);
     let fast_runs_one = [candidate(0, 1.3), candidate(1, 1.0)];
     assert_eq!(cheapest(&fast_runs_one, &mut random), Some(1));
@@ -218,28 +230,28 @@
 }
 
 #[test]
-fn a_part_counts_as_read_only_behind_all_before_it() {
+fn a_part_is_cached_only_behind_the_same_prefix() {
     let model = ModelId::from("m");
-    let mut kept = CachedPrefixes::default();
+    let mut cached = CachedPrefixes::default();
     let first = Prompt::new(vec![part("a", 100), part("b", 50), part("own", 7)]);
-    assert_eq!(kept.uncached_tokens(&model, None, &first), 157);
-    kept.record(Timestamp(0), &model, None, &first);
-    assert_eq!(kept.uncached_tokens(&model, None, &first), 7);
+    assert_eq!(cached.uncached_tokens(&model, None, &first), 157);
+    cached.record(Timestamp(0), &model, None, &first);
+    assert_eq!(cached.uncached_tokens(&model, None, &first), 7);
     let other = Prompt::new(vec![part("c", 100), part("b", 50), part("own", 7)]);
-    assert_eq!(kept.uncached_tokens(&model, None, &other), 157);
+    assert_eq!(cached.uncached_tokens(&model, None, &other), 157);
     let adapter = "x".into();
-    assert_eq!(kept.uncached_tokens(&model, Some(&adapter), &first), 157);
+    assert_eq!(cached.uncached_tokens(&model, Some(&adapter), &first), 157);
 }
 
 #[test]
-fn parts_that_were_not_sent_for_long_are_forgotten() {
+fn prefixes_that_were_not_sent_recently_are_forgotten() {
     let model = ModelId::from("m");
-    let mut kept = CachedPrefixes::default();
+    let mut cached = CachedPrefixes::default();
     let prompt = |number: u32| Prompt::new(vec![part(&format!("p{number}"), 10), part("own", 1)]);
-    kept.record(Timestamp(0), &model, None, &prompt(0));
+    cached.record(Timestamp(0), &model, None, &prompt(0));
     for number in 1..=600 {
-        kept.record(Timestamp(40_000), &model, None, &prompt(number));
+        cached.record(Timestamp(40_000), &model, None, &prompt(number));
     }
-    assert_eq!(kept.uncached_tokens(&model, None, &prompt(0)), 11);
-    assert_eq!(kept.uncached_tokens(&model, None, &prompt(600)), 1);
+    assert_eq!(cached.uncached_tokens(&model, None, &prompt(0)), 11);
+    assert_eq!(cached.uncached_tokens(&model, None, &prompt(600)), 1);
 }
--- a/crates/fleet/tests/retry_window.rs
+++ b/crates/fleet/tests/retry_window.rs
@@ -1,4 +1,4 @@
-//! The retry budget of all nodes holds in every span of the window's length.
+//! Tests that all nodes together keep the retry budget in every span of the window's length.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::{RetryShare, RetryWindow};
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn without_requests_a_node_has_its_part_of_the_allowance() {
+fn without_requests_a_node_has_its_fraction_of_the_allowance() {
     let mut window = RetryWindow::new(SHARE);
     let granted = (0..100).filter(|_| window.take(Timestamp(5), 8)).count();
     assert_eq!(granted, 3, "52 x 0.5 / 8");
@@ -20,10 +20,10 @@
 }
 
 proptest! {
-    /// Nodes see any mix of requests and wishes to retry; one of them restarts
-    /// and forgets. The sum keeps the bound in every span.
+    /// Nodes get any mix of requests and retries, and one of them restarts without its state. The
+    /// retries of all nodes must keep the bound in every span.
     #[test]
-    fn the_sum_over_nodes_keeps_the_bound(
+    fn all_nodes_together_keep_the_bound(
         steps in prop::collection::vec((0usize..6, 0u64..120, 0u8..4), 1..900),
         restart_at in 0usize..900,
     ) {
@@ -32,8 +32,8 @@
         let mut requests = Vec::new();
         let mut retries = Vec::new();
         let mut now = 0;
-        for (index, (node, pause, kind)) in steps.into_iter().enumerate() {
-            now += pause;
+        for (index, (node, elapsed, kind)) in steps.into_iter().enumerate() {
+            now += elapsed;
             if index == restart_at {
                 windows[0] = RetryWindow::new(SHARE);
             }
@@ -45,11 +45,11 @@
             }
         }
         for start in &retries {
-            let spent = retries.iter().filter(|at| **at >= *start && **at < start + SHARE.window);
-            // Requests of the window or of the one before, whichever holds more.
+            let retries_within = retries.iter().filter(|at| **at >= *start && **at < start + SHARE.window);
+            // The bound counts the requests of the current window and of the previous one.
             let within = |from: u64| requests.iter().filter(|at| **at + SHARE.window >= from && **at < from + SHARE.window).count();
             let bound = SHARE.ratio * within(*start) as f64 + SHARE.allowance;
-            prop_assert!(spent.count() as f64 <= bound);
+            prop_assert!(retries_within.count() as f64 <= bound);
         }
     }
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,5 +1,7 @@
-//! A model of engines for tests of placement: one order at a time, a sequence
-//! number, stale reports, lost answers, orders carried out late.
+//! Simulates engines and the placement holder for tests of placement. A simulated engine carries
+//! out one order at a time, checks the sequence number of each order, and sends stale reports;
+//! responses to orders may be lost, and orders may be carried out late. Times are milliseconds of
+//! simulated time unless their type is `Duration`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -15,18 +17,18 @@
 use gorsebank_world::{AdapterId, BackEndId, ModelId, ServiceId};
 use proptest::prelude::*;
 
-/// Adapter places of an engine.
+/// Adapter slots of an engine.
 pub const ADAPTER_SLOTS: usize = 4;
-/// The weight store's rate.
+/// Loads per second that the weight store permits.
 pub const LOADS_PER_SECOND: f64 = 2.0;
 const MEMORY_MB: f64 = 200.0;
-const REPORT_LAG: u64 = 150;
-pub const LOAD_TIME: u64 = 1_200;
-const UNLOAD_TIME: u64 = 60;
-const ADAPTER_TIME: u64 = 30;
+const REPORT_LAG_MS: u64 = 150;
+pub const LOAD_TIME_MS: u64 = 1_200;
+const UNLOAD_TIME_MS: u64 = 60;
+const ADAPTER_TIME_MS: u64 = 30;
 
-/// The bound on loads that the weight store of these tests keeps.
-pub fn load_bound() -> LoadRateLimit {
+/// The rate limit of loads from the weight store in these tests.
+pub fn load_rate_limit() -> LoadRateLimit {
     LoadRateLimit {
         window: Duration::from_secs(5),
         overage: 1.1,
@@ -34,12 +36,12 @@
     }
 }
 
-/// The service of all engines.
+/// Returns the service of all simulated engines.
 pub fn service() -> ServiceId {
     ServiceId::from("llm")
 }
 
-/// A configuration with twelve models of 45 to 78 MB, every second with adapters.
+/// Returns a configuration with twelve models of 45 to 78 MB. Every second model has adapters.
 pub fn configuration() -> Configuration {
     let models = (0..12)
         .map(|number| {
@@ -52,9 +54,9 @@
                 } else {
                     Vec::new()
                 },
-                load: Duration::from_millis(LOAD_TIME),
-                load_from_memory: Duration::from_millis(LOAD_TIME / 4),
-                load_from_disk: Duration::from_millis(LOAD_TIME / 2),
+                load: Duration::from_millis(LOAD_TIME_MS),
+                load_from_memory: Duration::from_millis(LOAD_TIME_MS / 4),
+                load_from_disk: Duration::from_millis(LOAD_TIME_MS / 2),
             };
             (ModelId::from(format!("m{number}")), spec)
         })
@@ -87,14 +89,14 @@
         .collect()
 }
 
-fn row_of(models: BTreeMap<ModelId, ModelDemand>) -> DemandRow {
+fn row_with(models: BTreeMap<ModelId, ModelDemand>) -> DemandRow {
     DemandRow {
         services: BTreeMap::from([(service(), models)]),
         ..DemandRow::default()
     }
 }
 
-/// Demand by model: its name, requests a second, waiting requests.
+/// Returns demand for models, each given as name, requests per second and waiting requests.
 #[allow(dead_code)]
 pub fn demand(models: &[(&str, f64, u32)]) -> DemandRow {
     let models = models.iter().map(|(model, rate, waiting)| {
@@ -107,10 +109,10 @@
         };
         (ModelId::from(*model), demand)
     });
-    row_of(models.collect())
+    row_with(models.collect())
 }
 
-/// Demand by model: its name, requests a second, running requests.
+/// Returns demand for models, each given as name, requests per second and running requests.
 #[allow(dead_code)]
 pub fn running(models: &[(&str, f64, u32)]) -> DemandRow {
     let models = models.iter().map(|(model, rate, running)| {
@@ -122,10 +124,11 @@
         };
         (ModelId::from(*model), demand)
     });
-    row_of(models.collect())
+    row_with(models.collect())
 }
 
-/// Demand by model: its number, requests a second, waiting requests, missing adapters.
+/// Returns demand for models, each given as number, requests per second, waiting requests and
+/// number of missing adapters.
 #[allow(dead_code)]
 pub fn demand_row(models: &[(usize, f64, u32, usize)]) -> DemandRow {
     let models = models.iter().map(|(number, rate, waiting, missing)| {
@@ -140,46 +143,48 @@
         };
         (ModelId::from(format!("m{number}")), demand)
     });
-    row_of(models.collect())
+    row_with(models.collect())
 }
 
-/// What an engine is busy with.
-struct Work {
+/// The order that an engine is carrying out.
+struct ActiveOrder {
     order: OrderKind,
-    done_at: u64,
-    /// It takes weights from the weight store.
-    from_store: bool,
+    done_at_ms: u64,
+    /// Whether the engine loads weights from the weight store.
+    is_from_store: bool,
 }
 
-/// An engine.
-pub struct EngineModel {
-    /// Its name; another one after most restarts.
+/// A simulated engine.
+pub struct SimulatedEngine {
+    /// The name of the back end; most restarts change it.
     pub id: BackEndId,
-    /// Its start, if it tells it.
+    /// The start time of the process, if the engine reports it.
     pub born: Option<Born>,
     holdings: Holdings,
     pending: Vec<(ModelId, AdapterId, u64)>,
-    work: Option<Work>,
+    active_order: Option<ActiveOrder>,
     sequence: u64,
     starts: u32,
-    /// Time in which the runs of a model that is to be unloaded end.
-    pub unload_time: u64,
-    /// Models of which it has a copy in host memory.
-    pub copies: Vec<ModelId>,
+    /// Milliseconds until the running requests of a model that is being unloaded have ended.
+    pub unload_time_ms: u64,
+    /// Models of which the engine has a copy in host memory.
+    pub models_in_memory: Vec<ModelId>,
     history: VecDeque<(u64, EngineReport)>,
 }
 
-impl EngineModel {
-    /// Whether it loads a model now.
+impl SimulatedEngine {
+    /// Returns whether the engine is loading the model.
     #[allow(dead_code)]
     pub fn is_loading(&self, model: &str) -> bool {
         let order = OrderKind::LoadModel(model.into());
-        self.work.as_ref().is_some_and(|work| work.order == order)
+        self.active_order
+            .as_ref()
+            .is_some_and(|active_order| active_order.order == order)
     }
 
-    /// An engine that holds these models.
+    /// Returns an engine that holds these models.
     pub fn new(number: usize, models: &[&str]) -> Self {
-        EngineModel {
+        SimulatedEngine {
             id: BackEndId::from(format!("engine-{number}-0")),
             born: Some(Born(0)),
             holdings: models
@@ -187,22 +192,22 @@
                 .map(|model| ((*model).into(), Default::default()))
                 .collect(),
             pending: Vec::new(),
-            work: None,
+            active_order: None,
             sequence: 0,
             starts: 0,
-            unload_time: UNLOAD_TIME,
-            copies: Vec::new(),
+            unload_time_ms: UNLOAD_TIME_MS,
+            models_in_memory: Vec::new(),
             history: VecDeque::new(),
         }
     }
 
-    /// Whether it holds a model.
+    /// Returns whether the engine holds the model.
     #[allow(dead_code)]
     pub fn holds(&self, model: &ModelId) -> bool {
         self.holdings.contains_key(model)
     }
 
-    /// Adapters that it holds.
+    /// Returns the adapters that the engine holds, as `MODEL/ADAPTER`.
     #[allow(dead_code)]
     pub fn adapters(&self) -> Vec<String> {
         let names = self.holdings.iter().flat_map(|(model, adapters)| {
@@ -213,23 +218,32 @@
         names.collect()
     }
 
-    /// Whether it takes weights from the weight store now.
-    fn takes_from_store(&self) -> bool {
-        self.work.as_ref().is_some_and(|work| work.from_store)
+    /// Returns whether the engine is loading weights from the weight store.
+    fn is_loading_from_store(&self) -> bool {
+        self.active_order
+            .as_ref()
+            .is_some_and(|active_order| active_order.is_from_store)
     }
 
-    /// A load from a crowded weight store ends later.
-    fn put_off(&mut self, time: u64) {
-        if let Some(work) = self.work.as_mut().filter(|work| work.from_store) {
-            work.done_at += time;
+    /// Delays a running load from the weight store by `time` milliseconds.
+    fn delay_load(&mut self, time: u64) {
+        if let Some(active_order) = self
+            .active_order
+            .as_mut()
+            .filter(|active_order| active_order.is_from_store)
+        {
+            active_order.done_at_ms += time;
         }
     }
 
     fn advance(&mut self, now: u64) {
-        if self.work.as_ref().is_some_and(|work| work.done_at <= now)
-            && let Some(work) = self.work.take()
+        if self
+            .active_order
+            .as_ref()
+            .is_some_and(|active_order| active_order.done_at_ms <= now)
+            && let Some(active_order) = self.active_order.take()
         {
-            match work.order {
+            match active_order.order {
                 OrderKind::LoadModel(model) => {
                     self.holdings.entry(model).or_default();
                 }
@@ -241,7 +255,7 @@
         }
         let (done, pending) = std::mem::take(&mut self.pending)
             .into_iter()
-            .partition(|(_, _, done_at)| *done_at <= now);
+            .partition(|(_, _, done_at_ms)| *done_at_ms <= now);
         self.pending = pending;
         let done: Vec<(ModelId, AdapterId, u64)> = done;
         for (model, adapter, _) in done {
@@ -254,7 +268,7 @@
         while self
             .history
             .front()
-            .is_some_and(|(at, _)| at + 2 * REPORT_LAG < now)
+            .is_some_and(|(at, _)| at + 2 * REPORT_LAG_MS < now)
         {
             self.history.pop_front();
         }
@@ -269,20 +283,20 @@
                 .iter()
                 .map(|(model, adapter, _)| (model.clone(), adapter.clone()))
                 .collect(),
-            busy: self.work.is_some(),
+            busy: self.active_order.is_some(),
             sequence: self.sequence,
-            in_memory: self.copies.iter().cloned().collect(),
+            in_memory: self.models_in_memory.iter().cloned().collect(),
             ..EngineReport::default()
         }
     }
 
-    /// Its state of some time ago.
+    /// Returns the report that the engine gave `REPORT_LAG_MS` ago.
     fn stale_report(&self, now: u64) -> EngineReport {
         let old = self
             .history
             .iter()
             .rev()
-            .find(|(at, _)| at + REPORT_LAG <= now);
+            .find(|(at, _)| at + REPORT_LAG_MS <= now);
         old.map_or_else(|| self.report(), |(_, report)| report.clone())
     }
 
@@ -295,14 +309,14 @@
             .iter()
             .map(|(model, adapters)| size(model) + adapters.len() as f64)
             .sum();
-        let coming = match &self.work {
-            Some(Work {
+        let loading_mb = match &self.active_order {
+            Some(ActiveOrder {
                 order: OrderKind::LoadModel(model),
                 ..
             }) => size(model),
             _ => 0.0,
         };
-        held + coming + self.pending.len() as f64
+        held + loading_mb + self.pending.len() as f64
     }
 
     fn adapter_count(&self) -> usize {
@@ -310,9 +324,9 @@
         held + self.pending.len()
     }
 
-    /// Carries out an order if its condition holds.
+    /// Carries out an order if the engine is idle and the sequence number matches.
     fn order(&mut self, now: u64, order: &OrderKind, sequence: u64) -> OrderResult {
-        if self.work.is_some() || sequence != self.sequence {
+        if self.active_order.is_some() || sequence != self.sequence {
             return OrderResult::Conflict;
         }
         match order {
@@ -320,9 +334,9 @@
                 return OrderResult::InForce;
             }
             OrderKind::LoadModel(model) => self.begin(order, now + self.load_time(model)),
-            OrderKind::UnloadModel(_) => self.begin(order, now + self.unload_time),
+            OrderKind::UnloadModel(_) => self.begin(order, now + self.unload_time_ms),
             OrderKind::LoadAdapter(model, adapter) => {
-                let key = (model.clone(), adapter.clone(), now + ADAPTER_TIME);
+                let key = (model.clone(), adapter.clone(), now + ADAPTER_TIME_MS);
                 self.pending.push(key);
             }
             OrderKind::UnloadAdapter(model, adapter) => {
@@ -337,80 +351,81 @@
         OrderResult::Accepted
     }
 
-    /// Time of a load, by where the weights are.
+    /// Returns the milliseconds that a load takes: a copy in host memory loads faster.
     fn load_time(&self, model: &ModelId) -> u64 {
-        if self.copies.contains(model) {
-            LOAD_TIME / 4
+        if self.models_in_memory.contains(model) {
+            LOAD_TIME_MS / 4
         } else {
-            LOAD_TIME
+            LOAD_TIME_MS
         }
     }
 
-    fn begin(&mut self, order: &OrderKind, done_at: u64) {
-        let from_store = match order {
-            OrderKind::LoadModel(model) => !self.copies.contains(model),
+    fn begin(&mut self, order: &OrderKind, done_at_ms: u64) {
+        let is_from_store = match order {
+            OrderKind::LoadModel(model) => !self.models_in_memory.contains(model),
             _ => false,
         };
-        self.work = Some(Work {
+        self.active_order = Some(ActiveOrder {
             order: order.clone(),
-            done_at,
-            from_store,
+            done_at_ms,
+            is_from_store,
         });
     }
 }
 
-/// Engines and the holder.
-pub struct World {
-    /// The present holder's plans.
+/// Simulated engines, the weight store and the placement holder.
+pub struct Simulation {
+    /// The planner of the current holder.
     pub planner: Planner,
     /// The engines.
-    pub engines: Vec<EngineModel>,
-    /// When loads from the weight store began.
-    pub loads: Vec<u64>,
-    /// What was overcommitted.
-    pub broken: Vec<String>,
-    /// Why loads were put off.
+    pub engines: Vec<SimulatedEngine>,
+    /// Start times of the loads from the weight store.
+    pub load_starts: Vec<u64>,
+    /// Descriptions of each overcommitment of memory or adapter slots.
+    pub violations: Vec<String>,
+    /// The reasons for which loads were deferred.
     #[allow(dead_code)]
     pub obstacles: Vec<Obstacle>,
-    /// Decide what happens to orders; used round and round.
+    /// Fault codes for orders, used cyclically; `order_with_faults` gives their meaning.
     pub faults: Vec<u8>,
-    /// An engine that answers nothing any more, while discovery still shows it.
-    pub silent: Option<BackEndId>,
-    /// Loads that the weight store makes at full speed at once; more of them share it.
-    pub full_speed_loads: usize,
-    /// When the last turn was.
-    turned: u64,
-    /// Rows of the table, those of engines that are gone among them.
+    /// An engine that sends no more responses while discovery still shows it.
+    pub unresponsive: Option<BackEndId>,
+    /// The number of concurrent loads that the weight store serves at full speed; a larger number of
+    /// loads shares its bandwidth.
+    pub max_full_speed_loads: usize,
+    /// The time of the last iteration.
+    last_iteration_ms: u64,
+    /// Rows of the placement table, including rows of engines that no longer exist.
     published: BTreeMap<BackEndId, PlacedRow>,
-    late: Vec<(u64, BackEndId, OrderKind, u64)>,
+    late_orders: Vec<(u64, BackEndId, OrderKind, u64)>,
     orders: usize,
-    /// Engines that ended while requests were there.
-    pub ended_under_requests: BTreeSet<BackEndId>,
+    /// Engines that crashed while they were running requests.
+    pub crashed_under_requests: BTreeSet<BackEndId>,
 }
 
-impl World {
-    /// Engines that all hold the same models.
+impl Simulation {
+    /// Returns a simulation of `count` engines that all hold the same models.
     pub fn new(count: usize, models: &[&str]) -> Self {
-        World {
-            planner: Planner::new(Timestamp(0), load_bound(), Default::default()),
+        Simulation {
+            planner: Planner::new(Timestamp(0), load_rate_limit(), Default::default()),
             engines: (0..count)
-                .map(|number| EngineModel::new(number, models))
+                .map(|number| SimulatedEngine::new(number, models))
                 .collect(),
-            loads: Vec::new(),
-            broken: Vec::new(),
+            load_starts: Vec::new(),
+            violations: Vec::new(),
             obstacles: Vec::new(),
             faults: Vec::new(),
-            silent: None,
-            full_speed_loads: usize::MAX,
-            turned: 0,
+            unresponsive: None,
+            max_full_speed_loads: usize::MAX,
+            last_iteration_ms: 0,
             published: BTreeMap::new(),
-            late: Vec::new(),
+            late_orders: Vec::new(),
             orders: 0,
-            ended_under_requests: BTreeSet::new(),
+            crashed_under_requests: BTreeSet::new(),
         }
     }
 
-    /// What discovery shows.
+    /// Returns the reports that discovery shows.
     pub fn reports(&self) -> Vec<BackEndReport> {
         self.engines
             .iter()
@@ -424,30 +439,30 @@
                 warm_up_left_ms: 0,
                 draining: false,
                 holdings: engine.holdings.clone(),
-                in_memory: engine.copies.iter().cloned().collect(),
+                in_memory: engine.models_in_memory.iter().cloned().collect(),
                 on_disk: Default::default(),
             })
             .collect()
     }
 
-    /// Engines that hold a model.
+    /// Returns the number of engines that hold the model.
     #[allow(dead_code)]
-    pub fn holders(&self, model: &str) -> usize {
+    pub fn replica_count(&self, model: &str) -> usize {
         let model = ModelId::from(model);
-        let holds = |engine: &&EngineModel| engine.holdings.contains_key(&model);
+        let holds = |engine: &&SimulatedEngine| engine.holdings.contains_key(&model);
         self.engines.iter().filter(holds).count()
     }
 
-    /// Another node takes over; it knows what the lease's row told `told` ago,
-    /// and the engines' rows.
+    /// Replaces the holder. The next holder knows the engines' rows and the load records that are at
+    /// least `min_age_ms` milliseconds old.
     #[allow(dead_code)]
-    pub fn change_holder(&mut self, now: u64, told: u64) {
+    pub fn change_holder(&mut self, now: u64, min_age_ms: u64) {
         let mut loads = self.planner.store_records(Timestamp(now));
         for record in loads.values_mut() {
-            record.recent.retain(|load| load.age_ms >= told);
+            record.recent.retain(|load| load.age_ms >= min_age_ms);
         }
         let rows = std::mem::take(&mut self.published);
-        self.planner = Planner::new(Timestamp(now), load_bound(), loads);
+        self.planner = Planner::new(Timestamp(now), load_rate_limit(), loads);
         self.observe(now);
         for (id, row) in &rows {
             self.planner.restore(id, row);
@@ -455,110 +470,110 @@
         self.published = rows;
     }
 
-    /// Engines lose what they hold and finish what they do, so that loads are
-    /// wanted all the time.
+    /// Restarts all engines without their models, so that loads remain in demand.
     #[allow(dead_code)]
-    pub fn forget_models(&mut self) {
+    pub fn restart_all(&mut self) {
         for number in 0..self.engines.len() {
             self.restart(number);
         }
     }
 
-    /// An engine starts anew: empty, with another name.
+    /// Restarts an engine without models and under another name.
     #[allow(dead_code)]
     pub fn restart(&mut self, number: usize) {
         let engine = &mut self.engines[number];
         let starts = engine.starts + 1;
-        *engine = EngineModel::new(number, &[]);
+        *engine = SimulatedEngine::new(number, &[]);
         engine.starts = starts;
         engine.id = BackEndId::from(format!("engine-{number}-{starts}"));
     }
 
-    /// The holder looks at what discovery shows.
+    /// Passes the reports of discovery to the planner.
     pub fn observe(&mut self, now: u64) {
         let reports = self.reports();
         self.planner
-            .observe(Timestamp(now), &reports, &self.ended_under_requests);
+            .observe(Timestamp(now), &reports, &self.crashed_under_requests);
     }
 
-    /// Every engine that loads the model ends, and comes back. Out: how many did.
+    /// Restarts every engine that is loading the model, and returns the number of these engines.
     #[allow(dead_code)]
-    pub fn end_engines_that_load(&mut self, model: &str) -> usize {
+    pub fn restart_loading_engines(&mut self, model: &str) -> usize {
         let numbers = 0..self.engines.len();
-        let loads = |number: &usize| self.engines[*number].is_loading(model);
-        let ending: Vec<usize> = numbers.filter(loads).collect();
-        for number in &ending {
+        let is_loading = |number: &usize| self.engines[*number].is_loading(model);
+        let loading: Vec<usize> = numbers.filter(is_loading).collect();
+        for number in &loading {
             self.restart(*number);
         }
-        ending.len()
+        loading.len()
     }
 
-    /// An engine starts anew under its name, at this time.
+    /// Restarts an engine without models, under the same name and with `now` as its start time.
     #[allow(dead_code)]
-    pub fn restart_under_its_name(&mut self, now: u64, number: usize) {
+    pub fn restart_under_same_name(&mut self, now: u64, number: usize) {
         let engine = &mut self.engines[number];
         let (id, starts) = (engine.id.clone(), engine.starts);
-        *engine = EngineModel::new(number, &[]);
+        *engine = SimulatedEngine::new(number, &[]);
         engine.id = id;
         engine.starts = starts;
         engine.born = Some(Born(now));
     }
 
-    /// One turn of the holder.
-    pub fn turn(&mut self, now: u64, rows: &[DemandRow]) {
-        self.share_weight_store(now);
+    /// Advances the engines to `now` and runs one iteration of the holder.
+    pub fn run_iteration(&mut self, now: u64, rows: &[DemandRow]) {
+        self.share_store_bandwidth(now);
         for engine in &mut self.engines {
             engine.advance(now);
         }
-        self.carry_out_late(now);
+        self.execute_late_orders(now);
         self.observe(now);
         let actions = self.planner.plan(Timestamp(now), &configuration(), rows);
-        let unmet = self.planner.deferred_loads().iter();
-        self.obstacles.extend(unmet.map(|wish| wish.obstacle));
+        let deferred = self.planner.deferred_loads().iter();
+        self.obstacles.extend(deferred.map(|load| load.obstacle));
         let written = self.planner.rows(Timestamp(now), 1);
         self.published.extend(written);
         for action in actions {
-            self.carry_out(now, action);
+            self.execute_action(now, action);
         }
     }
 
-    /// Loads beyond those that go at full speed make each of them slower.
-    fn share_weight_store(&mut self, now: u64) {
-        let passed = (now - self.turned) as f64;
-        self.turned = now;
+    /// Delays all loads from the weight store if more run than it serves at full speed.
+    fn share_store_bandwidth(&mut self, now: u64) {
+        let elapsed_ms = (now - self.last_iteration_ms) as f64;
+        self.last_iteration_ms = now;
         let loads = self
             .engines
             .iter()
-            .filter(|engine| engine.takes_from_store());
+            .filter(|engine| engine.is_loading_from_store());
         let loads = loads.count();
-        if loads > self.full_speed_loads {
-            let part = self.full_speed_loads as f64 / loads as f64;
-            let put_off = (passed * (1.0 - part)) as u64;
+        if loads > self.max_full_speed_loads {
+            let fraction = self.max_full_speed_loads as f64 / loads as f64;
+            let delay = (elapsed_ms * (1.0 - fraction)) as u64;
             self.engines
                 .iter_mut()
-                .for_each(|engine| engine.put_off(put_off));
+                .for_each(|engine| engine.delay_load(delay));
         }
     }
 
-    fn carry_out_late(&mut self, now: u64) {
-        let (due, later) = std::mem::take(&mut self.late)
+    fn execute_late_orders(&mut self, now: u64) {
+        let (due, later) = std::mem::take(&mut self.late_orders)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.late = later;
+        self.late_orders = later;
         let due: Vec<(u64, BackEndId, OrderKind, u64)> = due;
         for (_, id, order, sequence) in due {
             self.order(now, &id, &order, sequence);
         }
     }
 
-    /// Carries out one action at once.
-    pub fn carry_out(&mut self, now: u64, action: Action) {
+    /// Carries out one action of the planner, subject to the configured faults.
+    pub fn execute_action(&mut self, now: u64, action: Action) {
         let id = action.engine;
         match action.kind {
             ActionKind::Report => {
-                let answers =
-                    |engine: &&EngineModel| engine.id == id && self.silent.as_ref() != Some(&id);
-                let engine = self.engines.iter().find(answers);
+                let responds = |engine: &&SimulatedEngine| {
+                    engine.id == id && self.unresponsive.as_ref() != Some(&id)
+                };
+                let engine = self.engines.iter().find(responds);
                 let report = engine.map(|engine| engine.stale_report(now));
                 self.planner.apply_report(Timestamp(now), &id, report);
             }
@@ -585,7 +600,8 @@
         match fault {
             1..=3 => {
                 let at = now + 500 * u64::from(fault) * 3;
-                self.late.push((at, id.clone(), order.clone(), sequence));
+                self.late_orders
+                    .push((at, id.clone(), order.clone(), sequence));
                 OrderResult::Unanswered
             }
             4 | 5 => {
@@ -600,80 +616,84 @@
         let Some(engine) = self.engines.iter_mut().find(|engine| engine.id == *id) else {
             return OrderResult::Refused;
         };
-        let from_store = match order {
-            OrderKind::LoadModel(model) => !engine.copies.contains(model),
+        let is_from_store = match order {
+            OrderKind::LoadModel(model) => !engine.models_in_memory.contains(model),
             _ => false,
         };
         let result = engine.order(now, order, sequence);
-        if result == OrderResult::Accepted && from_store {
-            self.loads.push(now);
+        if result == OrderResult::Accepted && is_from_store {
+            self.load_starts.push(now);
         }
         if engine.memory() > MEMORY_MB {
-            self.broken
+            self.violations
                 .push(format!("{id}: {order:?} at {now}: {} MB", engine.memory()));
         }
         if engine.adapter_count() > ADAPTER_SLOTS {
-            self.broken
-                .push(format!("{id}: {order:?} at {now}: adapter places"));
+            self.violations
+                .push(format!("{id}: {order:?} at {now}: adapter slots"));
         }
         result
     }
 }
 
-/// Loads of the weight store that may begin in any five seconds.
+/// Returns the number of loads from the weight store that may begin in any five seconds.
 #[allow(dead_code)]
-pub fn most_loads() -> usize {
+pub fn max_loads_per_window() -> usize {
     (LOADS_PER_SECOND * 5.0 * 1.1 + 3.0) as usize
 }
 
-/// Demand that moves from model to model.
+/// Generates demand that moves from model to model.
 #[allow(dead_code)]
-pub fn moving_demand() -> impl Strategy<Value = Vec<DemandRow>> {
+pub fn shifting_demand() -> impl Strategy<Value = Vec<DemandRow>> {
     let model = (0usize..12, 0.0f64..4.0, 0u32..3, 0usize..6);
     let row = prop::collection::vec(model, 1..6);
     prop::collection::vec(row, 4..10)
         .prop_map(|rows| rows.into_iter().map(|models| demand_row(&models)).collect())
 }
 
-/// What strikes a holder and its engines in sixteen seconds.
+/// Faults of the holder and its engines in sixteen seconds.
 #[allow(dead_code)]
-pub struct Trouble {
-    /// Faults of orders, one after the other.
+pub struct FaultPlan {
+    /// Fault codes of orders, as in `Simulation::faults`.
     pub faults: Vec<u8>,
-    /// When another holder takes over.
+    /// Times at which another holder takes over.
     pub holder_changes: Vec<u64>,
-    /// Engines that start again, and when.
+    /// Engines that restart, each with the time of its restart.
     pub restarts: Vec<(usize, u64)>,
 }
 
-/// Plays this demand: engines are never ordered to hold more than they can, and the weight store's
-/// bound on loads is kept over every window.
+/// Simulates sixteen seconds of this demand and checks that no engine is ordered to hold more than
+/// it has room for, and that every window keeps the rate limit of loads from the weight store.
 #[allow(dead_code)]
-pub fn play_without_overcommitment(
+pub fn check_no_overcommitment(
     rows: &[DemandRow],
-    trouble: Trouble,
-    restart: impl Fn(&mut World, u64, usize),
+    fault_plan: FaultPlan,
+    restart: impl Fn(&mut Simulation, u64, usize),
 ) -> Result<(), TestCaseError> {
-    let mut world = World::new(4, &["m0", "m1"]);
-    world.faults = trouble.faults;
+    let mut simulation = Simulation::new(4, &["m0", "m1"]);
+    simulation.faults = fault_plan.faults;
     for now in (0..16_000u64).step_by(40) {
         let is_now = |at: &u64| now <= *at && *at < now + 40;
-        if trouble.holder_changes.iter().any(is_now) {
-            world.change_holder(now, 700);
+        if fault_plan.holder_changes.iter().any(is_now) {
+            simulation.change_holder(now, 700);
         }
-        for (engine, _) in trouble.restarts.iter().filter(|(_, at)| is_now(at)) {
-            restart(&mut world, now, *engine);
+        for (engine, _) in fault_plan.restarts.iter().filter(|(_, at)| is_now(at)) {
+            restart(&mut simulation, now, *engine);
         }
         let index = (now / 2_000) as usize % rows.len();
-        world.turn(now, &rows[index..=index]);
-        prop_assert!(world.broken.is_empty(), "{:?} at {now}", world.broken);
-    }
-    for start in &world.loads {
-        let within = world
-            .loads
+        simulation.run_iteration(now, &rows[index..=index]);
+        prop_assert!(
+            simulation.violations.is_empty(),
+            "{:?} at {now}",
+            simulation.violations
+        );
+    }
+    for start in &simulation.load_starts {
+        let within = simulation
+            .load_starts
             .iter()
             .filter(|at| **at >= *start && **at < start + 5_000);
-        prop_assert!(within.count() <= most_loads());
+        prop_assert!(within.count() <= max_loads_per_window());
     }
     Ok(())
 }
--- a/crates/fleet/tests/tenant.rs
+++ b/crates/fleet/tests/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose key it is, what a request counts for, what a list may not say.
+//! Tests tenants: the lookup by API key, the cost of a request, and the validation of the list.
 
 use gorsebank_fleet::{ApiKey, LimitUnit, Tenant, TenantEntry, TenantLimit, Tenants, TenantsError};
 
@@ -22,25 +22,25 @@
 }
 
 fn error(entries: Vec<TenantEntry>) -> TenantsError {
-    Tenants::new(entries).expect_err("it makes no sense")
+    Tenants::new(entries).expect_err("the list is invalid")
 }
 
 #[test]
-fn a_key_has_one_holder() {
+fn a_key_belongs_to_one_tenant() {
     let list = vec![entry("crews", &["a", "b"]), entry("desks", &["c"])];
     let tenants = Tenants::new(list).expect("a list");
-    let holder = |key: &str| {
-        let holder = tenants.tenant_of_key(&ApiKey::from(key));
-        holder.map(|tenant| tenant.id.to_string())
+    let owner = |key: &str| {
+        let owner = tenants.tenant_of_key(&ApiKey::from(key));
+        owner.map(|tenant| tenant.id.to_string())
     };
-    assert_eq!(holder("b").as_deref(), Some("crews"));
-    assert_eq!(holder("c").as_deref(), Some("desks"));
-    assert_eq!(holder("d"), None);
-    assert_eq!(holder(""), None);
+    assert_eq!(owner("b").as_deref(), Some("crews"));
+    assert_eq!(owner("c").as_deref(), Some("desks"));
+    assert_eq!(owner("d"), None);
+    assert_eq!(owner(""), None);
 }
 
 #[test]
-fn what_makes_no_sense_is_told_by_its_place() {
+fn errors_name_the_position_of_the_entry() {
     let nameless = error(vec![entry("crews", &[]), entry("", &[])]);
     assert_eq!(nameless, TenantsError::EmptyName { index: 1 });
     let twice = error(vec![entry("crews", &["a"]), entry("crews", &["b"])]);
@@ -59,18 +59,18 @@
     let empty = error(vec![entry("crews", &["a", ""])]);
     assert_eq!(empty.to_string(), "tenants[0] `crews`: key 1 is empty");
     for rate in [-1.0, f64::NAN, f64::INFINITY] {
-        let mut wrong = entry("crews", &["a"]);
-        wrong.tenant.limit = Some(limit(rate, LimitUnit::Requests));
-        let place = TenantsError::InvalidLimit {
+        let mut invalid = entry("crews", &["a"]);
+        invalid.tenant.limit = Some(limit(rate, LimitUnit::Requests));
+        let expected = TenantsError::InvalidLimit {
             index: 0,
             name: "crews".into(),
         };
-        assert_eq!(error(vec![wrong]), place, "{rate}");
+        assert_eq!(error(vec![invalid]), expected, "{rate}");
     }
 }
 
 #[test]
-fn no_key_can_be_printed() {
+fn keys_are_not_printed() {
     let list = vec![entry("crews", &["secret-key"])];
     let printed = format!("{list:?} {:?}", Tenants::new(list.clone()));
     assert!(!printed.contains("secret-key"), "{printed}");
@@ -82,15 +82,15 @@
 }
 
 #[test]
-fn a_request_counts_as_its_limit_says() {
-    let by_request = limit(5.0, LimitUnit::Requests);
-    assert_eq!(by_request.cost(Some(1_540)), 1.0);
-    let by_token = limit(
+fn the_cost_of_a_request_follows_the_unit_of_the_limit() {
+    let request_limit = limit(5.0, LimitUnit::Requests);
+    assert_eq!(request_limit.cost(Some(1_540)), 1.0);
+    let token_limit = limit(
         2_700.0,
         LimitUnit::Tokens {
             default_cost: 200.0,
         },
     );
-    assert_eq!(by_token.cost(Some(1_540)), 1_540.0);
-    assert_eq!(by_token.cost(None), 200.0);
+    assert_eq!(token_limit.cost(Some(1_540)), 1_540.0);
+    assert_eq!(token_limit.cost(None), 200.0);
 }
