--- a/crates/fleet/tests/departures.rs
+++ b/crates/fleet/tests/departures.rs
@@ -4,7 +4,7 @@
 use gorsebank_fleet::{DrainNotice, DrainNotices};
 
 const NOW: Timestamp = Timestamp(1_000_000);
-/// Longer than a drain is remembered.
+/// A time longer than the retention of drains.
 const EXPIRY_MS: u64 = 700_000;
 
 fn notice(back_end: u64, age: u64) -> DrainNotice {
@@ -38,7 +38,8 @@
     assert!(!drains.contains(3), "too old when it was received");
 }
 
-/// The notices that a gateway sends are bounded, newest first, however many back ends drain at once.
+/// The notices that a gateway sends are bounded, newest first, however many back ends drain at
+/// once.
 #[test]
 fn a_bounded_number_of_notices_is_sent_newest_first() {
     let mut drains = DrainNotices::default();
--- a/crates/fleet/tests/incarnation.rs
+++ b/crates/fleet/tests/incarnation.rs
@@ -78,7 +78,7 @@
 }
 
 /// A restarted engine numbers its orders from the beginning, so its reports must not be taken for
-/// outdated ones of the previous incarnation.
+/// outdated reports of the previous incarnation.
 #[test]
 fn an_engine_restarted_under_the_same_name_is_used_again_at_once() {
     let mut simulation = Simulation::new(1, &[]);
--- a/crates/fleet/tests/joining.rs
+++ b/crates/fleet/tests/joining.rs
@@ -1,12 +1,13 @@
-//! Tests how much of the fleet a gateway knows when it considers the list of members complete, while
-//! the whole fleet starts.
+//! Tests how much of the fleet a gateway knows when it considers the list of members complete,
+//! while the whole fleet starts.
 
 use gorsebank_fleet::MembershipConvergence;
 
 /// Rows that the table accepts per second.
 const ROWS_PER_SECOND: f64 = 200.0;
-/// Time from a gateway's own row to its first read of the table, and between two reads.
+/// Time from the write of a gateway's own row to its first read of the table.
 const FIRST_READ_SECONDS: f64 = 0.7;
+/// Time between two reads of the table.
 const READ_INTERVAL_SECONDS: f64 = 1.5;
 
 /// Returns the number of reads that a gateway makes whose row was written at `written_at` (in
@@ -21,7 +22,7 @@
         }
         at += READ_INTERVAL_SECONDS;
     }
-    unreachable!("the list ends")
+    unreachable!("the list of members becomes complete")
 }
 
 #[test]
--- a/crates/fleet/tests/lease.rs
+++ b/crates/fleet/tests/lease.rs
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    NoFault,
+    None,
     ResponseLost,
     Delayed(u64),
     Unreachable,
@@ -48,7 +48,7 @@
 
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
-        6 => Just(Fault::NoFault),
+        6 => Just(Fault::None),
         1 => Just(Fault::ResponseLost),
         1 => (100u64..6_000).prop_map(Fault::Delayed),
         2 => Just(Fault::Unreachable),
@@ -95,7 +95,7 @@
                 let _: Option<u64> = table.write(expected, row);
                 keeper.record_unconfirmed_write();
             }
-            Fault::NoFault => match table.write(expected, row.clone()) {
+            Fault::None => match table.write(expected, row.clone()) {
                 Some(version) => keeper.record_write(Timestamp(now), version, &row),
                 None => keeper.record_conflict(),
             },
@@ -111,18 +111,20 @@
 fn a_free_lease_is_acquired_and_released() {
     let mut table = Table::default();
     let mut first = keeper(1, 11);
-    run_step(&mut table, &mut first, 0, Fault::NoFault);
-    run_step(&mut table, &mut first, 1, Fault::NoFault);
+    run_step(&mut table, &mut first, 0, Fault::None);
+    run_step(&mut table, &mut first, 1, Fault::None);
     assert_eq!(first.fence(Timestamp(2)), Some(1));
     let LeaseStep::Write { expected, row } = first.step(Timestamp(3), Candidacy::Never) else {
         panic!("a stopping holder releases the lease");
     };
     assert_eq!(row.holder, None);
-    let version = table.write(expected, row.clone()).expect("its own version");
+    let version = table
+        .write(expected, row.clone())
+        .expect("the version is current");
     first.record_write(Timestamp(4), version, &row);
     let mut second = keeper(2, 22);
-    run_step(&mut table, &mut second, 5, Fault::NoFault);
-    run_step(&mut table, &mut second, 6, Fault::NoFault);
+    run_step(&mut table, &mut second, 5, Fault::None);
+    run_step(&mut table, &mut second, 6, Fault::None);
     assert_eq!(second.fence(Timestamp(7)), Some(3));
     assert_eq!(first.fence(Timestamp(7)), None);
 }
@@ -135,8 +137,8 @@
     for fault in [Fault::ResponseLost, Fault::Delayed(100), Fault::Unreachable] {
         let mut table = Table::default();
         let mut first = keeper(1, 11);
-        run_step(&mut table, &mut first, 0, Fault::NoFault);
-        run_step(&mut table, &mut first, 1, Fault::NoFault);
+        run_step(&mut table, &mut first, 0, Fault::None);
+        run_step(&mut table, &mut first, 1, Fault::None);
         assert_eq!(first.fence(Timestamp(2)), Some(1));
         run_step_as(&mut table, &mut first, 3, fault, Candidacy::Never);
         assert_eq!(first.fence(Timestamp(4)), None, "{fault:?}");
@@ -150,7 +152,7 @@
                 Fault::Unreachable,
                 Candidacy::Never,
             );
-            run_step(&mut table, &mut second, now, Fault::NoFault);
+            run_step(&mut table, &mut second, now, Fault::None);
             assert_eq!(first.fence(Timestamp(now)), None, "{fault:?} at {now}");
         }
         assert!(second.fence(Timestamp(10_000)).is_some(), "{fault:?}");
@@ -161,8 +163,8 @@
 fn a_holder_that_is_a_candidate_again_continues_once_the_table_confirms_its_lease() {
     let mut table = Table::default();
     let mut holder = keeper(1, 11);
-    run_step(&mut table, &mut holder, 0, Fault::NoFault);
-    run_step(&mut table, &mut holder, 1, Fault::NoFault);
+    run_step(&mut table, &mut holder, 0, Fault::None);
+    run_step(&mut table, &mut holder, 1, Fault::None);
     run_step_as(
         &mut table,
         &mut holder,
@@ -173,7 +175,7 @@
     assert_eq!(holder.fence(Timestamp(4)), None);
     // The release did not take effect, and can no longer do so, because the row has changed since.
     for now in (5..2_000).step_by(50) {
-        run_step(&mut table, &mut holder, now, Fault::NoFault);
+        run_step(&mut table, &mut holder, now, Fault::None);
     }
     assert_eq!(holder.fence(Timestamp(2_000)), Some(1));
 }
@@ -182,13 +184,13 @@
 fn a_restarted_node_reacquires_its_own_lease_at_once() {
     let mut table = Table::default();
     let mut previous = keeper(1, 11);
-    run_step(&mut table, &mut previous, 0, Fault::NoFault);
-    run_step(&mut table, &mut previous, 1, Fault::NoFault);
+    run_step(&mut table, &mut previous, 0, Fault::None);
+    run_step(&mut table, &mut previous, 1, Fault::None);
     let mut other = keeper(2, 22);
     let mut restarted = keeper(1, 12);
     for now in [10, 11] {
-        run_step(&mut table, &mut restarted, now, Fault::NoFault);
-        run_step(&mut table, &mut other, now, Fault::NoFault);
+        run_step(&mut table, &mut restarted, now, Fault::None);
+        run_step(&mut table, &mut other, now, Fault::None);
     }
     assert_eq!(restarted.fence(Timestamp(12)), Some(2));
     assert_eq!(other.fence(Timestamp(12)), None);
@@ -198,14 +200,14 @@
 fn a_holder_that_cannot_renew_stops_before_another_begins() {
     let mut table = Table::default();
     let mut holder = keeper(1, 11);
-    run_step(&mut table, &mut holder, 0, Fault::NoFault);
-    run_step(&mut table, &mut holder, 1, Fault::NoFault);
+    run_step(&mut table, &mut holder, 0, Fault::None);
+    run_step(&mut table, &mut holder, 1, Fault::None);
     let mut other = keeper(2, 22);
     let mut stopped = None;
     let mut started = None;
     for now in (10..8_000).step_by(10) {
         run_step(&mut table, &mut holder, now, Fault::Unreachable);
-        run_step(&mut table, &mut other, now, Fault::NoFault);
+        run_step(&mut table, &mut other, now, Fault::None);
         if holder.fence(Timestamp(now)).is_none() {
             stopped.get_or_insert(now);
         }
@@ -246,8 +248,9 @@
     }
 }
 
-/// Guards against taking an outage of the table for a missing renewal: the time in which nobody could
-/// read the lease counted against its holder, and a weak machine took the lease after the outage.
+/// Guards against taking an outage of the table for a missing renewal: the time in which nobody
+/// could read the lease counted against its holder, and a weak machine took the lease after the
+/// outage.
 #[test]
 fn time_in_which_the_lease_could_not_be_read_does_not_count_against_its_holder() {
     let mut other = LeaseKeeper::new(NodeId::from("node-2"), 2, LEASE_MS);
@@ -270,7 +273,7 @@
     let step = other.step(Timestamp(now), Candidacy::After(0));
     assert!(
         matches!(step, LeaseStep::Write { .. }),
-        "nobody renewed it: {step:?}"
+        "nobody renewed the lease: {step:?}"
     );
 }
 
--- a/crates/fleet/tests/ledger.rs
+++ b/crates/fleet/tests/ledger.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// The wait for a save, which a request needs that is larger than the saved reserve.
+/// The wait for a save, for a request that is larger than the saved reserve.
 const SAVE_WAIT: Duration = Duration::from_millis(30);
 
 /// Returns a ledger for one of `parts` equal fractions of each limit, without saved usage.
--- a/crates/fleet/tests/load_window.rs
+++ b/crates/fleet/tests/load_window.rs
@@ -1,5 +1,5 @@
-//! Tests the concurrency limit of loads against simulated weight stores that serve a given number of
-//! loads at full speed.
+//! Tests the concurrency limit of loads against simulated weight stores that serve a given number
+//! of loads at full speed.
 
 use std::time::Duration;
 
@@ -15,11 +15,12 @@
     BackEndId::from(format!("e{number}"))
 }
 
-/// A simulated weight store. A load takes longer if more loads than `full_speed` were under way when
-/// it began.
+/// A simulated weight store. A load takes longer if more loads than `full_speed` were under way
+/// when it began.
 struct Store {
     full_speed: usize,
     window: LoadConcurrency,
+    /// Loads under way, as (time at which the end is observed, engine).
     under_way: Vec<(u64, BackEndId)>,
     started_count: usize,
     max_under_way: usize,
--- a/crates/fleet/tests/pacer.rs
+++ b/crates/fleet/tests/pacer.rs
@@ -6,8 +6,8 @@
 
 const ENGINE: u64 = 7;
 
-/// The span of the requirement that the paced requests must meet: in any 4 s, a back end receives at
-/// most 1.5 times the requests that its limit permits, plus 5.
+/// The span of the requirement that the paced requests must meet: in any 4 s, a back end receives
+/// at most 1.5 times the requests that its limit permits, plus 5.
 const CHECKED_SPAN_MS: f64 = 4_000.0;
 
 /// Returns a pacer that has been running long enough to assign times at any rate, and the time.
@@ -111,7 +111,7 @@
             let within = times[index..].iter().filter(|time| **time - start < CHECKED_SPAN_MS);
             let max_sends = rate * (CHECKED_SPAN_MS + BURST_MS) / 1_000.0 + 1.0;
             prop_assert!(within.count() as f64 <= max_sends, "more than {max_sends}");
-            prop_assert!(max_sends <= rate * 6.0 + 5.0, "the bound of the pacer must be within the requirement");
+            prop_assert!(max_sends <= rate * 6.0 + 5.0, "the bound meets the requirement");
         }
     }
 }
--- a/crates/fleet/tests/placement.rs
+++ b/crates/fleet/tests/placement.rs
@@ -1,6 +1,6 @@
 //! Tests the placement planner with simulated engines that respond late, lose responses, carry out
-//! orders late and send stale reports. Memory and adapter slots must never be overcommitted, and the
-//! weight store's rate limit must be kept across changes of the holder.
+//! orders late and send stale reports. Memory and adapter slots must never be overcommitted, and
+//! the weight store's rate limit must be kept across changes of the holder.
 
 mod support;
 
@@ -98,8 +98,8 @@
     assert_eq!(actions[0].kind, ActionKind::Report);
 }
 
-/// Guards against waiting for discovery: it shows a crashed engine for seconds, and its model was not
-/// loaded elsewhere although requests waited for it.
+/// Guards against waiting for discovery: it shows a crashed engine for seconds, and its model was
+/// not loaded elsewhere although requests waited for it.
 #[test]
 fn a_model_whose_only_engine_is_unresponsive_is_loaded_elsewhere() {
     let mut simulation = Simulation::new(2, &["m0"]);
@@ -113,8 +113,8 @@
     assert!(simulation.engines[1].holds(&model));
 }
 
-/// Runs from `from` until `to` (milliseconds), crashes every engine that loads the model, and returns
-/// the number of crashes.
+/// Runs from `from` until `to` (milliseconds), crashes every engine that loads the model, and
+/// returns the number of crashes.
 fn crash_loading_engines(simulation: &mut Simulation, model: &str, from: u64, to: u64) -> usize {
     let rows = vec![demand(&[(model, 2.0, 3)])];
     let mut crashes = 0;
@@ -161,7 +161,8 @@
     );
 }
 
-/// The rows of all engines expire while the table is unavailable, and reappear under the same names.
+/// The rows of all engines expire while the table is unavailable, and reappear under the same
+/// names.
 #[test]
 fn an_engine_whose_row_expired_during_a_load_has_not_crashed() {
     let mut simulation = Simulation::new(4, &["m0"]);
@@ -311,10 +312,11 @@
 }
 
 /// Guards against overload of the weight store. A store that serves two loads at full speed got as
-/// many loads as its rate limit permits. The loads shared the bandwidth, each took ten times as long
-/// and kept its engine from any other order, and late models were ordered at further engines, so the
-/// overload never ended and some models were never served. Of 307 log lines on deferred models, 295
-/// gave as reason that no engine was free; loads of 6 s took 15 to 45 s, and one ended every 3 s.
+/// many loads as its rate limit permits. The loads shared the bandwidth, each took ten times as
+/// long and kept its engine from any other order, and late models were ordered at further engines,
+/// so the overload never ended and some models were never served. Of 307 log lines on deferred
+/// models, 295 gave as reason that no engine was free; loads of 6 s took 15 to 45 s, and one ended
+/// every 3 s.
 #[test]
 fn loads_do_not_overload_a_slow_weight_store() {
     let mut simulation = Simulation::new(10, &[]);
@@ -359,8 +361,8 @@
     }
 }
 
-/// An engine loads one model at a time, and in a burst of rare models all engines load continuously.
-/// Four short loads then serve more requests than one long load.
+/// An engine loads one model at a time, and in a burst of rare models all engines load
+/// continuously. Four short loads then serve more requests than one long load.
 #[test]
 fn shorter_loads_come_first() {
     let mut simulation = Simulation::new(1, &["m0"]);
@@ -442,8 +444,8 @@
     assert!(simulation.load_starts.is_empty());
 }
 
-/// An engine loads one model at a time, so models of waiting requests with higher priority are loaded
-/// first.
+/// An engine loads one model at a time, so models of waiting requests with higher priority are
+/// loaded first.
 #[test]
 fn models_of_waiting_requests_with_high_priority_are_loaded_first() {
     let service = support::service();
@@ -593,8 +595,8 @@
 }
 
 /// Guards against adding replicas one after the other when all engines of a model are full: in a
-/// fleet of 295 gateways, 20 requests per second for a model on one engine of 12 slots were rejected
-/// for eight seconds.
+/// fleet of 295 gateways, 20 requests per second for a model on one engine of 12 slots were
+/// rejected for eight seconds.
 #[test]
 fn a_model_whose_engines_are_full_gets_several_replicas_at_once() {
     let mut simulation = Simulation::new(6, &["m1"]);
--- a/crates/fleet/tests/quarantine.rs
+++ b/crates/fleet/tests/quarantine.rs
@@ -271,8 +271,8 @@
 }
 
 proptest! {
-    /// A blamed request was running at three crashes or more, and every crash at which such a request
-    /// was running is attributed to a blamed request.
+    /// Only requests that were running at three crashes or more are blamed, and each crash at which
+    /// a request of this kind was running is explained by a blamed request.
     #[test]
     fn blame_needs_three_crashes_and_explains_all_that_it_can(
         running in proptest::collection::vec((0_u8..6, 0_u64..12), 0..60)
--- a/crates/fleet/tests/reading.rs
+++ b/crates/fleet/tests/reading.rs
@@ -1,5 +1,5 @@
-//! Tests the estimates of prefill times, the exchange of prefill speeds between gateways, the choice
-//! of a back end by them, and the record of cached prefixes.
+//! Tests the estimates of prefill times, the exchange of prefill speeds between gateways, the
+//! choice of a back end by them, and the record of cached prefixes.
 
 use gorsebank_coordination::Timestamp;
 use gorsebank_fleet::choice::{Candidate, cheapest};
@@ -201,12 +201,12 @@
         .collect();
     let row = PrefillSpeedRow::merge(&many);
     assert_eq!(row.engines.len(), 1_000);
-    let text = serde_json::to_string(&row).expect("it can be written");
+    let text = serde_json::to_string(&row).expect("the row can be encoded");
     assert!(text.len() < 48_000, "{} bytes", text.len());
 }
 
-/// Guards against long gaps: prompts of 4,000 tokens stalled all streams of a slow engine for longer
-/// than their callers accept.
+/// Guards against long gaps: prompts of 4,000 tokens stalled all streams of a slow engine for
+/// longer than their callers accept.
 #[test]
 fn a_long_prompt_goes_where_it_stalls_streams_least() {
     let candidate = |running, stall| candidate(running, stall, 1.0);
--- a/crates/fleet/tests/requested_pause.rs
+++ b/crates/fleet/tests/requested_pause.rs
@@ -44,8 +44,8 @@
 }
 
 proptest! {
-    /// A back end is paused until the latest end of all pauses that it requested, in whatever order, and
-    /// no longer.
+    /// A back end is paused until the latest end of all pauses that it requested, in whatever
+    /// order, and no longer.
     #[test]
     fn the_latest_end_of_all_pauses_counts(
         requests in prop::collection::vec((0_u64..3_000, 0_u64..2, 0_u64..4_000), 1..30),
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -390,13 +390,14 @@
     pub faults: Vec<u8>,
     /// An engine that sends no more responses while discovery still shows it.
     pub unresponsive: Option<BackEndId>,
-    /// The number of concurrent loads that the weight store serves at full speed; a larger number of
-    /// loads shares its bandwidth.
+    /// The number of concurrent loads that the weight store serves at full speed; a larger number
+    /// of loads shares its bandwidth.
     pub max_full_speed_loads: usize,
     /// The time of the last iteration.
     last_iteration_ms: u64,
     /// Rows of the placement table, including rows of engines that no longer exist.
     published: BTreeMap<BackEndId, PlacedRow>,
+    /// Orders that are delivered late, as (time, engine, order, sequence number).
     late_orders: Vec<(u64, BackEndId, OrderKind, u64)>,
     orders: usize,
     /// Engines that crashed while they were running requests.
@@ -453,8 +454,8 @@
         self.engines.iter().filter(holds).count()
     }
 
-    /// Replaces the holder. The next holder knows the engines' rows and the load records that are at
-    /// least `min_age_ms` milliseconds old.
+    /// Replaces the holder. The next holder knows the engines' rows and the load records that are
+    /// at least `min_age_ms` milliseconds old.
     #[allow(dead_code)]
     pub fn change_holder(&mut self, now: u64, min_age_ms: u64) {
         let mut loads = self.planner.store_records(Timestamp(now));
--- a/crates/gateway/tests/backoff.rs
+++ b/crates/gateway/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! Pauses between tries that fail.
+//! Tests the pauses between failed attempts.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn pauses_grow_to_the_longest_and_begin_anew() {
+fn pauses_grow_to_the_maximum_and_restart_after_a_reset() {
     let mut backoff = Backoff::new(Duration::from_millis(100), Duration::from_millis(500));
     for expected in [100, 200, 400, 500, 500] {
         assert_about(backoff.next_pause(), expected);
--- a/crates/gateway/tests/directory.rs
+++ b/crates/gateway/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What gateways know of back ends.
+//! Tests the directory of back ends: restarts, drains, exits and unreadable rows.
 
 use std::collections::HashSet;
 
@@ -25,87 +25,87 @@
     }
 }
 
-/// The row of an engine whose process has ended stands for three more heartbeats. Requests
-/// spent their sends on such engines, and the model counted as being there.
+/// Guards against using the row of an exited engine, which remains for three more heartbeats:
+/// requests spent their attempts on such engines, and the model counted as loaded there.
 #[test]
-fn an_engine_that_others_saw_end_is_no_place_for_a_model_although_its_row_stands() {
+fn an_engine_whose_exit_others_observed_is_unavailable_although_its_row_remains() {
     let mut directory = Directory::new("hall".into());
     directory.put(NOW, engine("i-1"), 1);
     directory.put(NOW, engine("i-2"), 2);
     let (service, model) = (ServiceId::from("llm"), ModelId::from("m"));
     let ready = |directory: &Directory| -> Vec<BackEndId> {
-        let places = directory.availability(NOW, &service, &model, None);
-        places.ready.iter().map(|it| it.id.clone()).collect()
+        let availability = directory.availability(NOW, &service, &model, None);
+        availability.ready.iter().map(|it| it.id.clone()).collect()
     };
     assert_eq!(ready(&directory).len(), 2);
 
-    let ended: HashSet<_> = [quarantine::incarnation_hash(&"i-1".into(), None)].into();
-    directory.record_exits(NOW, &ended);
+    let exited: HashSet<_> = [quarantine::incarnation_hash(&"i-1".into(), None)].into();
+    directory.record_exits(NOW, &exited);
     assert_eq!(ready(&directory), [BackEndId::from("i-2")]);
     assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
     assert!(directory.exited(NOW).contains(&BackEndId::from("i-1")));
 
-    // What is at its address later has another name.
+    // A later engine at the same address has another name.
     directory.put(NOW, engine("i-3"), 3);
     assert_eq!(ready(&directory).len(), 2);
 
-    // A row that stands for so long is that of an engine that lives after all.
+    // A row that remains for 10 s belongs to an engine that is running after all.
     let later = NOW + 10_000;
     assert!(directory.exited(later).is_empty());
     assert_eq!(directory.active_back_ends(later, &service).len(), 3);
 }
 
-fn of_life(id: &str, born: u64) -> BackEndReport {
+fn engine_started_at(id: &str, start_time_ms: u64) -> BackEndReport {
     BackEndReport {
-        born: Some(Born(born)),
+        born: Some(Born(start_time_ms)),
         ..engine(id)
     }
 }
 
 fn holds(directory: &Directory, model: &str) -> bool {
-    let places = directory.availability(NOW, &"llm".into(), &model.into(), None);
-    !places.ready.is_empty()
+    let availability = directory.availability(NOW, &"llm".into(), &model.into(), None);
+    !availability.ready.is_empty()
 }
 
 #[test]
-fn the_next_life_of_a_back_end_begins_anew() {
+fn state_of_an_incarnation_does_not_affect_the_next() {
     let mut directory = Directory::new("hall".into());
     let (service, id) = (ServiceId::from("llm"), BackEndId::from("i-1"));
-    directory.put(NOW, of_life("i-1", 1), 1);
-    let former = directory.back_end(&id).expect("a back end");
-    former.record_absent(NOW, &"m".into(), None);
-    let leaving = BackEndReport {
+    directory.put(NOW, engine_started_at("i-1", 1), 1);
+    let previous = directory.back_end(&id).expect("a back end");
+    previous.record_absent(NOW, &"m".into(), None);
+    let draining = BackEndReport {
         draining: true,
-        ..of_life("i-1", 1)
+        ..engine_started_at("i-1", 1)
     };
-    directory.put(NOW, leaving, 2);
+    directory.put(NOW, draining, 2);
     assert!(!directory.is_active(&id));
     assert!(
         directory.take_removed_without_drain().is_empty(),
-        "it said so"
+        "the back end announced its drain"
     );
 
-    directory.put(NOW, of_life("i-1", 2), 3);
+    directory.put(NOW, engine_started_at("i-1", 2), 3);
     assert!(directory.is_active(&id));
     assert!(holds(&directory, "m"));
     assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
-    let ended: HashSet<_> = [former.incarnation_hash].into();
-    directory.record_exits(NOW, &ended);
+    let exited: HashSet<_> = [previous.incarnation_hash].into();
+    directory.record_exits(NOW, &exited);
     assert!(
         directory.exited(NOW).is_empty(),
-        "the end of the former life"
+        "the exit of the previous incarnation does not count"
     );
 
-    directory.put(NOW, of_life("i-1", 3), 4);
+    directory.put(NOW, engine_started_at("i-1", 3), 4);
     assert_eq!(
         directory.take_removed_without_drain().len(),
         1,
-        "it ended without a word"
+        "the back end exited without a drain"
     );
 }
 
 #[test]
-fn what_the_holder_placed_in_a_former_life_is_not_there_in_the_next() {
+fn placements_of_an_incarnation_do_not_apply_to_the_next() {
     let mut directory = Directory::new("hall".into());
     let id = BackEndId::from("i-1");
     let placed = |born: Option<Born>| PlacedRow {
@@ -114,30 +114,30 @@
         unloading: Some("m".into()),
         ..PlacedRow::default()
     };
-    directory.put(NOW, of_life("i-1", 1), 1);
+    directory.put(NOW, engine_started_at("i-1", 1), 1);
     directory.put_placed(NOW, id.clone(), placed(Some(Born(1))), 2);
     assert!(holds(&directory, "placed"));
-    directory.put(NOW, of_life("i-1", 2), 3);
+    directory.put(NOW, engine_started_at("i-1", 2), 3);
     assert!(!holds(&directory, "placed") && holds(&directory, "m"));
-    // A row of the former life that comes late, of a gateway that tells starts.
+    // This late row of the previous incarnation comes from a gateway that writes start times.
     directory.put_placed(NOW, id.clone(), placed(Some(Born(1))), 4);
     assert!(!holds(&directory, "placed") && holds(&directory, "m"));
-    // A newer one of a gateway that knows nothing of starts.
+    // This newer row comes from a gateway that does not know start times.
     directory.put_placed(NOW, id.clone(), placed(None), 5);
     assert!(holds(&directory, "placed") && !holds(&directory, "m"));
-    // The holder may hear of the next life before this gateway does.
+    // The holder may learn of the next incarnation before this gateway does.
     directory.put_placed(NOW, id, placed(Some(Born(3))), 6);
-    directory.put(NOW, of_life("i-1", 3), 5);
+    directory.put(NOW, engine_started_at("i-1", 3), 5);
     assert!(holds(&directory, "placed"));
 }
 
 #[test]
-fn a_row_of_an_earlier_life_is_taken_in_when_nothing_contradicts_it() {
+fn a_row_with_an_earlier_start_is_applied_when_nothing_contradicts_it() {
     let mut directory = Directory::new("hall".into());
     let id = BackEndId::from("i-1");
     let born = |directory: &Directory| directory.back_end(&id).and_then(|it| it.born);
-    directory.put(NOW, of_life("i-1", 5), 1);
-    directory.put(NOW, of_life("i-1", 4), 2);
+    directory.put(NOW, engine_started_at("i-1", 5), 1);
+    directory.put(NOW, engine_started_at("i-1", 4), 2);
     assert!(directory.has_deferred_rows());
     directory.retry_deferred_rows(NOW + 1_000);
     assert_eq!(born(&directory), Some(Born(5)));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_back_end_whose_row_cannot_be_read_has_not_ended() {
+fn a_back_end_with_an_unreadable_row_has_not_exited() {
     let mut directory = Directory::new("hall".into());
     let id = BackEndId::from("i-1");
     directory.put(NOW, engine("i-1"), 1);
@@ -163,60 +163,64 @@
     assert!(directory.take_removed_without_drain().is_empty());
 }
 
-/// The table lost its row for a moment, and the back end, which has said that it leaves, writes
-/// it again as one that is ready.
+/// The table may lose the row of a draining back end for a moment, after which the back end writes
+/// the row again without its drain.
 #[test]
-fn a_departure_is_kept_while_the_row_of_its_life_is_gone() {
+fn a_drain_is_kept_while_the_row_of_its_incarnation_is_missing() {
     let (service, id) = (ServiceId::from("llm"), BackEndId::from("i-1"));
-    for says_in_row in [true, false] {
+    for is_in_row in [true, false] {
         let mut directory = Directory::new("hall".into());
-        directory.put(NOW, of_life("i-1", 1), 1);
+        directory.put(NOW, engine_started_at("i-1", 1), 1);
         let back_end = directory.back_end(&id).expect("a back end");
-        if says_in_row {
-            let leaving = BackEndReport {
+        if is_in_row {
+            let draining = BackEndReport {
                 draining: true,
-                ..of_life("i-1", 1)
+                ..engine_started_at("i-1", 1)
             };
-            directory.put(NOW, leaving, 2);
+            directory.put(NOW, draining, 2);
         } else {
             assert!(directory.record_drain(NOW, &back_end));
         }
         directory.remove(&id);
         assert!(
             directory.take_removed_without_drain().is_empty(),
-            "it said that it leaves"
+            "the back end announced its drain"
         );
-        directory.put(NOW, of_life("i-1", 1), 3);
+        directory.put(NOW, engine_started_at("i-1", 1), 3);
         assert!(directory.active_back_ends(NOW, &service).is_empty());
-        directory.put(NOW, of_life("i-1", 9_000), 4);
+        directory.put(NOW, engine_started_at("i-1", 9_000), 4);
         assert_eq!(directory.active_back_ends(NOW, &service).len(), 1);
     }
 }
 
 #[test]
-fn a_departure_that_is_told_counts_also_for_a_row_that_comes_later() {
-    let mut teller = Directory::new("hall".into());
-    teller.put(NOW, engine("i-1"), 1);
-    let back_end = teller.back_end(&"i-1".into()).expect("a back end");
-    teller.record_drain(NOW, &back_end);
-    let told = teller.drain_notices(NOW + 100);
-    assert_eq!(told.len(), 1);
+fn a_received_drain_notice_applies_to_a_row_that_arrives_later() {
+    let mut sender = Directory::new("hall".into());
+    sender.put(NOW, engine("i-1"), 1);
+    let back_end = sender.back_end(&"i-1".into()).expect("a back end");
+    sender.record_drain(NOW, &back_end);
+    let notices = sender.drain_notices(NOW + 100);
+    assert_eq!(notices.len(), 1);
 
     let mut directory = Directory::new("hall".into());
-    assert!(!directory.knows_drains(&told));
+    assert!(!directory.knows_drains(&notices));
     assert!(
-        directory.merge_drain_notices(NOW, &told).is_empty(),
+        directory.merge_drain_notices(NOW, &notices).is_empty(),
         "no row"
     );
     directory.put(NOW, engine("i-1"), 1);
     assert!(directory.active_back_ends(NOW, &"llm".into()).is_empty());
     assert!(!directory.is_active(&"i-1".into()));
-    assert!(directory.reports()[0].draining, "nothing is loaded there");
+    assert!(
+        directory.reports()[0].draining,
+        "no model may be loaded at a draining back end"
+    );
 }
 
-/// What goes round among gateways for longer than it is told on is told no more.
+/// Guards against notices that gateways forward to each other without end: a notice must keep its
+/// age when it is forwarded, and expire.
 #[test]
-fn a_departure_does_not_grow_younger_by_being_told() {
+fn a_drain_notice_keeps_its_age_when_it_is_forwarded() {
     let mut directories = [Directory::new("a".into()), Directory::new("b".into())];
     for directory in &mut directories {
         directory.put(NOW, engine("i-1"), 1);
--- a/crates/gateway/tests/earlier_builds.rs
+++ b/crates/gateway/tests/earlier_builds.rs
@@ -1,8 +1,9 @@
-//! Gateways of different builds run side by side while machines are replaced one after the
-//! other: what the build before says and keeps is read, and it can read what this one says.
+//! Tests the compatibility of messages and stored rows with earlier builds. Gateways of different
+//! builds run side by side during a rolling update, so this build must read messages and rows of
+//! earlier builds, and earlier builds must be able to read those of this build.
 //!
-//! `samples/BUILD` holds messages and rows as that build encoded them. A build leaves when no
-//! deployment runs it any more.
+//! `samples/BUILD` holds messages and rows as that build encoded them. A build is removed from the
+//! list when no deployment runs it any more.
 
 use std::path::PathBuf;
 
@@ -18,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Builds that may run beside this one.
+/// Builds that may run beside the current build.
 const BUILDS: [&str; 3] = ["4986580", "4aa18de", "db3fbfa"];
 
 fn sample(build: &str, name: &str) -> String {
@@ -27,7 +28,7 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Samples of messages: a name and the bytes, a line each.
+/// Reads the sample messages of a file. Each line holds a name and the bytes in hexadecimal digits.
 fn messages(build: &str, name: &str) -> Vec<(String, Vec<u8>)> {
     let line = |line: &str| {
         let (name, hex) = line.split_once(' ').expect("a name and bytes");
@@ -40,99 +41,102 @@
     sample(build, name).lines().map(line).collect()
 }
 
-/// Whether everything that `earlier` says stands in `present` in the same way. What is new there
-/// is passed over by the earlier build, which names its fields.
-fn keeps(earlier: &Cbor, present: &Cbor) -> bool {
-    match (earlier, present) {
-        (Cbor::Map(earlier), Cbor::Map(present)) => earlier.iter().all(|(key, value)| {
-            let mut same = present.iter().filter(|(other, _)| other == key);
-            same.any(|(_, other)| keeps(value, other))
+/// Returns whether `current` contains all values of `earlier` unchanged. `current` may have further
+/// fields, because the earlier build finds fields by name and ignores unknown ones.
+fn contains_all_of(earlier: &Cbor, current: &Cbor) -> bool {
+    match (earlier, current) {
+        (Cbor::Map(earlier), Cbor::Map(current)) => earlier.iter().all(|(key, value)| {
+            let mut same = current.iter().filter(|(other, _)| other == key);
+            same.any(|(_, other)| contains_all_of(value, other))
         }),
-        (Cbor::Array(earlier), Cbor::Array(present)) => {
-            let pairs = earlier.iter().zip(present);
-            earlier.len() == present.len() && pairs.into_iter().all(|(it, other)| keeps(it, other))
+        (Cbor::Array(earlier), Cbor::Array(current)) => {
+            let pairs = earlier.iter().zip(current);
+            earlier.len() == current.len()
+                && pairs
+                    .into_iter()
+                    .all(|(it, other)| contains_all_of(it, other))
         }
-        _ => earlier == present,
+        _ => earlier == current,
     }
 }
 
-fn read_and_say_again<T: DeserializeOwned + Serialize>(build: &str, file: &str) {
+fn assert_messages_are_preserved<T: DeserializeOwned + Serialize>(build: &str, file: &str) {
     let samples = messages(build, file);
     assert!(samples.len() > 5, "{build}: {file}");
     for (name, bytes) in samples {
-        let read: T = ciborium::from_reader(bytes.as_slice())
+        let decoded: T = ciborium::from_reader(bytes.as_slice())
             .unwrap_or_else(|error| panic!("{build}: {name}: {error}"));
-        let mut again = Vec::new();
-        ciborium::into_writer(&read, &mut again).expect("it can be encoded");
+        let mut encoded = Vec::new();
+        ciborium::into_writer(&decoded, &mut encoded).expect("the value can be encoded");
         let as_value = |bytes: &[u8]| ciborium::from_reader::<Cbor, _>(bytes).expect("a value");
-        let (earlier, present) = (as_value(&bytes), as_value(&again));
+        let (earlier, current) = (as_value(&bytes), as_value(&encoded));
         assert!(
-            keeps(&earlier, &present),
-            "{build}: {name}: {earlier:?} is {present:?} now"
+            contains_all_of(&earlier, &current),
+            "{build}: {name}: {earlier:?} is {current:?} now"
         );
     }
 }
 
 #[test]
-fn messages_of_earlier_builds_are_read_and_said_as_they_were() {
+fn messages_of_earlier_builds_are_decoded_and_encoded_without_loss() {
     for build in BUILDS {
-        read_and_say_again::<RelayRequest>(build, "requests.txt");
-        read_and_say_again::<RelayResponse>(build, "answers.txt");
+        assert_messages_are_preserved::<RelayRequest>(build, "requests.txt");
+        assert_messages_are_preserved::<RelayResponse>(build, "answers.txt");
     }
 }
 
-fn row_is_read<T: DeserializeOwned + Serialize>(rows: &Value, name: &str) {
+fn assert_row_is_preserved<T: DeserializeOwned + Serialize>(rows: &Value, name: &str) {
     let earlier = &rows[name];
-    let read: T =
+    let decoded: T =
         serde_json::from_value(earlier.clone()).unwrap_or_else(|error| panic!("{name}: {error}"));
-    let present = serde_json::to_value(&read).expect("it can be encoded");
-    assert_eq!(*earlier, present, "{name}");
+    let current = serde_json::to_value(&decoded).expect("the value can be encoded");
+    assert_eq!(*earlier, current, "{name}");
 }
 
 #[test]
-fn rows_of_earlier_builds_are_read_and_written_as_they_were() {
+fn rows_of_earlier_builds_are_decoded_and_encoded_unchanged() {
     for build in BUILDS {
         let rows = serde_json::from_str(&sample(build, "rows.json")).expect("rows");
-        row_is_read::<MemberRow>(&rows, "member");
-        row_is_read::<PlacedRow>(&rows, "placed");
-        row_is_read::<LeaseRow>(&rows, "lease");
-        row_is_read::<StoreRecords>(&rows, "loads");
-        row_is_read::<PrefillSpeedRow>(&rows, "reading");
-        row_is_read::<Vec<OutcomeNotice>>(&rows, "quarantine");
-        row_is_read::<SavedUsage>(&rows, "saved_use");
+        assert_row_is_preserved::<MemberRow>(&rows, "member");
+        assert_row_is_preserved::<PlacedRow>(&rows, "placed");
+        assert_row_is_preserved::<LeaseRow>(&rows, "lease");
+        assert_row_is_preserved::<StoreRecords>(&rows, "loads");
+        assert_row_is_preserved::<PrefillSpeedRow>(&rows, "reading");
+        assert_row_is_preserved::<Vec<OutcomeNotice>>(&rows, "quarantine");
+        assert_row_is_preserved::<SavedUsage>(&rows, "saved_use");
     }
 }
 
-/// The same the other way round: a later build may say more.
+/// Rows of a later build may have additional fields, which this build has to ignore.
 #[test]
-fn fields_of_a_later_build_are_passed_over() {
+fn unknown_fields_of_a_later_build_are_ignored() {
     for build in BUILDS {
         let mut rows: Value = serde_json::from_str(&sample(build, "rows.json")).expect("rows");
         for name in ["member", "placed", "lease", "reading"] {
             rows[name]["later"] = serde_json::json!({"a": [1]});
         }
-        let read = |name: &str| rows[name].clone();
-        assert!(serde_json::from_value::<MemberRow>(read("member")).is_ok());
-        assert!(serde_json::from_value::<PlacedRow>(read("placed")).is_ok());
-        assert!(serde_json::from_value::<LeaseRow>(read("lease")).is_ok());
-        assert!(serde_json::from_value::<PrefillSpeedRow>(read("reading")).is_ok());
+        let row = |name: &str| rows[name].clone();
+        assert!(serde_json::from_value::<MemberRow>(row("member")).is_ok());
+        assert!(serde_json::from_value::<PlacedRow>(row("placed")).is_ok());
+        assert!(serde_json::from_value::<LeaseRow>(row("lease")).is_ok());
+        assert!(serde_json::from_value::<PrefillSpeedRow>(row("reading")).is_ok());
     }
 }
 
-/// A question on limits as builds before 4aa18de, and that one, know it.
+/// A quota request as build 4aa18de and earlier builds decode it.
 #[derive(Debug, Deserialize, PartialEq)]
-struct EarlierAsk {
+struct EarlierQuotaRequest {
     #[serde(rename = "s")]
-    seat: usize,
+    shard: usize,
     #[serde(rename = "t")]
     tenant: String,
     #[serde(rename = "c")]
     cost: f64,
 }
 
-/// A question for news as builds before 0b4f494, and that one, know it.
+/// A feed request as build 0b4f494 and earlier builds decode it.
 #[derive(Debug, Deserialize, PartialEq)]
-struct EarlierQuestion {
+struct EarlierFeedRequest {
     tables: Vec<TablePosition>,
     wait: u64,
     from: String,
@@ -141,13 +145,14 @@
 
 #[derive(Debug, Deserialize, PartialEq)]
 enum EarlierRequest {
-    Allowance(EarlierAsk),
-    News(EarlierQuestion),
+    Allowance(EarlierQuotaRequest),
+    News(EarlierFeedRequest),
 }
 
-/// It counts for no tenant without a name, and answers that.
+/// Earlier builds decode a request for a send time as a quota request for a tenant without a name.
+/// They charge no tenant for it, and respond accordingly.
 #[test]
-fn a_question_for_a_time_at_a_back_end_is_one_of_no_tenant_to_earlier_builds() {
+fn earlier_builds_decode_a_send_time_request_as_a_quota_request_without_a_tenant() {
     let send_time = SendTimeRequest {
         back_end: 7,
         rate: 0.5,
@@ -155,25 +160,27 @@
     };
     let mut bytes = Vec::new();
     let request = RelayRequest::Quota(QuotaRequest::for_send_time(send_time));
-    ciborium::into_writer(&request, &mut bytes).expect("it can be encoded");
-    let read: EarlierRequest = ciborium::from_reader(bytes.as_slice()).expect("it is read");
-    let nothing = EarlierAsk {
-        seat: 0,
+    ciborium::into_writer(&request, &mut bytes).expect("the value can be encoded");
+    let decoded: EarlierRequest =
+        ciborium::from_reader(bytes.as_slice()).expect("the message can be decoded");
+    let without_tenant = EarlierQuotaRequest {
+        shard: 0,
         tenant: String::new(),
         cost: 0.0,
     };
-    assert_eq!(read, EarlierRequest::Allowance(nothing));
+    assert_eq!(decoded, EarlierRequest::Allowance(without_tenant));
 }
 
-/// They read what they know of it, and go by the back end's row.
+/// Earlier builds ignore the drain notices of a feed request, and learn of a drain from the back
+/// end's row.
 #[test]
-fn back_ends_that_leave_are_passed_over_by_earlier_builds() {
+fn earlier_builds_ignore_drain_notices() {
     let limits = vec![LimitNotice {
         back_end: 7,
         rate: Some(0.5),
         age: 20,
     }];
-    let question = FeedRequest {
+    let feed_request = FeedRequest {
         tables: Vec::new(),
         wait_ms: 300,
         from: "node-1".into(),
@@ -186,14 +193,15 @@
         }],
     };
     let mut bytes = Vec::new();
-    let request = RelayRequest::Updates(question);
-    ciborium::into_writer(&request, &mut bytes).expect("it can be encoded");
-    let read: EarlierRequest = ciborium::from_reader(bytes.as_slice()).expect("it is read");
-    let known = EarlierQuestion {
+    let request = RelayRequest::Updates(feed_request);
+    ciborium::into_writer(&request, &mut bytes).expect("the value can be encoded");
+    let decoded: EarlierRequest =
+        ciborium::from_reader(bytes.as_slice()).expect("the message can be decoded");
+    let known = EarlierFeedRequest {
         tables: Vec::new(),
         wait: 300,
         from: "node-1".to_owned(),
         limits,
     };
-    assert_eq!(read, EarlierRequest::News(known));
+    assert_eq!(decoded, EarlierRequest::News(known));
 }
--- a/crates/gateway/tests/lines.rs
+++ b/crates/gateway/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Logs to a reader that has stopped reading.
+//! Tests the event log with a reader that has stopped reading.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -6,10 +6,10 @@
 
 use gorsebank_gateway::event_log::{self, LogPriority};
 
-/// Blocks until the test lets it go.
-struct Stuck(Receiver<()>);
+/// A writer that blocks until the test ends.
+struct BlockedWriter(Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.recv();
         Ok(bytes.len())
@@ -21,9 +21,9 @@
 }
 
 #[test]
-fn a_reader_that_has_stopped_reading_holds_nothing_up_and_lines_are_counted() {
-    let (_keep, stuck) = channel();
-    event_log::start_to("node-1", Stuck(stuck)).expect("a log");
+fn a_stalled_reader_does_not_block_writers_and_dropped_lines_are_counted() {
+    let (_sender, receiver) = channel();
+    event_log::start_to("node-1", BlockedWriter(receiver)).expect("a log");
     let began = Instant::now();
     for second in 0..10 {
         for number in 0..400 {
@@ -43,6 +43,6 @@
         "{:?}",
         began.elapsed()
     );
-    let left_out = event_log::dropped_lines();
-    assert!(left_out >= 10 * 800 - 2_048 - 400, "{left_out}");
+    let dropped = event_log::dropped_lines();
+    assert!(dropped >= 10 * 800 - 2_048 - 400, "{dropped}");
 }
--- a/crates/gateway/tests/patience.rs
+++ b/crates/gateway/tests/patience.rs
@@ -1,39 +1,39 @@
-//! Waits for answers that are lost, or slow.
+//! Tests the timeout that adapts to recent response times.
 
 use std::time::Duration;
 
 use gorsebank_gateway::adaptive_timeout::AdaptiveTimeout;
 
-const LEAST: Duration = Duration::from_millis(150);
-const MOST: Duration = Duration::from_millis(800);
+const MIN_TIMEOUT: Duration = Duration::from_millis(150);
+const MAX_TIMEOUT: Duration = Duration::from_millis(800);
 
 #[test]
-fn a_lost_answer_of_a_quick_service_is_noticed_soon() {
-    let patience = AdaptiveTimeout::new(LEAST, MOST);
-    assert_eq!(patience.current(), MOST, "nothing is known yet");
+fn the_timeout_of_a_fast_service_falls_to_the_minimum() {
+    let timeout = AdaptiveTimeout::new(MIN_TIMEOUT, MAX_TIMEOUT);
+    assert_eq!(timeout.current(), MAX_TIMEOUT, "there are no responses yet");
     for _ in 0..10 {
-        patience.record_response(Duration::from_millis(5));
+        timeout.record_response(Duration::from_millis(5));
     }
-    assert_eq!(patience.current(), LEAST);
+    assert_eq!(timeout.current(), MIN_TIMEOUT);
 }
 
 #[test]
-fn a_service_that_turned_slow_is_waited_for_again() {
-    let patience = AdaptiveTimeout::new(LEAST, MOST);
-    patience.record_response(Duration::from_millis(5));
+fn the_timeout_grows_when_a_service_becomes_slow() {
+    let timeout = AdaptiveTimeout::new(MIN_TIMEOUT, MAX_TIMEOUT);
+    timeout.record_response(Duration::from_millis(5));
     let slow = Duration::from_millis(300);
-    let mut lost = 0;
-    while patience.current() < slow {
-        patience.record_timeout();
-        lost += 1;
+    let mut timeouts = 0;
+    while timeout.current() < slow {
+        timeout.record_timeout();
+        timeouts += 1;
     }
-    assert_eq!(lost, 3, "one or two answers may have been lost");
+    assert_eq!(timeouts, 3, "one or two responses may have been lost");
     for _ in 0..20 {
-        patience.record_response(slow);
-        assert!(patience.current() > slow);
+        timeout.record_response(slow);
+        assert!(timeout.current() > slow);
     }
     for _ in 0..3 {
-        patience.record_timeout();
+        timeout.record_timeout();
     }
-    assert_eq!(patience.current(), MOST);
+    assert_eq!(timeout.current(), MAX_TIMEOUT);
 }
--- a/crates/gateway/tests/rhythm.rs
+++ b/crates/gateway/tests/rhythm.rs
@@ -1,4 +1,4 @@
-//! How often tables are asked for changes.
+//! Tests how often the roots read the changes of each table.
 
 use std::time::Duration;
 
@@ -15,23 +15,28 @@
     prefill_speeds: "reading",
 };
 
-/// Two or three gateways ask for all: what they ask in vain is paid for, and what they do
-/// not ask for in time is old for all.
+/// Two or three gateways read the tables for the whole fleet. A read that finds no changes is a
+/// wasted request to the table, and a late read leaves the content stale at all gateways.
 #[test]
-fn busy_tables_rest_for_a_part_of_the_bound_and_the_configuration_does_not() {
+fn busy_tables_are_read_at_intervals_and_the_configuration_without_pause() {
     for bound in [2_000, 4_000].map(Duration::from_millis) {
-        for rhythm in table_sync_policies(&TABLES) {
-            let pause = rhythm.min_read_interval(bound);
-            if rhythm.table == TABLES.configuration {
-                assert_eq!(pause, Duration::ZERO);
+        for policy in table_sync_policies(&TABLES) {
+            let interval = policy.min_read_interval(bound);
+            if policy.table == TABLES.configuration {
+                assert_eq!(interval, Duration::ZERO);
                 continue;
             }
-            assert!(pause >= bound / 15, "{}: {pause:?}", rhythm.table);
-            // With a whole wait for a change an answer is still fresh for those that are fed.
-            if rhythm.is_urgent {
-                let oldest = pause + rhythm.max_wait;
-                let fresh = rhythm.max_age(bound, true);
-                assert!(oldest < fresh, "{}: {oldest:?} of {fresh:?}", rhythm.table);
+            assert!(interval >= bound / 15, "{}: {interval:?}", policy.table);
+            // Even after the maximum wait for a change, the response is still fresh for child
+            // gateways.
+            if policy.is_urgent {
+                let max_age_at_root = interval + policy.max_wait;
+                let max_age = policy.max_age(bound, true);
+                assert!(
+                    max_age_at_root < max_age,
+                    "{}: {max_age_at_root:?} of {max_age:?}",
+                    policy.table
+                );
             }
         }
     }
--- a/crates/gateway/tests/table_cache.rs
+++ b/crates/gateway/tests/table_cache.rs
@@ -1,4 +1,4 @@
-//! What a gateway keeps of tables, for itself and for those that it feeds.
+//! Tests the cache of tables that a gateway keeps for itself and its child gateways.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,8 +10,8 @@
 use gorsebank_gateway::feed::{TableCache, TablePosition, UpdateContent};
 use gorsebank_gateway::ports::{RowChange, TableChanges, TableSnapshot};
 
-/// When the table was asked, where that is of no matter.
-const ASKED: Duration = Duration::ZERO;
+/// The time of the request, for tests that do not depend on it.
+const REQUESTED_AT: Duration = Duration::ZERO;
 
 fn row(key: &str, modified: u64) -> TableRow {
     TableRow {
@@ -25,7 +25,7 @@
     RowChange::Put(row(key, modified))
 }
 
-fn told(changes: Vec<RowChange>, version: u64) -> TableChanges {
+fn table_changes(changes: Vec<RowChange>, version: u64) -> TableChanges {
     TableChanges { changes, version }
 }
 
@@ -43,16 +43,17 @@
     }
 }
 
-/// Changes after a version; none if the asker has to begin with all rows.
+/// Returns the changes after a version, or `None` if the requesting gateway has to begin with all
+/// rows.
 fn changes_of(cache: &TableCache, version: u64, newest_only: bool) -> Option<TableChanges> {
-    let news = cache.update_for(&position(Some(version), newest_only))?;
-    match news.content {
+    let update = cache.update_for(&position(Some(version), newest_only))?;
+    match update.content {
         UpdateContent::Rows { .. } | UpdateContent::Page(_) => None,
         UpdateContent::Changes { changes, version } => {
             let unpacked = changes
                 .iter()
                 .map(|change| change.unpack().expect("packed"));
-            Some(told(unpacked.collect(), version))
+            Some(table_changes(unpacked.collect(), version))
         }
     }
 }
@@ -61,162 +62,194 @@
     changes_of(cache, version, false)
 }
 
-/// All rows with the table's version.
+/// Returns all rows with the table's version.
 fn rows(cache: &TableCache) -> Option<TableSnapshot> {
-    let news = cache.update_for(&position(None, false))?;
-    let UpdateContent::Rows { rows, version } = news.content else {
-        panic!("one that knows nothing is told all rows");
+    let update = cache.update_for(&position(None, false))?;
+    let UpdateContent::Rows { rows, version } = update.content else {
+        panic!("a gateway without a version gets all rows");
     };
     let rows = rows.iter().map(|row| match row.unpack().expect("packed") {
         RowChange::Put(row) => row,
-        RowChange::Removed { .. } => panic!("a row that is gone"),
+        RowChange::Removed { .. } => panic!("a removed row in a snapshot"),
     });
     Some(snapshot(rows.collect(), version))
 }
 
 #[test]
-fn changes_are_told_in_order_and_applied_to_the_rows() {
+fn changes_are_sent_in_order_and_applied_to_the_rows() {
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![row("t/a", 3), row("t/b", 4)], 5), ASKED);
-    let gone = RowChange::Removed {
+    cache.replace(
+        "t",
+        &snapshot(vec![row("t/a", 3), row("t/b", 4)], 5),
+        REQUESTED_AT,
+    );
+    let removed = RowChange::Removed {
         key: "t/b".to_owned(),
         version: 7,
     };
-    cache.advance("t", 5, &told(vec![put("t/a", 6), gone.clone()], 7), ASKED);
+    cache.advance(
+        "t",
+        5,
+        &table_changes(vec![put("t/a", 6), removed.clone()], 7),
+        REQUESTED_AT,
+    );
     assert_eq!(
         changes(&cache, 5),
-        Some(told(vec![put("t/a", 6), gone.clone()], 7))
+        Some(table_changes(vec![put("t/a", 6), removed.clone()], 7))
     );
-    assert_eq!(changes(&cache, 6), Some(told(vec![gone], 7)));
-    assert_eq!(changes(&cache, 7), Some(told(vec![], 7)));
+    assert_eq!(changes(&cache, 6), Some(table_changes(vec![removed], 7)));
+    assert_eq!(changes(&cache, 7), Some(table_changes(vec![], 7)));
     assert_eq!(rows(&cache), Some(snapshot(vec![row("t/a", 6)], 7)));
 }
 
-/// Found in reading: of a row that said that its back end leaves, and that an older
-/// heartbeat overwrote, only the second state was told.
+/// Guards against losing an intermediate state: if a row announced the drain of its back end and an
+/// older heartbeat overwrote the row, only the second state was sent.
 #[test]
-fn of_several_changes_to_a_row_each_is_told_where_each_counts() {
+fn all_changes_of_a_row_are_sent_unless_the_newest_is_sufficient() {
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![], 5), ASKED);
+    cache.replace("t", &snapshot(vec![], 5), REQUESTED_AT);
     let many = vec![put("t/a", 6), put("t/b", 7), put("t/a", 8)];
-    cache.advance("t", 5, &told(many.clone(), 8), ASKED);
-    assert_eq!(changes(&cache, 5), Some(told(many, 8)));
+    cache.advance("t", 5, &table_changes(many.clone(), 8), REQUESTED_AT);
+    assert_eq!(changes(&cache, 5), Some(table_changes(many, 8)));
     let newest = vec![put("t/b", 7), put("t/a", 8)];
-    assert_eq!(changes_of(&cache, 5, true), Some(told(newest, 8)));
+    assert_eq!(changes_of(&cache, 5, true), Some(table_changes(newest, 8)));
 }
 
 #[test]
-fn older_rows_undo_nothing() {
+fn older_rows_do_not_replace_newer_ones() {
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), ASKED);
-    cache.advance("t", 5, &told(vec![put("t/a", 9)], 9), ASKED);
-    cache.replace("t", &snapshot(vec![row("t/a", 3)], 6), ASKED);
-    cache.advance("t", 5, &told(vec![put("t/a", 7)], 7), ASKED);
+    cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), REQUESTED_AT);
+    cache.advance("t", 5, &table_changes(vec![put("t/a", 9)], 9), REQUESTED_AT);
+    cache.replace("t", &snapshot(vec![row("t/a", 3)], 6), REQUESTED_AT);
+    cache.advance("t", 5, &table_changes(vec![put("t/a", 7)], 7), REQUESTED_AT);
     assert_eq!(rows(&cache), Some(snapshot(vec![row("t/a", 9)], 9)));
-    assert_eq!(changes(&cache, 8), Some(told(vec![put("t/a", 9)], 9)));
+    assert_eq!(
+        changes(&cache, 8),
+        Some(table_changes(vec![put("t/a", 9)], 9))
+    );
 }
 
 #[test]
-fn after_a_gap_nothing_from_before_is_told() {
+fn changes_from_before_a_gap_are_not_sent() {
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), ASKED);
-    cache.advance("t", 8, &told(vec![put("t/a", 9)], 9), ASKED);
+    cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), REQUESTED_AT);
+    cache.advance("t", 8, &table_changes(vec![put("t/a", 9)], 9), REQUESTED_AT);
     assert!(
         cache.update_for(&position(Some(5), false)).is_none(),
-        "rows may lack a change"
+        "the cached rows may lack a change"
+    );
+    assert!(rows(&cache).is_none(), "the cached rows may lack a change");
+    cache.replace("t", &snapshot(vec![row("t/a", 9)], 9), REQUESTED_AT);
+    assert_eq!(
+        changes(&cache, 5),
+        None,
+        "the gateway must begin with all rows"
+    );
+    assert_eq!(
+        changes(&cache, 8),
+        Some(table_changes(vec![put("t/a", 9)], 9))
     );
-    assert!(rows(&cache).is_none(), "rows may lack a change");
-    cache.replace("t", &snapshot(vec![row("t/a", 9)], 9), ASKED);
-    assert_eq!(changes(&cache, 5), None, "it begins with all rows");
-    assert_eq!(changes(&cache, 8), Some(told(vec![put("t/a", 9)], 9)));
 }
 
-/// Found at 295 gateways: each time the store had dropped its history, the whole table
-/// went to all of them.
+/// Guards against sending the whole table needlessly: in a fleet of 295 gateways, each time that
+/// the store had dropped its history, all of them received the whole table.
 #[test]
-fn a_table_that_was_read_again_is_told_by_what_changed() {
+fn a_table_that_was_read_again_is_sent_as_changes() {
     let mut cache = TableCache::default();
     cache.replace(
         "t",
         &snapshot(vec![row("t/a", 3), row("t/b", 4), row("t/c", 5)], 5),
-        ASKED,
+        REQUESTED_AT,
     );
     cache.record_gap("t");
-    assert_eq!(cache.version("t"), None, "it is to be read again");
+    assert_eq!(cache.version("t"), None, "the table must be read again");
     cache.replace(
         "t",
         &snapshot(vec![row("t/a", 3), row("t/c", 8), row("t/d", 7)], 9),
-        ASKED,
+        REQUESTED_AT,
     );
-    let gone = RowChange::Removed {
+    let removed = RowChange::Removed {
         key: "t/b".to_owned(),
         version: 9,
     };
-    let changed = vec![put("t/d", 7), put("t/c", 8), gone];
-    assert_eq!(changes(&cache, 5), Some(told(changed, 9)));
+    let changed = vec![put("t/d", 7), put("t/c", 8), removed];
+    assert_eq!(changes(&cache, 5), Some(table_changes(changed, 9)));
     assert_eq!(cache.version("t"), Some(9));
 }
 
 #[test]
-fn history_that_is_too_long_is_forgotten_from_its_beginning() {
+fn the_oldest_changes_of_a_long_history_are_dropped() {
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![], 0), ASKED);
-    // As many rows as are few beside the changes that are kept at least.
+    cache.replace("t", &snapshot(vec![], 0), REQUESTED_AT);
+    // The table has 400 rows, fewer than the minimum number of changes that are kept.
     for version in 1..=800 {
         let change = vec![put(&format!("t/{}", version % 400), version)];
-        cache.advance("t", version - 1, &told(change, version), ASKED);
+        cache.advance(
+            "t",
+            version - 1,
+            &table_changes(change, version),
+            REQUESTED_AT,
+        );
     }
-    assert_eq!(changes(&cache, 100), None, "it begins with all rows");
+    assert_eq!(
+        changes(&cache, 100),
+        None,
+        "the gateway must begin with all rows"
+    );
     assert_eq!(changes(&cache, 790).expect("kept").changes.len(), 10);
 }
 
-/// Each gateway on the way adds the time since it was told.
+/// Each gateway on the path adds the time since it received the content.
 #[test]
-fn ages_are_told_and_add_up() {
+fn ages_are_sent_and_add_up() {
     let mut first = TableCache::default();
-    first.replace("t", &snapshot(vec![row("t/a", 3)], 5), ASKED);
+    first.replace("t", &snapshot(vec![row("t/a", 3)], 5), REQUESTED_AT);
     std::thread::sleep(Duration::from_millis(30));
-    let news = first.update_for(&position(None, false)).expect("news");
-    assert!(news.age_ms >= 30, "{} ms", news.age_ms);
+    let update = first.update_for(&position(None, false)).expect("an update");
+    assert!(update.age_ms >= 30, "{} ms", update.age_ms);
     let mut second = TableCache::default();
-    second.apply_update(None, news, ASKED);
+    second.apply_update(None, update, REQUESTED_AT);
     std::thread::sleep(Duration::from_millis(30));
     let age = second.age("t").expect("known");
     assert!(age >= Duration::from_millis(60), "{age:?}");
-    let news = first.update_for(&position(Some(5), false)).expect("news");
-    second.apply_update(Some(5), news, ASKED);
+    let update = first
+        .update_for(&position(Some(5), false))
+        .expect("an update");
+    second.apply_update(Some(5), update, REQUESTED_AT);
     let age = second.age("t").expect("known");
     assert!(
         age >= Duration::from_millis(60),
-        "nobody confirmed it: {age:?}"
+        "the table did not confirm the content: {age:?}"
     );
-    first.advance("t", 5, &told(vec![], 5), ASKED);
+    first.advance("t", 5, &table_changes(vec![], 5), REQUESTED_AT);
     second.apply_update(
         Some(5),
-        first.update_for(&position(Some(5), false)).expect("news"),
-        ASKED,
+        first
+            .update_for(&position(Some(5), false))
+            .expect("an update"),
+        REQUESTED_AT,
     );
     let age = second.age("t").expect("known");
     assert!(age < Duration::from_millis(30), "{age:?}");
 }
 
 #[test]
-fn a_long_row_travels_short_and_arrives_whole() {
+fn a_long_row_is_compressed_and_decoded_completely() {
     let routes: Vec<String> = (0..1_000)
         .map(|number| format!("{{\"name\":\"route-{number}\",\"host\":\"crew.example\"}}"))
         .collect();
     let mut long = row("t/a", 3);
     long.value = format!("[{}]", routes.join(","));
     let mut cache = TableCache::default();
-    cache.replace("t", &snapshot(vec![long.clone()], 5), ASKED);
-    let news = cache.update_for(&position(None, true)).expect("news");
-    let bytes = gorsebank_contract::frame::encode(&news).expect("encoded");
+    cache.replace("t", &snapshot(vec![long.clone()], 5), REQUESTED_AT);
+    let update = cache.update_for(&position(None, true)).expect("an update");
+    let bytes = gorsebank_contract::frame::encode(&update).expect("encoded");
     assert!(bytes.len() * 5 < long.value.len(), "{} bytes", bytes.len());
     assert_eq!(rows(&cache), Some(snapshot(vec![long], 5)));
 }
 
 #[test]
-fn a_row_that_was_damaged_is_an_error_that_names_it() {
+fn the_error_for_a_damaged_row_names_the_row() {
     let mut long = row("t/a", 3);
     long.value = "x".repeat(5_000);
     let packed = PackedChange::put(&long);
@@ -229,11 +262,11 @@
     assert!(error.to_string().contains("t/a"), "{error}");
 }
 
-/// A clock that a test sets.
+/// A time source that a test sets.
 #[derive(Debug, Default)]
-struct SetTime(AtomicU64);
+struct ManualTime(AtomicU64);
 
-impl TimeSource for SetTime {
+impl TimeSource for ManualTime {
     fn since_boot(&self) -> Duration {
         Duration::from_millis(self.0.load(Ordering::Relaxed))
     }
@@ -243,62 +276,67 @@
     Duration::from_millis(milliseconds)
 }
 
-/// A cache whose clock a test sets.
-fn cache_with_time() -> (TableCache, Arc<SetTime>) {
-    let time = Arc::new(SetTime::default());
+/// Returns a cache and the time source of its clock, which a test sets.
+fn cache_with_manual_time() -> (TableCache, Arc<ManualTime>) {
+    let time = Arc::new(ManualTime::default());
     (TableCache::new(Clock::new(time.clone())), time)
 }
 
 #[test]
-fn an_answer_proves_what_stood_in_the_table_when_it_was_asked_for() {
-    let (mut cache, time) = cache_with_time();
-    assert_eq!(cache.verified_age("t", 5), None, "nothing is proved yet");
+fn a_response_verifies_the_content_for_the_time_of_its_request() {
+    let (mut cache, time) = cache_with_manual_time();
+    assert_eq!(
+        cache.verified_age("t", 5),
+        None,
+        "no content is verified yet"
+    );
     time.0.store(3_000, Ordering::Relaxed);
-    // The answer was under way for two seconds.
+    // The response was in transit for two seconds.
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(1_000));
     assert_eq!(cache.verified_age("t", 5), Some(at(2_000)));
-    cache.advance("t", 5, &told(vec![], 6), at(2_500));
+    cache.advance("t", 5, &table_changes(vec![], 6), at(2_500));
     assert_eq!(cache.verified_age("t", 5), Some(at(500)));
-    // A question that was asked before proves nothing more.
-    cache.advance("t", 6, &told(vec![], 6), at(1_200));
+    // The response to an earlier request does not improve the verified age.
+    cache.advance("t", 6, &table_changes(vec![], 6), at(1_200));
     assert_eq!(cache.verified_age("t", 5), Some(at(500)));
 }
 
 #[test]
-fn a_change_that_was_not_taken_in_yet_ends_what_is_proved_of_the_content_before_it() {
-    let (mut cache, time) = cache_with_time();
+fn a_change_ends_the_verification_of_the_content_before_it() {
+    let (mut cache, time) = cache_with_manual_time();
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(0));
     time.0.store(1_000, Ordering::Relaxed);
-    cache.advance("t", 5, &told(vec![put("t/a", 7)], 7), at(900));
+    cache.advance("t", 5, &table_changes(vec![put("t/a", 7)], 7), at(900));
     time.0.store(1_500, Ordering::Relaxed);
     assert_eq!(cache.verified_age("t", 5), Some(at(1_500)));
     assert_eq!(cache.verified_age("t", 7), Some(at(600)));
 }
 
 #[test]
-fn changes_behind_a_gap_prove_nothing() {
-    let (mut cache, time) = cache_with_time();
+fn changes_behind_a_gap_verify_nothing() {
+    let (mut cache, time) = cache_with_manual_time();
     cache.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(0));
     time.0.store(4_000, Ordering::Relaxed);
-    cache.advance("t", 8, &told(vec![], 9), at(3_900));
+    cache.advance("t", 8, &table_changes(vec![], 9), at(3_900));
     assert_eq!(cache.verified_age("t", 9), Some(at(4_000)));
 }
 
 #[test]
-fn proofs_add_up_on_the_way_and_count_from_the_question() {
-    let (mut first, time) = cache_with_time();
+fn verified_ages_add_up_along_the_path_and_count_from_the_request() {
+    let (mut first, time) = cache_with_manual_time();
     first.replace("t", &snapshot(vec![row("t/a", 3)], 5), at(0));
     time.0.store(700, Ordering::Relaxed);
-    let news = first.update_for(&position(None, false)).expect("news");
-    let (mut second, later) = cache_with_time();
+    let update = first.update_for(&position(None, false)).expect("an update");
+    let (mut second, later) = cache_with_manual_time();
     later.0.store(10_000, Ordering::Relaxed);
-    // Asked at 9,000, answered no sooner than 300 ms after that, and a while under way.
-    second.apply_update(None, news, at(9_300));
-    let age = second.verified_age("t", 5).expect("proved");
+    // The request was sent at 9,000 ms and answered no sooner than 300 ms later, and the response
+    // was in transit for some time.
+    second.apply_update(None, update, at(9_300));
+    let age = second.verified_age("t", 5).expect("verified");
     assert!(age >= at(1_400) && age <= at(1_401), "{age:?}");
-    let mut unproved = first.update_for(&position(None, false)).expect("news");
-    unproved.verified_age_ms = None;
-    let (mut third, _) = cache_with_time();
-    third.apply_update(None, unproved, at(9_300));
+    let mut unverified = first.update_for(&position(None, false)).expect("an update");
+    unverified.verified_age_ms = None;
+    let (mut third, _) = cache_with_manual_time();
+    third.apply_update(None, unverified, at(9_300));
     assert_eq!(third.verified_age("t", 5), None);
 }
--- a/crates/gateway/tests/table_pages.rs
+++ b/crates/gateway/tests/table_pages.rs
@@ -1,4 +1,4 @@
-//! Whole tables travel in pages: no message grows with the table.
+//! Tests that complete tables are sent in pages, so that no message grows with the table.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
 use gorsebank_gateway::ports::{RowChange, TableChanges, TableSnapshot};
 
 const TABLE: &str = "servers";
-/// What a message may hold: a fifth of a second on a link of 10 megabits a second.
-const LARGEST_MESSAGE: usize = 256 * 1024;
+/// Maximum size of a message: it takes a fifth of a second on a link of 10 megabits per second.
+const MAX_MESSAGE_BYTES: usize = 256 * 1024;
 
 fn row(number: usize, modified: u64) -> TableRow {
     let value = format!(
@@ -29,7 +29,7 @@
     }
 }
 
-fn feeder(rows: usize) -> TableCache {
+fn parent(rows: usize) -> TableCache {
     let mut cache = TableCache::new(Clock::default());
     let rows = (0..rows).map(|number| row(number, 1 + number as u64));
     let rows: Vec<TableRow> = rows.collect();
@@ -38,63 +38,66 @@
     cache
 }
 
-fn change(feeder: &mut TableCache, changes: Vec<RowChange>, version: u64) {
-    let known = feeder.version(TABLE).expect("a version");
-    let told = TableChanges { changes, version };
-    feeder.advance(TABLE, known, &told, Duration::ZERO);
+fn change(parent: &mut TableCache, changes: Vec<RowChange>, version: u64) {
+    let known = parent.version(TABLE).expect("a version");
+    let changes = TableChanges { changes, version };
+    parent.advance(TABLE, known, &changes, Duration::ZERO);
 }
 
-fn position(asker: &TableCache) -> TablePosition {
+fn position(child: &TableCache) -> TablePosition {
     TablePosition {
         table: TABLE.to_owned(),
-        version: asker.version(TABLE),
+        version: child.version(TABLE),
         newest_only: false,
         max_age_ms: 1_000,
-        page: Some(asker.next_page(TABLE)),
+        page: Some(child.next_page(TABLE)),
     }
 }
 
-fn message_bytes(news: &TableUpdate) -> usize {
-    let answer = FeedResponse {
-        tables: vec![news.clone()],
+fn message_bytes(update: &TableUpdate) -> usize {
+    let response = FeedResponse {
+        tables: vec![update.clone()],
         ..FeedResponse::default()
     };
     let mut bytes = Vec::new();
-    ciborium::into_writer(&answer, &mut bytes).expect("it can be encoded");
+    ciborium::into_writer(&response, &mut bytes).expect("the response can be encoded");
     bytes.len()
 }
 
-/// One question and its answer. Out: the answer's bytes.
-fn ask(asker: &mut TableCache, feeder: &TableCache) -> usize {
-    let position = position(asker);
-    let news = feeder.update_for(&position).expect("the table is known");
-    let bytes = message_bytes(&news);
-    asker.apply_update(position.version, news, Duration::ZERO);
+/// Sends one request of `child` to `parent` and applies the response. Returns the size of the
+/// response in bytes.
+fn request_update(child: &mut TableCache, parent: &TableCache) -> usize {
+    let position = position(child);
+    let update = parent.update_for(&position).expect("the table is known");
+    let bytes = message_bytes(&update);
+    child.apply_update(position.version, update, Duration::ZERO);
     bytes
 }
 
-/// Asks until the whole table is known. Out: the bytes of the largest answer, and of all.
-fn read_whole(asker: &mut TableCache, feeder: &TableCache) -> (usize, usize) {
-    let (mut largest, mut all) = (0, 0);
-    while asker.version(TABLE).is_none() {
-        let bytes = ask(asker, feeder);
+/// Sends requests until the table is complete. Returns the size of the largest response and the
+/// total size of all responses, in bytes.
+fn request_all_pages(child: &mut TableCache, parent: &TableCache) -> (usize, usize) {
+    let (mut largest, mut total) = (0, 0);
+    while child.version(TABLE).is_none() {
+        let bytes = request_update(child, parent);
         largest = largest.max(bytes);
-        all += bytes;
+        total += bytes;
     }
-    (largest, all)
+    (largest, total)
 }
 
-fn rows_of(cache: &TableCache) -> Vec<RowChange> {
-    let whole = TablePosition {
+fn cached_rows(cache: &TableCache) -> Vec<RowChange> {
+    let position = TablePosition {
         table: TABLE.to_owned(),
         version: None,
         newest_only: true,
         max_age_ms: u64::MAX,
         page: None,
     };
-    let Some(UpdateContent::Rows { rows, .. }) = cache.update_for(&whole).map(|news| news.content)
+    let Some(UpdateContent::Rows { rows, .. }) =
+        cache.update_for(&position).map(|update| update.content)
     else {
-        panic!("a gateway that knows no pages is told all rows");
+        panic!("a gateway without support for pages gets all rows");
     };
     rows.iter()
         .map(|row| row.unpack().expect("packed"))
@@ -104,23 +107,23 @@
 #[test]
 fn no_message_grows_with_the_number_of_back_ends() {
     for rows in [300, 3_000, 10_000, 20_000] {
-        let (mut asker, feeder) = (TableCache::new(Clock::default()), feeder(rows));
-        let (largest, all) = read_whole(&mut asker, &feeder);
-        assert!(largest < LARGEST_MESSAGE, "{rows} rows: {largest} bytes");
+        let (mut child, parent) = (TableCache::new(Clock::default()), parent(rows));
+        let (largest, total) = request_all_pages(&mut child, &parent);
+        assert!(largest < MAX_MESSAGE_BYTES, "{rows} rows: {largest} bytes");
         assert!(
-            all < rows * 100,
-            "{rows} rows: {all} bytes, hardly compressed"
+            total < rows * 100,
+            "{rows} rows: {total} bytes, hardly compressed"
         );
-        assert_eq!(rows_of(&asker), rows_of(&feeder));
+        assert_eq!(cached_rows(&child), cached_rows(&parent));
     }
 }
 
 #[test]
-fn what_changes_between_two_pages_is_told_after_the_last_one() {
-    let (mut asker, mut feeder) = (TableCache::new(Clock::default()), feeder(3_000));
+fn changes_between_two_pages_are_sent_after_the_last_page() {
+    let (mut child, mut parent) = (TableCache::new(Clock::default()), parent(3_000));
     let mut version = 3_000;
-    while asker.version(TABLE).is_none() {
-        ask(&mut asker, &feeder);
+    while child.version(TABLE).is_none() {
+        request_update(&mut child, &parent);
         version += 3;
         let written = row(version as usize % 3_000, version - 2);
         let removed = RowChange::Removed {
@@ -129,39 +132,39 @@
         };
         let added = row(3_000 + version as usize, version);
         let changes = vec![RowChange::Put(written), removed, RowChange::Put(added)];
-        change(&mut feeder, changes, version);
+        change(&mut parent, changes, version);
     }
-    ask(&mut asker, &feeder);
-    assert_eq!(asker.version(TABLE), Some(version));
-    assert_eq!(rows_of(&asker), rows_of(&feeder));
+    request_update(&mut child, &parent);
+    assert_eq!(child.version(TABLE), Some(version));
+    assert_eq!(cached_rows(&child), cached_rows(&parent));
 }
 
-/// A gateway asks several in turn, and they know different versions.
+/// A gateway sends requests to several parents in turn, and these have different versions.
 #[test]
-fn a_page_of_one_that_is_behind_is_passed_over() {
-    let mut asker = TableCache::new(Clock::default());
-    let (mut ahead, behind) = (feeder(3_000), feeder(3_000));
+fn a_page_of_a_parent_that_is_behind_is_ignored() {
+    let mut child = TableCache::new(Clock::default());
+    let (mut ahead, behind) = (parent(3_000), parent(3_000));
     change(&mut ahead, vec![RowChange::Put(row(2_999, 5_000))], 5_000);
-    while asker.version(TABLE).is_none() {
-        ask(&mut asker, &ahead);
-        ask(&mut asker, &behind);
+    while child.version(TABLE).is_none() {
+        request_update(&mut child, &ahead);
+        request_update(&mut child, &behind);
     }
-    ask(&mut asker, &ahead);
-    assert_eq!(rows_of(&asker), rows_of(&ahead));
+    request_update(&mut child, &ahead);
+    assert_eq!(cached_rows(&child), cached_rows(&ahead));
 }
 
-/// A gateway that was behind by more than the changes that are kept was told the whole table.
-/// Of a table with many rows more changes are kept.
+/// A gateway that is behind by more than the kept changes gets the whole table, so more changes are
+/// kept of a table with many rows.
 #[test]
-fn as_many_changes_are_kept_as_a_table_has_rows() {
-    let (mut asker, mut feeder) = (TableCache::new(Clock::default()), feeder(10_000));
-    read_whole(&mut asker, &feeder);
+fn the_number_of_kept_changes_grows_with_the_rows_of_the_table() {
+    let (mut child, mut parent) = (TableCache::new(Clock::default()), parent(10_000));
+    request_all_pages(&mut child, &parent);
     for number in 0..5_000 {
         let version = 10_001 + number;
         let written = RowChange::Put(row(number as usize, version));
-        change(&mut feeder, vec![written], version);
+        change(&mut parent, vec![written], version);
     }
-    let position = position(&asker);
-    let news = feeder.update_for(&position).expect("news").content;
-    assert!(matches!(news, UpdateContent::Changes { .. }));
+    let position = position(&child);
+    let update = parent.update_for(&position).expect("an update").content;
+    assert!(matches!(update, UpdateContent::Changes { .. }));
 }
