--- a/crates/gateway/tests/back_end_limits.rs
+++ b/crates/gateway/tests/back_end_limits.rs
@@ -78,7 +78,7 @@
     }
 }
 
-/// Until that time, further requests need not ask for a send time.
+/// Until the time in a response, further requests to the back end need not ask for a send time.
 #[test]
 fn a_back_end_over_its_limit_has_no_capacity_until_the_received_time() {
     let limits = BackEndLimits::default();
