--- a/crates/gorsebank/src/admin_client.rs
+++ b/crates/gorsebank/src/admin_client.rs
@@ -1,4 +1,7 @@
-//! Calls a node's admin address.
+//! A client of a node's admin interface.
+//!
+//! In: a method, a path and an optional body. Out: the decoded response, or an error with the
+//! node's message.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,17 +14,17 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// A change may take as long as the node waits for the table service.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of one call. A change of a row takes as long as the node waits for the table service.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A client of one node.
+/// A client of one node's admin interface.
 pub struct AdminClient {
     http: HttpClient,
     node: SocketAddr,
 }
 
 impl AdminClient {
-    /// A client of the node at `node`.
+    /// A client of the node with the admin address `node`.
     pub fn new(node: SocketAddr) -> Self {
         AdminClient {
             http: HttpClient::default(),
@@ -29,46 +32,48 @@
         }
     }
 
-    /// Calls a path and reads the answer.
-    pub async fn call<Q: Serialize, A: DeserializeOwned>(
+    /// Sends a request and decodes the JSON response. A response with an error status is returned
+    /// as an error that carries the node's message.
+    pub async fn call<Q: Serialize, R: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: Option<&Q>,
-    ) -> eyre::Result<A> {
-        let (status, answer) = self
+    ) -> eyre::Result<R> {
+        let (status, response) = self
             .http
-            .call::<Q, Value>(method, self.node, path, body, CALL_LIMIT)
+            .call::<Q, Value>(method, self.node, path, body, CALL_TIMEOUT)
             .await
             .wrap_err_with(|| format!("node {}", self.node))?;
         if status.is_success() {
-            return serde_json::from_value(answer).wrap_err("the node's answer is not understood");
+            return serde_json::from_value(response).wrap_err("cannot decode the node's response");
         }
-        Err(describe(status, answer))
+        Err(error_report(status, response))
     }
 }
 
-fn describe(status: StatusCode, answer: Value) -> eyre::Report {
-    match serde_json::from_value::<AdminError>(answer) {
+/// The error that a response with an error status describes.
+fn error_report(status: StatusCode, response: Value) -> eyre::Report {
+    match serde_json::from_value::<AdminError>(response) {
         Ok(error) => match error.current_version {
             Some(version) => eyre!("{} (current version: {version})", error.message),
             None => eyre!("{}", error.message),
         },
-        Err(_) => eyre!("the node answered with status {status}"),
+        Err(_) => eyre!("the node responded with status {status}"),
     }
 }
 
-/// The path of a row, with a condition on its version.
+/// The path of a row. With `version`, the request succeeds only if the row has this version.
 pub fn row_path(kind: &str, name: &str, version: Option<u64>) -> eyre::Result<String> {
     if name.is_empty() || name.contains(['/', '?', '#', '%', ' ']) {
-        bail!("`{name}` is no name of a row");
+        bail!("`{name}` is not a valid row name");
     }
     let condition = version.map_or_else(String::new, |version| format!("?version={version}"));
     Ok(format!("/v1/configuration/{kind}/{name}{condition}"))
 }
 
-/// A text as part of a query.
-pub fn encoded(text: &str) -> String {
+/// Percent-encodes a text for use in a query string.
+pub fn percent_encode(text: &str) -> String {
     text.bytes()
         .map(|byte| match byte {
             b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' => {
--- a/crates/gorsebank/src/arguments.rs
+++ b/crates/gorsebank/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line arguments.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -10,23 +10,23 @@
 #[derive(Debug, Parser)]
 #[command(version)]
 pub struct Arguments {
-    /// What to do.
+    /// The command to run.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The commands of the program.
 #[derive(Debug, Subcommand)]
 pub enum Command {
     /// Run a node.
     Node(NodeArguments),
     /// Run a gateway on the users' platform.
     Gateway(GatewayArguments),
-    /// Check a settings file.
+    /// Check a settings file without starting anything.
     CheckSettings {
-        /// The file.
+        /// Settings file (TOML for a node).
         file: PathBuf,
-        /// It is a gateway's file, filled by the users' platform.
+        /// Read the file as a gateway's settings, which the users' platform fills in.
         #[arg(long)]
         gateway: bool,
     },
@@ -42,15 +42,16 @@
     Delete(DeleteArguments),
     /// Show a node's state.
     Status(StatusArguments),
-    /// Tell a request's way through gateways, from their logs.
+    /// Show a request's path through the gateways and the cause of its outcome, from their logs.
     Explain(ExplainArguments),
-    /// Tell which requests of a day were late, refused or failed, and why, from logs.
+    /// Summarize by route and cause which requests were late, refused or failed, from gateways'
+    /// logs.
     Losses(LossesArguments),
-    /// List rows of tables that gateways could not use, from their logs.
+    /// List the table rows that gateways could not parse, from their logs.
     RefusedRows(RefusedRowsArguments),
 }
 
-/// Arguments of `node`. Flags go before the file.
+/// Arguments of `node`. Flags take precedence over the settings file.
 #[derive(Debug, Args)]
 pub struct NodeArguments {
     /// Settings file (TOML).
@@ -65,13 +66,13 @@
     /// The node's cell.
     #[arg(long)]
     pub cell: Option<CellId>,
-    /// Address for callers.
+    /// Listen address for callers.
     #[arg(long)]
     pub listen_callers: Option<SocketAddr>,
-    /// Address for other nodes.
+    /// Listen address for other nodes.
     #[arg(long)]
     pub listen_nodes: Option<SocketAddr>,
-    /// Address for operators.
+    /// Listen address of the admin interface.
     #[arg(long)]
     pub listen_admin: Option<SocketAddr>,
 }
@@ -79,9 +80,9 @@
 /// Arguments of `explain`.
 #[derive(Debug, Args)]
 pub struct ExplainArguments {
-    /// The request's id.
+    /// The id of the request.
     pub request: String,
-    /// Log files of any number of gateways.
+    /// Log files of one or more gateways.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
@@ -89,7 +90,7 @@
 /// Arguments of `losses`.
 #[derive(Debug, Args)]
 pub struct LossesArguments {
-    /// Requests that are named for each cause.
+    /// Number of example requests to show for each cause.
     #[arg(long, default_value_t = 2)]
     pub examples: usize,
     /// Log files of all gateways.
@@ -100,7 +101,7 @@
 /// Arguments of `refused-rows`.
 #[derive(Debug, Args)]
 pub struct RefusedRowsArguments {
-    /// Log files of any number of gateways.
+    /// Log files of one or more gateways.
     #[arg(required = true)]
     pub files: Vec<PathBuf>,
 }
@@ -108,11 +109,11 @@
 /// Arguments of `gateway`.
 #[derive(Debug, Args)]
 pub struct GatewayArguments {
-    /// Settings file, as the platform fills it; by default the one that the
-    /// platform names in the environment.
+    /// Settings file that the users' platform fills in. The default is the file that the platform
+    /// names in the environment.
     #[arg(long)]
     pub settings: Option<PathBuf>,
-    /// Port and path at which figures are served, such as `9100/metrics`.
+    /// Port and path at which metrics are served, such as `9100/metrics`.
     #[arg(long)]
     pub metrics: Option<String>,
 }
@@ -120,30 +121,30 @@
 /// Arguments of `dev`.
 #[derive(Debug, Args)]
 pub struct DevArguments {
-    /// Address for callers.
+    /// Listen address for callers.
     #[arg(long, default_value = "127.0.0.1:8080")]
     pub listen: SocketAddr,
-    /// Address for operators.
+    /// Listen address of the admin interface.
     #[arg(long, default_value = "127.0.0.1:9080")]
     pub listen_admin: SocketAddr,
 }
 
-/// How results are shown.
+/// Output format of a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
 pub enum Output {
-    /// A table for people.
+    /// A text table.
     Table,
-    /// JSON for programs.
+    /// JSON.
     Json,
 }
 
-/// Which node to ask, and how to show the result.
+/// The node that a command calls, and the output format.
 #[derive(Debug, Args)]
 pub struct Connection {
     /// Admin address of any node.
     #[arg(long, env = "GORSEBANK_NODE", default_value = "127.0.0.1:9080")]
     pub node: SocketAddr,
-    /// How results are shown.
+    /// Output format.
     #[arg(long, value_enum, default_value_t = Output::Table)]
     pub output: Output,
 }
@@ -151,14 +152,14 @@
 /// Arguments of `get`.
 #[derive(Debug, Args)]
 pub struct GetArguments {
-    /// deployment, model, version, adapter or back_end.
+    /// Kind of the row: deployment, model, version, adapter or back_end.
     pub kind: RowKind,
-    /// One row by name.
+    /// Name of a single row.
     pub name: Option<String>,
-    /// Rows whose labels match, such as `team=call-centre,!retired`.
+    /// Show only the rows whose labels match, such as `team=call-centre,!retired`.
     #[arg(long, short = 'l', conflicts_with = "name")]
     pub selector: Option<String>,
-    /// Which node to ask.
+    /// The node to call, and the output format.
     #[command(flatten)]
     pub connection: Connection,
 }
@@ -166,13 +167,14 @@
 /// Arguments of `apply`.
 #[derive(Debug, Args)]
 pub struct ApplyArguments {
-    /// JSON file with one row or a list of rows: kind, name, labels, spec.
+    /// JSON file with one row or a list of rows. A row has a name, labels and a spec, which
+    /// contains the kind.
     #[arg(long, short = 'f')]
     pub file: PathBuf,
-    /// The version that the row must have (0: it must not exist).
+    /// Apply only if the row has this version (0: only if it does not exist).
     #[arg(long)]
     pub version: Option<u64>,
-    /// Which node to ask.
+    /// The node to call, and the output format.
     #[command(flatten)]
     pub connection: Connection,
 }
@@ -180,17 +182,17 @@
 /// Arguments of `label`.
 #[derive(Debug, Args)]
 pub struct LabelArguments {
-    /// deployment, model, version, adapter or back_end.
+    /// Kind of the row: deployment, model, version, adapter or back_end.
     pub kind: RowKind,
-    /// The row's name.
+    /// Name of the row.
     pub name: String,
     /// `key=value` sets a label, `key-` removes it.
     #[arg(required = true)]
     pub labels: Vec<String>,
-    /// The version that the row must have.
+    /// Change the row only if it has this version.
     #[arg(long)]
     pub version: Option<u64>,
-    /// Which node to ask.
+    /// The node to call, and the output format.
     #[command(flatten)]
     pub connection: Connection,
 }
@@ -198,14 +200,14 @@
 /// Arguments of `delete`.
 #[derive(Debug, Args)]
 pub struct DeleteArguments {
-    /// deployment, model, version, adapter or back_end.
+    /// Kind of the row: deployment, model, version, adapter or back_end.
     pub kind: RowKind,
-    /// The row's name.
+    /// Name of the row.
     pub name: String,
-    /// The version that the row must have.
+    /// Change the row only if it has this version.
     #[arg(long)]
     pub version: Option<u64>,
-    /// Which node to ask.
+    /// The node to call, and the output format.
     #[command(flatten)]
     pub connection: Connection,
 }
@@ -213,7 +215,7 @@
 /// Arguments of `status`.
 #[derive(Debug, Args)]
 pub struct StatusArguments {
-    /// Which node to ask.
+    /// The node to call, and the output format.
     #[command(flatten)]
     pub connection: Connection,
 }
--- a/crates/gorsebank/src/bin/gorsebank-standin.rs
+++ b/crates/gorsebank/src/bin/gorsebank-standin.rs
@@ -1,4 +1,7 @@
-//! Starts one stand-in as its own process.
+//! Runs one emulated service as a process: a table service, weight store, machine list, engine or
+//! application service.
+//!
+//! The process prints `listening on ADDRESS` once it accepts connections.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,7 +23,7 @@
 use gorsebank_emulator::server::{application, engine, machine_list, serve, store, table};
 use gorsebank_world::Artifact;
 
-/// Stand-ins for the platform and the back ends of gorsebank.
+/// Emulated platform services and back ends for tests of gorsebank.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
@@ -37,22 +40,22 @@
     Table,
     /// The rate-limited weight store.
     Store {
-        /// Loads that may start each second.
+        /// Maximum number of loads that start per second.
         #[arg(long, default_value_t = 2.0)]
         starts_per_second: f64,
-        /// Loads that run at full speed at once.
+        /// Maximum number of concurrent loads at full speed.
         #[arg(long, default_value_t = 8)]
         concurrency: u32,
-        /// Bytes a second of one load.
+        /// Bandwidth of one load, in bytes per second.
         #[arg(long, default_value = "2GB")]
         bandwidth: ByteSize,
     },
     /// The machine list (Prometheus HTTP service discovery).
     Machines {
-        /// JSON file with the first list.
+        /// JSON file with the initial list.
         #[arg(long)]
         file: PathBuf,
-        /// How late later lists are seen.
+        /// Delay after which a changed list becomes visible.
         #[arg(long, default_value = "3s")]
         lag: humantime::Duration,
     },
@@ -64,7 +67,7 @@
         /// Accelerator memory.
         #[arg(long, default_value = "80GiB")]
         memory: ByteSize,
-        /// Requests in a batch.
+        /// Maximum number of requests in a batch.
         #[arg(long, default_value_t = 16)]
         slots: u32,
         /// Time until the first token.
@@ -73,16 +76,16 @@
         /// Time between tokens.
         #[arg(long, default_value = "20ms")]
         token: humantime::Duration,
-        /// Checkpoints on the machine's disk, such as `model@1`.
+        /// Checkpoint that is on the machine's disk at the start, such as `model@1`.
         #[arg(long)]
         on_disk: Vec<Artifact>,
-        /// Print what happens, a JSON line a record.
+        /// Print each event of the engine as a line of JSON.
         #[arg(long)]
         print_history: bool,
     },
     /// An application service.
     Application {
-        /// Print what runs, a JSON line each.
+        /// Print each executed request as a line of JSON.
         #[arg(long)]
         print_history: bool,
     },
@@ -115,7 +118,7 @@
             let text = std::fs::read_to_string(&file)
                 .wrap_err_with(|| format!("cannot read {}", file.display()))?;
             let groups = serde_json::from_str(&text)
-                .wrap_err_with(|| format!("{} is no machine list", file.display()))?;
+                .wrap_err_with(|| format!("{} is not a machine list", file.display()))?;
             let server = MachineListServer::new(groups, lag.into());
             machine_list::router(Arc::new(server))
         }
--- a/crates/gorsebank/src/commands/apply.rs
+++ b/crates/gorsebank/src/commands/apply.rs
@@ -12,7 +12,7 @@
 use crate::arguments::ApplyArguments;
 use crate::table_view::print_rows;
 
-/// A row as files state it.
+/// A row in the format of an input file.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowFile {
@@ -29,11 +29,11 @@
     Many(Vec<RowFile>),
 }
 
-/// Applies every row of the file, in order; stops at the first that is refused.
+/// Applies the rows of the file in their order and stops at the first one that the node refuses.
 pub async fn run(arguments: ApplyArguments) -> eyre::Result<()> {
-    let rows = read(&arguments.file)?;
+    let rows = read_rows(&arguments.file)?;
     if rows.len() > 1 && arguments.version.is_some() {
-        bail!("--version goes with a file of one row");
+        bail!("--version requires a file with a single row");
     }
     let client = AdminClient::new(arguments.connection.node);
     let mut applied = Vec::new();
@@ -43,11 +43,11 @@
     print_rows(&applied, arguments.connection.output)
 }
 
-fn read(file: &Path) -> eyre::Result<Vec<RowFile>> {
+fn read_rows(file: &Path) -> eyre::Result<Vec<RowFile>> {
     let text = std::fs::read_to_string(file)
         .wrap_err_with(|| format!("cannot read {}", file.display()))?;
-    // Only a file that is no list is read as one row, so that the error names
-    // the place in either case.
+    // The first character decides between a list and a single row. The untagged enum would lose the
+    // position of an error.
     let rows = if text.trim_start().starts_with('[') {
         serde_json::from_str(&text).map(RowFiles::Many)
     } else {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Applies one row.
+/// Creates or replaces one row. With `version`, the row must have this version.
 pub async fn apply(client: &AdminClient, row: RowFile, version: Option<u64>) -> eyre::Result<Row> {
     let kind: RowKind = row.spec.kind();
     let path = row_path(kind.as_str(), &row.name, version)?;
@@ -70,7 +70,7 @@
     client.call(Method::PUT, &path, Some(&content)).await
 }
 
-/// Rows of a JSON text.
-pub fn parse(text: &str) -> eyre::Result<Vec<RowFile>> {
-    serde_json::from_str(text).wrap_err("not a list of rows")
+/// Parses a JSON list of rows.
+pub fn parse_rows(text: &str) -> eyre::Result<Vec<RowFile>> {
+    serde_json::from_str(text).wrap_err("the text is not a list of rows")
 }
--- a/crates/gorsebank/src/commands/check_settings.rs
+++ b/crates/gorsebank/src/commands/check_settings.rs
@@ -1,14 +1,15 @@
-//! `gorsebank check-settings`: checks a settings file and does nothing else.
+//! `gorsebank check-settings`: checks a settings file without starting anything.
 
 use std::path::Path;
 
 use gorsebank_node::NodeSettings;
-use gorsebank_platform::NodeSettings as GatewayFile;
+use gorsebank_platform::NodeSettings as GatewaySettings;
 
-/// Checks the file; a gateway's is read as the users' platform fills it.
+/// Checks the file. With `gateway`, the file is read in the format that the users' platform fills
+/// in for a gateway.
 pub fn run(file: &Path, gateway: bool) -> eyre::Result<()> {
     if gateway {
-        GatewayFile::read(file, None)?;
+        GatewaySettings::read(file, None)?;
     } else {
         NodeSettings::read(file)?;
     }
--- a/crates/gorsebank/src/commands/dev.rs
+++ b/crates/gorsebank/src/commands/dev.rs
@@ -1,5 +1,5 @@
-//! `gorsebank dev`: one process with a node, an embedded platform, two
-//! emulated engines and an application service, ready for `curl`.
+//! `gorsebank dev`: runs a node, an embedded platform, two emulated engines and an application
+//! service in one process, for requests by hand, as with `curl`.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,31 +23,32 @@
 use crate::arguments::DevArguments;
 use crate::commands::{apply, node};
 
-/// The rows that `dev` starts with.
-const ROWS: &str = include_str!("dev_rows.json");
-/// The node must hold the placement lease within this time.
-const START_LIMIT: Duration = Duration::from_secs(20);
-const ENGINES: u32 = 2;
+/// The initial configuration, a JSON list of rows.
+const INITIAL_ROWS: &str = include_str!("dev_rows.json");
+/// Time within which the node must acquire the placement lease.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+const ENGINE_COUNT: u32 = 2;
 const ENGINE_MEMORY: &str = "24GiB";
 const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// Runs until SIGTERM or SIGINT.
+/// Runs all services until SIGTERM or SIGINT.
 pub async fn run(arguments: DevArguments) -> eyre::Result<()> {
     let machines = start_back_ends().await?;
     let (table, _) =
         serve::serve(ANY_PORT, table::router(Arc::new(TableServer::default()))).await?;
     let list = Arc::new(MachineListServer::new(machines, Duration::ZERO));
     let (list, _) = serve::serve(ANY_PORT, machine_list::router(list)).await?;
-    let settings = settings(&arguments, table, list)?;
+    let settings = build_settings(&arguments, table, list)?;
     logging::start(&settings.log)?;
     let process = NodeProcess::start(settings).await?;
-    configure(process.admin()).await?;
+    write_initial_rows(process.admin()).await?;
     println!("listening on {}", process.callers());
     node::wait_for_stop().await?;
     process.stop().await;
     Ok(())
 }
 
+/// Starts the engines and the application service. Returns their entries of the machine list.
 async fn start_back_ends() -> eyre::Result<Vec<TargetGroup>> {
     let store = Arc::new(StoreServer::new(StoreSettings {
         starts_per_second: 2.0,
@@ -55,16 +56,16 @@
         bandwidth: 4_000_000_000,
     }));
     let mut machines = Vec::new();
-    for number in 1..=ENGINES {
+    for number in 1..=ENGINE_COUNT {
         let source = WeightSource::Embedded(Arc::clone(&store));
         let server = Arc::new(EngineServer::new(engine_settings(), source));
         let (address, _) = serve::serve(ANY_PORT, engine::router(server)).await?;
         let id = format!("engine-{number}");
-        machines.push(group(address, &id, "engine", "engines"));
+        machines.push(target_group(address, &id, "engine", "engines"));
     }
     let server = Arc::new(ApplicationServer::default());
     let (address, _) = serve::serve(ANY_PORT, application::router(server)).await?;
-    machines.push(group(address, "echo-1", "application", "echo"));
+    machines.push(target_group(address, "echo-1", "application", "echo"));
     Ok(machines)
 }
 
@@ -80,7 +81,7 @@
     }
 }
 
-fn group(address: SocketAddr, id: &str, role: &str, service: &str) -> TargetGroup {
+fn target_group(address: SocketAddr, id: &str, role: &str, service: &str) -> TargetGroup {
     let labels = [
         ("id", id),
         ("role", role),
@@ -99,7 +100,7 @@
     }
 }
 
-fn settings(
+fn build_settings(
     arguments: &DevArguments,
     table: SocketAddr,
     list: SocketAddr,
@@ -130,17 +131,17 @@
         callers = arguments.listen,
         admin = arguments.listen_admin,
     );
-    NodeSettings::parse(&text).wrap_err("the settings of dev")
+    NodeSettings::parse(&text).wrap_err("the built-in settings of `dev` are not valid")
 }
 
-/// Writes the first rows once the node holds the placement lease.
-async fn configure(admin: SocketAddr) -> eyre::Result<()> {
+/// Waits until the node holds the placement lease, then writes the initial configuration.
+async fn write_initial_rows(admin: SocketAddr) -> eyre::Result<()> {
     let client = AdminClient::new(admin);
-    let ready = tokio::time::timeout(START_LIMIT, wait_for_holder(&client)).await;
-    if ready.is_err() {
-        bail!("the node did not start within {START_LIMIT:?}");
+    let started = tokio::time::timeout(START_TIMEOUT, wait_for_holder(&client)).await;
+    if started.is_err() {
+        bail!("the node did not start within {START_TIMEOUT:?}");
     }
-    for row in apply::parse(ROWS)? {
+    for row in apply::parse_rows(INITIAL_ROWS)? {
         apply::apply(&client, row, None).await?;
     }
     Ok(())
--- a/crates/gorsebank/src/commands/explain/mod.rs
+++ b/crates/gorsebank/src/commands/explain/mod.rs
@@ -1,21 +1,21 @@
-//! `gorsebank explain`: a request's way through the gateways, from their logs.
+//! `gorsebank explain`: shows a request's path through the gateways, from their logs.
 //!
-//! In: a request's id and log files. Out: its lines in order of time, the lines
-//! about its back ends and its model just before, and the likely cause. Lines
-//! that are no log lines are passed over and counted.
+//! In: a request's id and log files. Out: the request's log lines in order of time, the lines about
+//! its back ends and its model shortly before, and the probable cause of its outcome. Text that is
+//! not a log line is skipped and counted.
 
 mod cause;
 mod story;
 
 use crate::arguments::ExplainArguments;
 use crate::commands::logs::Log;
-use story::Story;
+use story::RequestHistory;
 
-/// Prints what the logs say about a request.
+/// Prints the log lines that concern a request, and the cause of its outcome.
 pub fn run(arguments: &ExplainArguments) -> eyre::Result<()> {
     let log = Log::read(&arguments.files)?;
-    let story = Story::new(&arguments.request, &log.lines);
-    print!("{story}");
-    log.print_passed_over();
+    let history = RequestHistory::new(&arguments.request, &log.lines);
+    print!("{history}");
+    log.print_skipped_count();
     Ok(())
 }
--- a/crates/gorsebank/src/commands/explain/story.rs
+++ b/crates/gorsebank/src/commands/explain/story.rs
@@ -1,4 +1,8 @@
-//! The lines that tell of one request.
+//! The log lines that concern one request.
+//!
+//! In: a request's id and the lines of all logs. Out: the request's own lines and the relevant
+//! lines about back ends, models and the gateway, as text with times relative to the request's
+//! first line.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -6,81 +10,87 @@
 use super::cause::{self, Cause};
 use crate::commands::logs::LogLine;
 
-/// Lines about back ends and models this long before the request's end are shown.
-const CONTEXT: u64 = 6_000;
+/// Time before the request's first line from which lines about its back ends and model are shown.
+const CONTEXT_MS: u64 = 6_000;
 
-/// What the logs say about a request.
-pub struct Story<'a> {
+/// A request's log lines, their context and the cause of the outcome.
+pub struct RequestHistory<'a> {
     request: &'a str,
-    own: Vec<&'a LogLine>,
-    context: Vec<&'a LogLine>,
+    request_lines: Vec<&'a LogLine>,
+    context_lines: Vec<&'a LogLine>,
     cause: Cause,
 }
 
-impl<'a> Story<'a> {
-    /// Picks the request's lines, and those about what it needed.
+impl<'a> RequestHistory<'a> {
+    /// Selects the lines that concern the request, and determines the cause of its outcome.
     pub fn new(request: &'a str, lines: &'a [LogLine]) -> Self {
-        let own: Vec<&LogLine> = lines
+        let request_lines: Vec<&LogLine> = lines
             .iter()
             .filter(|line| line.field("request") == Some(request))
             .collect();
-        let context = context(&own, lines);
-        let cause = cause::find(&own, &context);
-        Story {
+        let context_lines = context_lines(&request_lines, lines);
+        let cause = cause::find(&request_lines, &context_lines);
+        RequestHistory {
             request,
-            own,
-            context,
+            request_lines,
+            context_lines,
             cause,
         }
     }
 }
 
-fn context<'a>(own: &[&LogLine], lines: &'a [LogLine]) -> Vec<&'a LogLine> {
-    let Some(last) = own.last() else {
+/// Lines about the request's gateway, back ends and models, from [`CONTEXT_MS`] before its first
+/// line to its last line.
+fn context_lines<'a>(request_lines: &[&LogLine], lines: &'a [LogLine]) -> Vec<&'a LogLine> {
+    let Some(last) = request_lines.last() else {
         return Vec::new();
     };
-    let first = own.first().map_or(last.time, |line| line.time);
-    let names: BTreeSet<&str> = own
+    let first = request_lines
+        .first()
+        .map_or(last.time_ms, |line| line.time_ms);
+    let names: BTreeSet<&str> = request_lines
         .iter()
         .flat_map(|line| ["back_end", "model"].map(|field| line.field(field)))
         .flatten()
         .filter(|name| *name != "-")
         .collect();
-    let span = first.saturating_sub(CONTEXT)..=last.time;
+    let span = first.saturating_sub(CONTEXT_MS)..=last.time_ms;
     lines
         .iter()
-        .filter(|line| span.contains(&line.time) && line.field("request").is_none())
-        .filter(|line| concerns(line, &names, &last.node))
+        .filter(|line| span.contains(&line.time_ms) && line.field("request").is_none())
+        .filter(|line| is_relevant(line, &names, &last.node))
         .collect()
 }
 
-/// Lines of the request's gateway about itself, and of any about these names.
-fn concerns(line: &LogLine, names: &BTreeSet<&str>, node: &str) -> bool {
+/// Whether a line is shown with the request: changes of the placement lease, the gateway's own
+/// state and its view of the named back ends, and orders of any gateway that mention one of the
+/// names.
+fn is_relevant(line: &LogLine, names: &BTreeSet<&str>, node: &str) -> bool {
     match line.event.as_str() {
         "lease" => true,
         "start" | "stop" | "table_lost" | "table_regained" | "configuration" => line.node == node,
         "order" | "engine_report" | "back_end" | "back_end_gone" => {
-            let about_back_end = ["engine", "back_end"]
+            let is_about_back_end = ["engine", "back_end"]
                 .iter()
                 .any(|field| line.field(field).is_some_and(|name| names.contains(name)));
-            let about_model = names.iter().any(|name| line.text.contains(name));
-            line.event == "order" && about_model || about_back_end && line.node == node
+            let mentions_name = names.iter().any(|name| line.text.contains(name));
+            line.event == "order" && mentions_name || is_about_back_end && line.node == node
         }
         _ => false,
     }
 }
 
-impl fmt::Display for Story<'_> {
+impl fmt::Display for RequestHistory<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Some(first) = self.own.first() else {
+        let Some(first) = self.request_lines.first() else {
             return writeln!(formatter, "no line speaks of request {}", self.request);
         };
         let mut lines: Vec<(&LogLine, char)> = Vec::new();
-        lines.extend(self.context.iter().map(|line| (*line, ' ')));
-        lines.extend(self.own.iter().map(|line| (*line, '*')));
-        lines.sort_by_key(|(line, _)| line.time);
+        lines.extend(self.context_lines.iter().map(|line| (*line, ' ')));
+        lines.extend(self.request_lines.iter().map(|line| (*line, '*')));
+        lines.sort_by_key(|(line, _)| line.time_ms);
         for (line, mark) in lines {
-            let offset = line.time as i64 - first.time as i64;
+            let offset = line.time_ms as i64 - first.time_ms as i64;
             writeln!(
                 formatter,
                 "{mark} {offset:>7} ms {} {}",
--- a/crates/gorsebank/src/commands/gateway.rs
+++ b/crates/gorsebank/src/commands/gateway.rs
@@ -7,7 +7,7 @@
 
 use crate::arguments::GatewayArguments;
 
-/// Runs the gateway until it is told to stop.
+/// Runs the gateway until it receives a signal to stop.
 pub async fn run(arguments: GatewayArguments) -> eyre::Result<()> {
     let path = match arguments.settings {
         Some(path) => path,
--- a/crates/gorsebank/src/commands/get.rs
+++ b/crates/gorsebank/src/commands/get.rs
@@ -3,11 +3,11 @@
 use gorsebank_world::Row;
 use http::Method;
 
-use crate::admin_client::{AdminClient, encoded, row_path};
+use crate::admin_client::{AdminClient, percent_encode, row_path};
 use crate::arguments::GetArguments;
 use crate::table_view::print_rows;
 
-/// Shows the rows.
+/// Prints one row, or all rows of a kind that match the selector.
 pub async fn run(arguments: GetArguments) -> eyre::Result<()> {
     let client = AdminClient::new(arguments.connection.node);
     let kind = arguments.kind.as_str();
@@ -18,7 +18,7 @@
             vec![row]
         }
         None => {
-            let selector = encoded(arguments.selector.as_deref().unwrap_or_default());
+            let selector = percent_encode(arguments.selector.as_deref().unwrap_or_default());
             let path = format!("/v1/configuration/{kind}?selector={selector}");
             client.call::<(), _>(Method::GET, &path, None).await?
         }
--- a/crates/gorsebank/src/commands/label.rs
+++ b/crates/gorsebank/src/commands/label.rs
@@ -8,7 +8,7 @@
 use crate::arguments::LabelArguments;
 use crate::table_view::print_rows;
 
-/// Changes the labels.
+/// Applies the label edits and prints the changed row.
 pub async fn run(arguments: LabelArguments) -> eyre::Result<()> {
     let edits = parse_label_edits(&arguments.labels)?;
     let client = AdminClient::new(arguments.connection.node);
--- a/crates/gorsebank/src/commands/logs/line.rs
+++ b/crates/gorsebank/src/commands/logs/line.rs
@@ -1,29 +1,31 @@
-//! One log line: `key=value` fields, values with blanks in quotes.
+//! Parses a log line: `key=value` fields, with double quotes around values that contain spaces.
 
 use std::collections::BTreeMap;
 
-/// A line with its fields.
+/// A parsed log line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogLine {
-    /// Time of day in milliseconds; gateways' clocks may differ.
-    pub time: u64,
-    /// The gateway that wrote it.
+    /// Unix time in milliseconds by the clock of the gateway that wrote the line; clocks of
+    /// gateways may differ.
+    pub time_ms: u64,
+    /// The gateway that wrote the line.
     pub node: String,
-    /// What it is about.
+    /// The kind of event.
     pub event: String,
-    /// The other fields, in their order in the line.
+    /// The text of the line from the field `event` on.
     pub text: String,
     fields: BTreeMap<String, String>,
 }
 
 impl LogLine {
-    /// Reads a line, whatever stands before its first field.
+    /// Parses a line. Text before the field `time_ms` is ignored. `None` if the line is not a log
+    /// line.
     pub fn parse(text: &str) -> Option<Self> {
         let start = text.find("time_ms=")?;
-        let fields = fields(&text[start..]);
+        let fields = parse_fields(&text[start..]);
         let event_at = text.find(" event=")?;
         Some(LogLine {
-            time: fields.get("time_ms")?.parse().ok()?,
+            time_ms: fields.get("time_ms")?.parse().ok()?,
             node: fields.get("node")?.clone(),
             event: fields.get("event")?.clone(),
             text: text[event_at + 1..].trim_end().to_owned(),
@@ -31,31 +33,32 @@
         })
     }
 
-    /// A field's value.
+    /// The value of a field.
     pub fn field(&self, name: &str) -> Option<&str> {
         self.fields.get(name).map(String::as_str)
     }
 
-    /// A field's value, if it is a whole number.
+    /// The value of a field, if it is an unsigned integer.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.field(name)?.parse().ok()
     }
 }
 
-fn fields(text: &str) -> BTreeMap<String, String> {
+/// Parses all fields. The first value counts if a name occurs more than once.
+fn parse_fields(text: &str) -> BTreeMap<String, String> {
     let mut fields = BTreeMap::new();
-    let mut rest = text.trim();
-    while let Some((name, after)) = rest.split_once('=') {
-        let (value, next) = match after.strip_prefix('"') {
+    let mut remaining = text.trim();
+    while let Some((name, after_name)) = remaining.split_once('=') {
+        let (value, next) = match after_name.strip_prefix('"') {
             Some(quoted) => quoted.split_once('"').unwrap_or((quoted, "")),
-            None => after.split_once(' ').unwrap_or((after, "")),
+            None => after_name.split_once(' ').unwrap_or((after_name, "")),
         };
-        // Words without a value, such as those of a list, belong to no field.
+        // Words without `=`, such as the rest of an unquoted list, are skipped.
         let name = name.rsplit(' ').next().unwrap_or(name);
         fields
             .entry(name.to_owned())
             .or_insert_with(|| value.to_owned());
-        rest = next.trim_start();
+        remaining = next.trim_start();
     }
     fields
 }
--- a/crates/gorsebank/src/commands/logs/mod.rs
+++ b/crates/gorsebank/src/commands/logs/mod.rs
@@ -1,7 +1,7 @@
-//! Log files of gateways, read back.
+//! Reads log files of gateways.
 //!
-//! In: files of any number of gateways. Out: their lines in order of time. Lines
-//! that are no log lines are passed over and counted.
+//! In: files of one or more gateways. Out: their log lines in order of time. Text that is not a log
+//! line is skipped and counted.
 
 mod line;
 
@@ -13,23 +13,23 @@
 
 pub use line::LogLine;
 
-/// The lines of all files.
+/// The log lines of all files.
 pub struct Log {
-    /// In order of time.
+    /// The log lines in order of time.
     pub lines: Vec<LogLine>,
-    passed_over: usize,
+    skipped_count: usize,
 }
 
 impl Log {
-    /// Reads files.
+    /// Reads and parses the files.
     ///
     /// # Errors
     ///
-    /// If a file cannot be opened or read; the error names it.
+    /// If a file cannot be opened or read; the error names the file.
     pub fn read(files: &[PathBuf]) -> eyre::Result<Self> {
         let mut log = Log {
             lines: Vec::new(),
-            passed_over: 0,
+            skipped_count: 0,
         };
         for path in files {
             let file = File::open(path).wrap_err_with(|| path.display().to_string())?;
@@ -37,20 +37,20 @@
                 let bytes = bytes.wrap_err_with(|| path.display().to_string())?;
                 match LogLine::parse(&String::from_utf8_lossy(&bytes)) {
                     Some(line) => log.lines.push(line),
-                    None => log.passed_over += 1,
+                    None => log.skipped_count += 1,
                 }
             }
         }
-        log.lines.sort_by_key(|line| line.time);
+        log.lines.sort_by_key(|line| line.time_ms);
         Ok(log)
     }
 
-    /// Says how many lines were passed over, if any were.
-    pub fn print_passed_over(&self) {
-        if self.passed_over > 0 {
+    /// Prints how many lines of the files were skipped, if any were.
+    pub fn print_skipped_count(&self) {
+        if self.skipped_count > 0 {
             println!(
-                "{} lines were no log lines and were passed over",
-                self.passed_over
+                "{} lines were no log lines and were skipped",
+                self.skipped_count
             );
         }
     }
--- a/crates/gorsebank/src/commands/losses/cause.rs
+++ b/crates/gorsebank/src/commands/losses/cause.rs
@@ -1,179 +1,199 @@
-//! How one request ended, and what it was lost to.
+//! Determines from the log lines of a request how it ended for its caller, and why it was late,
+//! refused or failed.
+//!
+//! In: the request's lines and the index of all lines. Out: the request's route, ending and cause.
 
 use std::fmt;
 
-use super::day::{Day, RequestLines};
+use super::day::{LogIndex, RequestLines};
 use crate::commands::logs::LogLine;
 
-/// An engine that is given so many prompt tokens in one pause is likely to have made
-/// the pause by reading them: a third of a second at 20 tokens in a millisecond.
-const LONG_READING: u64 = 4_000;
-/// Orders this long before a pause may still be carried out in it, in milliseconds.
-const ORDER_SPAN: u64 = 1_000;
-/// A load that was put off this long before the request's end kept it waiting, in
-/// milliseconds. The line is repeated every three seconds.
-const PUT_OFF_SPAN: u64 = 3_500;
+/// Number of prompt tokens around a gap of a stream from which the gap is attributed to prefill. An
+/// engine that processes 20 tokens per millisecond takes 0.2 s for this number.
+const LONG_PREFILL_TOKENS: u64 = 4_000;
+/// Time before a gap of a stream in which the engine may have accepted an order that it carries out
+/// during the gap.
+const ORDER_LOOKBACK_MS: u64 = 1_000;
+/// Time before a request's arrival from which a deferred load of its model counts as the reason for
+/// its wait. The log line about a deferred load is repeated every 3 s.
+const DEFERRAL_LOOKBACK_MS: u64 = 3_500;
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Ending {
-    /// Within its objectives.
+    /// The complete response was sent within the objectives.
     InTime,
-    /// Whole, but not within its objectives.
+    /// The complete response was sent, but not within the objectives.
     Late,
-    /// Refused: it has not run.
+    /// The request was refused before it ran.
     Refused,
-    /// With an error, broken off, or not at all.
+    /// The response was an error or incomplete, or the log has no end of the request.
     Failed,
-    /// Its caller left.
-    Left,
+    /// The caller closed the connection.
+    CallerLeft,
 }
 
-/// What a request was lost to.
+/// Why a request was late, refused or failed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Cause {
-    /// The model was not loaded; `copy` is where the nearest copy was.
+    /// The model was not loaded.
     ColdModel {
-        copy: String,
-        ordered: bool,
-        /// Why its load was put off, if it was.
+        /// Storage tier of the nearest copy of the model.
+        nearest_copy: String,
+        /// Whether a load of the model was ordered.
+        is_load_ordered: bool,
+        /// Why the load of the model was deferred, if it was.
         obstacle: Option<String>,
     },
     /// The adapter was not loaded.
     MissingAdapter,
-    /// No back end was free to take it.
+    /// No back end had a free slot.
     NoBackEnd,
-    /// All back ends that could take it state limits, and had no room.
+    /// All suitable back ends state rate limits and had no capacity left.
     BackEndLimit,
-    /// All back ends that could take it had asked for a pause.
+    /// All suitable back ends had requested a pause.
     BackEndPause,
-    /// The engine took long to begin.
-    SlowBegin,
-    /// A pause while streaming: the engine carried out an order for a model.
-    PauseByOrder,
-    /// A pause while streaming: the engine was given long prompts to read.
-    PauseByPrompts,
-    /// A pause while streaming for no reason that lines tell.
-    Pause,
-    /// A plain answer took long.
-    SlowAnswer,
-    /// A back end failed.
-    BackEnd(String),
-    /// The retry budget was spent.
-    Budget(String),
-    /// Its caller's key does not count, or may not any more.
-    Key(String),
-    /// Its tenant's limit: it is beyond that, or nobody could tell.
-    Limit(String),
-    /// No line tells its end: its gateway is gone, or the line was left out.
+    /// The engine was slow to send the first event of the stream.
+    SlowStart,
+    /// A long gap in the stream while the engine carried out an order to load or unload a model.
+    GapByOrder,
+    /// A long gap in the stream while the engine had long prompts to process.
+    GapByPrefill,
+    /// A long gap in the stream for a reason that the log does not show.
+    UnexplainedGap,
+    /// The response, which was not a stream, took too long.
+    SlowResponse,
+    /// A back end failed; the result of the attempt.
+    BackEndFailure(String),
+    /// A back end failed and the retry budget granted no retry; the result of the attempt.
+    RetryBudget(String),
+    /// The caller's key was not valid, or could not be confirmed; the outcome.
+    AccessKey(String),
+    /// The tenant's quota was exhausted or could not be checked; the outcome.
+    TenantQuota(String),
+    /// The log has no end of the request: its gateway was killed, or the line was dropped.
     NoEnd,
-    /// Anything else, by its outcome.
+    /// Any other cause; the outcome or the reason in the log.
     Other(String),
 }
 
-/// One request's end.
-pub struct Loss {
-    /// Its route.
+/// How one request ended.
+pub struct RequestResult {
+    /// The route of the request, or `?` if the log does not show it.
     pub route: String,
-    /// How it ended.
+    /// The ending for the caller.
     pub ending: Ending,
-    /// What it was lost to; none if it was not.
+    /// Why the request was late, refused or failed. Also why it waited, if its caller left. `None`
+    /// if the request was in time.
     pub cause: Option<Cause>,
-    /// When it ended, in milliseconds.
-    pub time: u64,
+    /// Unix time of the end, in milliseconds.
+    pub ended_at_ms: u64,
 }
 
-impl Loss {
-    /// Reads one request's lines; none if they name no route and no end.
-    pub fn new(day: &Day<'_>, lines: &RequestLines<'_>) -> Option<Self> {
+impl RequestResult {
+    /// Evaluates one request's lines. `None` if there is no line, or if the end has no outcome.
+    pub fn new(index: &LogIndex<'_>, lines: &RequestLines<'_>) -> Option<Self> {
         let last = lines.last()?;
-        let Some(end) = last_of(lines, "request_end") else {
-            return Some(Loss {
+        let Some(end) = last_line(lines, "request_end") else {
+            return Some(RequestResult {
                 route: "?".to_owned(),
                 ending: Ending::Failed,
                 cause: Some(Cause::NoEnd),
-                time: last.time,
+                ended_at_ms: last.time_ms,
             });
         };
         let (ending, cause) = match end.field("outcome")? {
-            "served" => served(day, lines, end),
-            "caller_left" => (Ending::Left, waited_for(day, lines, end)),
-            outcome => lost(day, lines, end, outcome),
+            "served" => evaluate_served(index, lines, end),
+            "caller_left" => (Ending::CallerLeft, wait_cause(index, lines, end)),
+            outcome => evaluate_unserved(index, lines, end, outcome),
         };
-        Some(Loss {
+        Some(RequestResult {
             route: end.field("route").unwrap_or("?").to_owned(),
             ending,
             cause,
-            time: end.time,
+            ended_at_ms: end.time_ms,
         })
     }
 }
 
-fn last_of<'a>(lines: &RequestLines<'a>, event: &str) -> Option<&'a LogLine> {
+/// The last line of an event.
+fn last_line<'a>(lines: &RequestLines<'a>, event: &str) -> Option<&'a LogLine> {
     lines.iter().rev().find(|line| line.event == event).copied()
 }
 
-fn served(day: &Day<'_>, lines: &RequestLines<'_>, end: &LogLine) -> (Ending, Option<Cause>) {
-    let objective = end.number("objective_ms").unwrap_or(u64::MAX);
-    let Some(stream) = last_of(lines, "stream_end") else {
+/// The ending of a served request by its objectives, and the cause if it was late.
+fn evaluate_served(
+    index: &LogIndex<'_>,
+    lines: &RequestLines<'_>,
+    end: &LogLine,
+) -> (Ending, Option<Cause>) {
+    let response_objective = end.number("objective_ms").unwrap_or(u64::MAX);
+    let Some(stream) = last_line(lines, "stream_end") else {
         return match end.number("total_ms") {
-            Some(total) if total > objective => (Ending::Late, Some(slow(day, lines, end))),
+            Some(total) if total > response_objective => {
+                (Ending::Late, Some(delay_cause(index, lines, end)))
+            }
             _ => (Ending::InTime, None),
         };
     };
-    if stream.number("first_event_ms").unwrap_or(0) > objective {
-        return (Ending::Late, Some(slow(day, lines, end)));
+    if stream.number("first_event_ms").unwrap_or(0) > response_objective {
+        return (Ending::Late, Some(delay_cause(index, lines, end)));
     }
-    let pause = stream.number("longest_pause_ms").unwrap_or(0);
+    let gap_ms = stream.number("longest_pause_ms").unwrap_or(0);
     match stream.number("pause_objective_ms") {
-        Some(allowed) if allowed > 0 && pause > allowed => {
-            (Ending::Late, Some(paused(day, stream, end, pause)))
+        Some(objective) if objective > 0 && gap_ms > objective => {
+            (Ending::Late, Some(gap_cause(index, stream, end, gap_ms)))
         }
         _ => (Ending::InTime, None),
     }
 }
 
-/// Why an answer began late.
-fn slow(day: &Day<'_>, lines: &RequestLines<'_>, end: &LogLine) -> Cause {
-    if let Some(cause) = waited_for(day, lines, end) {
+/// Why a response, or the first event of a stream, was late.
+fn delay_cause(index: &LogIndex<'_>, lines: &RequestLines<'_>, end: &LogLine) -> Cause {
+    if let Some(cause) = wait_cause(index, lines, end) {
         return cause;
     }
-    if let Some(attempt) = last_of(lines, "attempt") {
-        return Cause::BackEnd(attempt.field("result").unwrap_or("unknown").to_owned());
+    if let Some(attempt) = last_line(lines, "attempt") {
+        return Cause::BackEndFailure(attempt.field("result").unwrap_or("unknown").to_owned());
     }
-    match last_of(lines, "stream_end") {
-        Some(_) => Cause::SlowBegin,
-        None => Cause::SlowAnswer,
+    match last_line(lines, "stream_end") {
+        Some(_) => Cause::SlowStart,
+        None => Cause::SlowResponse,
     }
 }
 
-fn paused(day: &Day<'_>, stream: &LogLine, end: &LogLine, pause: u64) -> Cause {
+/// Why the longest gap of a stream was too long.
+fn gap_cause(index: &LogIndex<'_>, stream: &LogLine, end: &LogLine, gap_ms: u64) -> Cause {
     let engine = end.field("back_end").unwrap_or("-");
-    let arrived = end.time.saturating_sub(end.number("total_ms").unwrap_or(0));
+    let arrived = end
+        .time_ms
+        .saturating_sub(end.number("total_ms").unwrap_or(0));
     let until = arrived + stream.number("longest_pause_end_ms").unwrap_or(0);
-    let since = until.saturating_sub(pause);
-    if day.has_order(engine, since.saturating_sub(ORDER_SPAN)..=until) {
-        return Cause::PauseByOrder;
+    let since = until.saturating_sub(gap_ms);
+    if index.has_model_order(engine, since.saturating_sub(ORDER_LOOKBACK_MS)..=until) {
+        return Cause::GapByOrder;
     }
-    if day.tokens_read(engine, since.saturating_sub(pause)..=until) >= LONG_READING {
-        return Cause::PauseByPrompts;
+    if index.prefill_tokens(engine, since.saturating_sub(gap_ms)..=until) >= LONG_PREFILL_TOKENS {
+        return Cause::GapByPrefill;
     }
-    Cause::Pause
+    Cause::UnexplainedGap
 }
 
-/// What the request waited for, by the last line that says so.
-fn waited_for(day: &Day<'_>, lines: &RequestLines<'_>, end: &LogLine) -> Option<Cause> {
-    let line = last_of(lines, "refused").or_else(|| last_of(lines, "waiting"))?;
+/// What the request waited for, by its last line about a refusal or, without one, about a wait.
+fn wait_cause(index: &LogIndex<'_>, lines: &RequestLines<'_>, end: &LogLine) -> Option<Cause> {
+    let line = last_line(lines, "refused").or_else(|| last_line(lines, "waiting"))?;
     let missing = line.field("missing").or_else(|| line.field("reason"))?;
     Some(match missing {
         "model" | "no_model" => {
             let model = end.field("model").unwrap_or("-");
-            let arrived = end.time.saturating_sub(end.number("total_ms").unwrap_or(0));
-            let span = arrived.saturating_sub(PUT_OFF_SPAN)..=end.time;
+            let arrived = end
+                .time_ms
+                .saturating_sub(end.number("total_ms").unwrap_or(0));
+            let span = arrived.saturating_sub(DEFERRAL_LOOKBACK_MS)..=end.time_ms;
             Cause::ColdModel {
-                copy: line.field("nearest_copy").unwrap_or("?").to_owned(),
-                ordered: line.field("load_ordered") == Some("true"),
-                obstacle: day.obstacle(model, span).map(str::to_owned),
+                nearest_copy: line.field("nearest_copy").unwrap_or("?").to_owned(),
+                is_load_ordered: line.field("load_ordered") == Some("true"),
+                obstacle: index.obstacle(model, span).map(str::to_owned),
             }
         }
         "adapter" | "no_adapter" => Cause::MissingAdapter,
@@ -184,8 +204,9 @@
     })
 }
 
-fn lost(
-    day: &Day<'_>,
+/// The ending and the cause of a request that was not served and whose caller did not leave.
+fn evaluate_unserved(
+    index: &LogIndex<'_>,
     lines: &RequestLines<'_>,
     end: &LogLine,
     outcome: &str,
@@ -194,25 +215,25 @@
         Some(401 | 429 | 503) => Ending::Refused,
         _ => Ending::Failed,
     };
-    let retry = last_of(lines, "retry");
-    let refused_retry = retry.is_some_and(|retry| retry.field("granted") == Some("false"));
-    let attempt = last_of(lines, "attempt");
+    let retry = last_line(lines, "retry");
+    let is_retry_denied = retry.is_some_and(|retry| retry.field("granted") == Some("false"));
+    let attempt = last_line(lines, "attempt");
     let result = attempt.and_then(|attempt| attempt.field("result"));
-    let cause = match (result, last_of(lines, "refused")) {
-        (_, Some(_)) => waited_for(day, lines, end),
-        (Some(result), None) if refused_retry => Some(Cause::Budget(result.to_owned())),
-        (Some(result), None) => Some(Cause::BackEnd(result.to_owned())),
-        (None, None) => Some(sent_away(lines, outcome)),
+    let cause = match (result, last_line(lines, "refused")) {
+        (_, Some(_)) => wait_cause(index, lines, end),
+        (Some(result), None) if is_retry_denied => Some(Cause::RetryBudget(result.to_owned())),
+        (Some(result), None) => Some(Cause::BackEndFailure(result.to_owned())),
+        (None, None) => Some(rejection_cause(lines, outcome)),
     };
     (ending, cause)
 }
 
-/// Why it was refused before anything was done for it.
-fn sent_away(lines: &RequestLines<'_>, outcome: &str) -> Cause {
-    if last_of(lines, "access_denied").is_some() {
-        Cause::Key(outcome.to_owned())
-    } else if last_of(lines, "limited").is_some() {
-        Cause::Limit(outcome.to_owned())
+/// Why a request was rejected before any attempt.
+fn rejection_cause(lines: &RequestLines<'_>, outcome: &str) -> Cause {
+    if last_line(lines, "access_denied").is_some() {
+        Cause::AccessKey(outcome.to_owned())
+    } else if last_line(lines, "limited").is_some() {
+        Cause::TenantQuota(outcome.to_owned())
     } else {
         Cause::Other(outcome.to_owned())
     }
@@ -225,7 +246,7 @@
             Ending::Late => "late",
             Ending::Refused => "refused",
             Ending::Failed => "failed",
-            Ending::Left => "caller left",
+            Ending::CallerLeft => "caller left",
         })
     }
 }
@@ -234,30 +255,37 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Cause::ColdModel {
-                copy,
-                ordered,
+                nearest_copy,
+                is_load_ordered,
                 obstacle,
             } => {
-                let ordered = if *ordered { "ordered" } else { "not ordered" };
-                write!(formatter, "model cold, nearest copy {copy}, load {ordered}")?;
+                let load = if *is_load_ordered {
+                    "ordered"
+                } else {
+                    "not ordered"
+                };
+                write!(
+                    formatter,
+                    "model cold, nearest copy {nearest_copy}, load {load}"
+                )?;
                 match obstacle {
                     Some(obstacle) => write!(formatter, ", put off: {obstacle}"),
                     None => Ok(()),
                 }
             }
             Cause::MissingAdapter => write!(formatter, "adapter not loaded"),
-            Cause::NoBackEnd => write!(formatter, "no back end free"),
+            Cause::NoBackEnd => write!(formatter, "no back end with a free slot"),
             Cause::BackEndLimit => write!(formatter, "back ends take no more"),
             Cause::BackEndPause => write!(formatter, "back ends asked for a pause"),
-            Cause::SlowBegin => write!(formatter, "engine slow to begin"),
-            Cause::PauseByOrder => write!(formatter, "pause, engine changed models"),
-            Cause::PauseByPrompts => write!(formatter, "pause, engine read long prompts"),
-            Cause::Pause => write!(formatter, "pause, no reason in the lines"),
-            Cause::SlowAnswer => write!(formatter, "back end slow to answer"),
-            Cause::BackEnd(result) => write!(formatter, "back end: {result}"),
-            Cause::Budget(result) => write!(formatter, "no retry left after: {result}"),
-            Cause::Key(outcome) => write!(formatter, "key: {outcome}"),
-            Cause::Limit(outcome) => write!(formatter, "limit: {outcome}"),
+            Cause::SlowStart => write!(formatter, "engine slow to send the first event"),
+            Cause::GapByOrder => write!(formatter, "pause, engine changed models"),
+            Cause::GapByPrefill => write!(formatter, "pause, engine read long prompts"),
+            Cause::UnexplainedGap => write!(formatter, "pause, no reason in the log"),
+            Cause::SlowResponse => write!(formatter, "back end slow to answer"),
+            Cause::BackEndFailure(result) => write!(formatter, "back end: {result}"),
+            Cause::RetryBudget(result) => write!(formatter, "no retry left after: {result}"),
+            Cause::AccessKey(outcome) => write!(formatter, "key: {outcome}"),
+            Cause::TenantQuota(outcome) => write!(formatter, "limit: {outcome}"),
             Cause::NoEnd => write!(formatter, "no line tells the end"),
             Cause::Other(outcome) => write!(formatter, "{outcome}"),
         }
--- a/crates/gorsebank/src/commands/losses/mod.rs
+++ b/crates/gorsebank/src/commands/losses/mod.rs
@@ -1,8 +1,9 @@
-//! `gorsebank losses`: where a day's requests were lost, from all gateways' logs.
+//! `gorsebank losses`: summarizes which requests were late, refused or failed, from the logs of all
+//! gateways.
 //!
-//! In: log files. Out: for each route how its requests ended, then for each route and
-//! cause how many requests it cost, when most of them, and some to look at with
-//! `gorsebank explain`. A caller that comes back is another request here.
+//! In: log files. Out: for each route, the number of requests by ending; then for each route,
+//! ending and cause, the number of requests, the intervals with most of them, and the ids of some
+//! for `gorsebank explain`. Each retry by a caller counts as another request.
 
 mod cause;
 mod day;
@@ -10,14 +11,14 @@
 
 use crate::arguments::LossesArguments;
 use crate::commands::logs::Log;
-use day::Day;
-use table::Table;
+use day::LogIndex;
+use table::LossTable;
 
-/// Prints where requests were lost.
+/// Prints the summary.
 pub fn run(arguments: &LossesArguments) -> eyre::Result<()> {
     let log = Log::read(&arguments.files)?;
-    let day = Day::new(&log.lines);
-    print!("{}", Table::new(&day, arguments.examples));
-    log.print_passed_over();
+    let index = LogIndex::new(&log.lines);
+    print!("{}", LossTable::new(&index, arguments.examples));
+    log.print_skipped_count();
     Ok(())
 }
--- a/crates/gorsebank/src/commands/losses/table.rs
+++ b/crates/gorsebank/src/commands/losses/table.rs
@@ -1,74 +1,78 @@
-//! Losses by route and by cause, as text.
+//! Counts requests by route, ending and cause, and formats the counts as text.
+//!
+//! In: the index of all log lines. Out: two text tables, the endings by route and the causes.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
-use super::cause::{Cause, Ending, Loss};
-use super::day::Day;
+use super::cause::{Cause, Ending, RequestResult};
+use super::day::LogIndex;
 
-/// Requests are counted by spans of this length to say when most were lost, in
-/// milliseconds.
-const SPAN: u64 = 2_000;
-/// So many spans are named for each cause.
-const SPANS_NAMED: usize = 3;
+/// Length of the intervals by which requests with one cause are counted over time.
+const INTERVAL_MS: u64 = 2_000;
+/// Number of intervals that are shown for each cause.
+const SHOWN_INTERVALS: usize = 3;
 
-/// Requests lost to one cause.
+/// Requests of one route with the same ending and cause.
 #[derive(Default)]
-struct Lost<'a> {
+struct CauseSummary<'a> {
     count: usize,
+    /// Ids of some of the requests.
     examples: Vec<&'a str>,
-    by_span: BTreeMap<u64, usize>,
+    /// Number of requests by the index of the interval, counted from the first line.
+    by_interval: BTreeMap<u64, usize>,
 }
 
-/// The losses of a day.
-pub struct Table<'a> {
+/// Numbers of requests by ending and by cause.
+pub struct LossTable<'a> {
     endings: BTreeMap<String, BTreeMap<Ending, usize>>,
-    lost: BTreeMap<(String, Ending, Cause), Lost<'a>>,
+    causes: BTreeMap<(String, Ending, Cause), CauseSummary<'a>>,
 }
 
-impl<'a> Table<'a> {
-    /// Counts the requests of a day and keeps some examples of each cause.
-    pub fn new(day: &Day<'a>, examples: usize) -> Self {
-        let mut table = Table {
+impl<'a> LossTable<'a> {
+    /// Counts the requests and keeps up to `examples` request ids of each cause.
+    pub fn new(index: &LogIndex<'a>, examples: usize) -> Self {
+        let mut table = LossTable {
             endings: BTreeMap::new(),
-            lost: BTreeMap::new(),
+            causes: BTreeMap::new(),
         };
-        for (request, lines) in &day.requests {
-            let Some(loss) = Loss::new(day, lines) else {
+        for (request, lines) in &index.requests {
+            let Some(result) = RequestResult::new(index, lines) else {
                 continue;
             };
-            let endings = table.endings.entry(loss.route.clone()).or_default();
-            *endings.entry(loss.ending).or_default() += 1;
-            let Some(cause) = loss.cause else {
+            let endings = table.endings.entry(result.route.clone()).or_default();
+            *endings.entry(result.ending).or_default() += 1;
+            let Some(cause) = result.cause else {
                 continue;
             };
-            let key = (loss.route, loss.ending, cause);
-            let lost = table.lost.entry(key).or_default();
-            lost.count += 1;
-            let span = (loss.time - day.begin) / SPAN;
-            *lost.by_span.entry(span).or_default() += 1;
-            if lost.examples.len() < examples {
-                lost.examples.push(request);
+            let key = (result.route, result.ending, cause);
+            let summary = table.causes.entry(key).or_default();
+            summary.count += 1;
+            let interval = (result.ended_at_ms - index.start_ms) / INTERVAL_MS;
+            *summary.by_interval.entry(interval).or_default() += 1;
+            if summary.examples.len() < examples {
+                summary.examples.push(request);
             }
         }
         table
     }
 }
 
-impl Lost<'_> {
-    /// The spans with most of them, as seconds since the first line.
-    fn moments(&self) -> String {
-        let mut spans: Vec<(&u64, &usize)> = self.by_span.iter().collect();
-        spans.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
-        let named = spans.iter().take(SPANS_NAMED);
-        let texts: Vec<String> = named
-            .map(|(span, count)| format!("{}s:{count}", *span * SPAN / 1_000))
+impl CauseSummary<'_> {
+    /// The intervals with most requests, as their start in seconds since the first line and the
+    /// number of requests.
+    fn format_busiest_intervals(&self) -> String {
+        let mut intervals: Vec<(&u64, &usize)> = self.by_interval.iter().collect();
+        intervals.sort_by_key(|(_, count)| std::cmp::Reverse(**count));
+        let shown = intervals.iter().take(SHOWN_INTERVALS);
+        let texts: Vec<String> = shown
+            .map(|(interval, count)| format!("{}s:{count}", *interval * INTERVAL_MS / 1_000))
             .collect();
         texts.join(" ")
     }
 }
 
-impl fmt::Display for Table<'_> {
+impl fmt::Display for LossTable<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(
             formatter,
@@ -85,19 +89,21 @@
                 count(Ending::Late),
                 count(Ending::Refused),
                 count(Ending::Failed),
-                count(Ending::Left),
+                count(Ending::CallerLeft),
             )?;
         }
         writeln!(formatter)?;
-        let mut lost: Vec<_> = self.lost.iter().collect();
-        lost.sort_by_key(|((route, ..), lost)| (route.clone(), std::cmp::Reverse(lost.count)));
-        for ((route, ending, cause), lost) in lost {
+        let mut causes: Vec<_> = self.causes.iter().collect();
+        causes.sort_by_key(|((route, ..), summary)| {
+            (route.clone(), std::cmp::Reverse(summary.count))
+        });
+        for ((route, ending, cause), summary) in causes {
             writeln!(
                 formatter,
                 "{:>6} {route:<22} {ending:<12} {cause}; most at {}; such as {}",
-                lost.count,
-                lost.moments(),
-                lost.examples.join(" "),
+                summary.count,
+                summary.format_busiest_intervals(),
+                summary.examples.join(" "),
             )?;
         }
         Ok(())
--- a/crates/gorsebank/src/commands/mod.rs
+++ b/crates/gorsebank/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! One module a command.
+//! The commands of the program, one module each. `logs` is the log reader that several of them
+//! share.
 
 pub mod apply;
 pub mod check_settings;
--- a/crates/gorsebank/src/commands/node.rs
+++ b/crates/gorsebank/src/commands/node.rs
@@ -6,14 +6,14 @@
 
 use crate::arguments::NodeArguments;
 
-/// Runs the node.
+/// Runs the node with the settings file; flags override its values.
 pub async fn run(arguments: NodeArguments) -> eyre::Result<()> {
-    let settings = settings(arguments)?;
+    let settings = read_settings(arguments)?;
     logging::start(&settings.log)?;
     let process = NodeProcess::start(settings).await?;
     println!("listening on {}", process.callers());
     log::info!(
-        "node {} listens for callers on {}, for nodes on {}, for operators on {}",
+        "node {} is listening for callers on {}, for nodes on {}, for admin requests on {}",
         process.host().node().identity().node,
         process.callers(),
         process.nodes(),
@@ -24,28 +24,28 @@
     Ok(())
 }
 
-fn settings(arguments: NodeArguments) -> eyre::Result<NodeSettings> {
+fn read_settings(arguments: NodeArguments) -> eyre::Result<NodeSettings> {
     let mut settings = NodeSettings::read(&arguments.settings)?;
     let node = &mut settings.node;
-    replace(&mut node.id, arguments.id);
-    replace(&mut node.zone, arguments.zone);
-    replace(&mut node.cell, arguments.cell);
-    replace(&mut node.listen_callers, arguments.listen_callers);
-    replace(&mut node.listen_nodes, arguments.listen_nodes);
-    replace(&mut node.listen_admin, arguments.listen_admin);
+    override_with(&mut node.id, arguments.id);
+    override_with(&mut node.zone, arguments.zone);
+    override_with(&mut node.cell, arguments.cell);
+    override_with(&mut node.listen_callers, arguments.listen_callers);
+    override_with(&mut node.listen_nodes, arguments.listen_nodes);
+    override_with(&mut node.listen_admin, arguments.listen_admin);
     Ok(settings)
 }
 
-fn replace<T>(field: &mut T, flag: Option<T>) {
+fn override_with<T>(field: &mut T, flag: Option<T>) {
     if let Some(value) = flag {
         *field = value;
     }
 }
 
-/// Returns on SIGTERM or SIGINT.
+/// Waits for SIGTERM or SIGINT.
 pub async fn wait_for_stop() -> eyre::Result<()> {
-    let mut terminate = signal(SignalKind::terminate()).wrap_err("SIGTERM")?;
-    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("SIGINT")?;
+    let mut terminate = signal(SignalKind::terminate()).wrap_err("cannot handle SIGTERM")?;
+    let mut interrupt = signal(SignalKind::interrupt()).wrap_err("cannot handle SIGINT")?;
     tokio::select! {
         _ = terminate.recv() => {}
         _ = interrupt.recv() => {}
--- a/crates/gorsebank/src/commands/refused_rows.rs
+++ b/crates/gorsebank/src/commands/refused_rows.rs
@@ -1,8 +1,8 @@
-//! `gorsebank refused-rows`: rows of tables that gateways could not use, from their logs.
+//! `gorsebank refused-rows`: lists the table rows that gateways could not parse, from their logs.
 //!
-//! In: log files. Out: each row that was refused, the newest version of it, why, by how many
-//! gateways, and when first and last. A row that was mended has no line of its own: what counts
-//! is whether its newest version in the table is the one that is listed.
+//! In: log files. Out: each refused row with its newest refused version, the reason, the number of
+//! gateways, and the first and the last time. Gateways do not log that a row was corrected. A row
+//! is still faulty if the table holds the listed version of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,48 +11,49 @@
 use crate::arguments::RefusedRowsArguments;
 use crate::commands::logs::{Log, LogLine};
 
-/// What the lines tell of one row.
-struct Refused<'a> {
+/// The log lines about one refused row, summarized.
+struct RefusedRow<'a> {
+    /// The newest refused version; the reason and the error belong to it.
     version: u64,
     reason: &'a str,
     error: &'a str,
     gateways: BTreeSet<&'a str>,
-    /// In milliseconds, as the gateways' clocks tell it.
-    first: u64,
-    last: u64,
+    /// Unix time in milliseconds by the gateways' clocks.
+    first_ms: u64,
+    last_ms: u64,
 }
 
-/// Prints which rows were refused.
+/// Prints the refused rows as a table.
 ///
 /// # Errors
 ///
-/// If a file cannot be read.
+/// If a file cannot be opened or read.
 pub fn run(arguments: &RefusedRowsArguments) -> eyre::Result<()> {
     let log = Log::read(&arguments.files)?;
-    let rows = rows(&log.lines);
+    let rows = collect_refused_rows(&log.lines);
     if rows.is_empty() {
         println!("no row was refused");
     } else {
-        println!("{}", table(&rows));
+        println!("{}", format_table(&rows));
     }
-    log.print_passed_over();
+    log.print_skipped_count();
     Ok(())
 }
 
-/// Rows by their keys. A line without a row or a version tells nothing.
-fn rows(lines: &[LogLine]) -> BTreeMap<&str, Refused<'_>> {
-    let mut rows: BTreeMap<&str, Refused<'_>> = BTreeMap::new();
+/// The refused rows by key. Lines without a row or a version are ignored.
+fn collect_refused_rows(lines: &[LogLine]) -> BTreeMap<&str, RefusedRow<'_>> {
+    let mut rows: BTreeMap<&str, RefusedRow<'_>> = BTreeMap::new();
     for line in lines.iter().filter(|line| line.event == "row_refused") {
         let (Some(row), Some(version)) = (line.field("row"), line.number("version")) else {
             continue;
         };
-        let refused = rows.entry(row).or_insert_with(|| Refused {
+        let refused = rows.entry(row).or_insert_with(|| RefusedRow {
             version,
             reason: "",
             error: "",
             gateways: BTreeSet::new(),
-            first: line.time,
-            last: line.time,
+            first_ms: line.time_ms,
+            last_ms: line.time_ms,
         });
         if version >= refused.version {
             refused.version = version;
@@ -60,12 +61,12 @@
             refused.error = line.field("error").unwrap_or("?");
         }
         refused.gateways.insert(&line.node);
-        refused.last = line.time;
+        refused.last_ms = line.time_ms;
     }
     rows
 }
 
-fn table(rows: &BTreeMap<&str, Refused<'_>>) -> Table {
+fn format_table(rows: &BTreeMap<&str, RefusedRow<'_>>) -> Table {
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
     table.set_header([
@@ -77,8 +78,8 @@
             refused.version.to_string(),
             refused.reason.to_owned(),
             refused.gateways.len().to_string(),
-            refused.first.to_string(),
-            refused.last.to_string(),
+            refused.first_ms.to_string(),
+            refused.last_ms.to_string(),
             refused.error.to_owned(),
         ]);
     }
--- a/crates/gorsebank/src/commands/status.rs
+++ b/crates/gorsebank/src/commands/status.rs
@@ -6,7 +6,7 @@
 use crate::admin_client::AdminClient;
 use crate::arguments::{Output, StatusArguments};
 
-/// Shows the state.
+/// Prints the node's status report.
 pub async fn run(arguments: StatusArguments) -> eyre::Result<()> {
     let client = AdminClient::new(arguments.connection.node);
     let report: StatusReport = client
--- a/crates/gorsebank/src/main.rs
+++ b/crates/gorsebank/src/main.rs
@@ -1,4 +1,4 @@
-//! The gorsebank program: `node`, `gateway`, `dev`, and the operators' commands.
+//! The gorsebank program: the servers `node`, `gateway` and `dev`, and commands for operators.
 
 mod admin_client;
 mod arguments;
@@ -15,7 +15,7 @@
 
 fn main() -> ExitCode {
     let command = Arguments::parse().command;
-    match runtime(&command).and_then(|runtime| runtime.block_on(run(command))) {
+    match build_runtime(&command).and_then(|runtime| runtime.block_on(run(command))) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error:#}");
@@ -24,13 +24,17 @@
     }
 }
 
-/// A gateway has part of one core: more threads would only take turns on it.
-fn runtime(command: &Command) -> eyre::Result<Runtime> {
+/// Builds the async runtime. A gateway is given a fraction of one core, so it runs on one thread:
+/// several threads would only compete for that core.
+fn build_runtime(command: &Command) -> eyre::Result<Runtime> {
     let mut builder = match command {
         Command::Gateway(_) => Builder::new_current_thread(),
         _ => Builder::new_multi_thread(),
     };
-    builder.enable_all().build().wrap_err("no runtime")
+    builder
+        .enable_all()
+        .build()
+        .wrap_err("cannot build the async runtime")
 }
 
 async fn run(command: Command) -> eyre::Result<()> {
--- a/crates/gorsebank/src/table_view.rs
+++ b/crates/gorsebank/src/table_view.rs
@@ -1,4 +1,4 @@
-//! Shows rows as a table for people or as JSON for programs.
+//! Prints configuration rows as a text table or as JSON.
 
 use comfy_table::Table;
 use comfy_table::presets;
@@ -6,7 +6,7 @@
 
 use crate::arguments::Output;
 
-/// Prints rows.
+/// Prints rows in the given format.
 pub fn print_rows(rows: &[Row], output: Output) -> eyre::Result<()> {
     if output == Output::Json {
         println!("{}", serde_json::to_string_pretty(rows)?);
@@ -20,15 +20,15 @@
             row.key.kind.to_string(),
             row.key.name.to_string(),
             row.revision.to_string(),
-            labels(row),
-            content(row),
+            format_labels(row),
+            format_spec(row),
         ]);
     }
     println!("{table}");
     Ok(())
 }
 
-fn labels(row: &Row) -> String {
+fn format_labels(row: &Row) -> String {
     let pairs: Vec<String> = row
         .labels
         .iter()
@@ -37,7 +37,7 @@
     pairs.join(",")
 }
 
-fn content(row: &Row) -> String {
+fn format_spec(row: &Row) -> String {
     match &row.spec {
         Some(Spec::Deployment(deployment)) => format!(
             "models=[{}] back_ends=[{}] max_replicas={} cold_start_weight={}",
