--- a/crates/fleet/src/choice.rs
+++ b/crates/fleet/src/choice.rs
@@ -24,9 +24,9 @@
 const GAP_EXPONENT: i32 = 3;
 /// Cost factor of a back end without a free slot, which would queue or reject the request.
 const FULL_BACK_END_FACTOR: f64 = 3.0;
-/// Number of gateways above which each gateway compares only a sample of the back ends. The
-/// gateways' load figures of each other are half a second old, so without sampling all of them
-/// would choose the back end that was idle then.
+/// Number of gateways above which each gateway compares only a sample of the back ends. Each
+/// gateway's counts of the other gateways' requests are half a second old, so without sampling all
+/// gateways would choose the back end that was idle then.
 const SAMPLING_THRESHOLD: usize = 16;
 /// Number of back ends that are compared when the candidates are sampled.
 const SAMPLE_SIZE: usize = 3;
--- a/crates/fleet/src/configuration.rs
+++ b/crates/fleet/src/configuration.rs
@@ -11,7 +11,7 @@
 use crate::back_end::CopyTier;
 use crate::tenant::Tenants;
 
-/// How often a request may be executed, and how it is answered.
+/// How often a request may be executed, and the form of its response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// The request may be executed more than once.
@@ -50,7 +50,7 @@
     pub host: String,
     /// Path prefix; begins and ends with a slash.
     pub path_prefix: String,
-    /// How often a request may be executed, and how it is answered.
+    /// How often a request may be executed, and the form of its response.
     pub kind: RequestKind,
     /// Longest time for which a request is kept open.
     pub timeout: Duration,
--- a/crates/fleet/src/demand.rs
+++ b/crates/fleet/src/demand.rs
@@ -116,7 +116,7 @@
     }
 
     /// Records the start (`change` 1) or the end (`change` -1) of a request's execution.
-    pub fn running(&mut self, service: &ServiceId, model: &ModelId, change: i32) {
+    pub fn record_running(&mut self, service: &ServiceId, model: &ModelId, change: i32) {
         let entry = self.entry(service, model);
         entry.running = entry.running.saturating_add_signed(change);
     }
--- a/crates/fleet/src/distribution_tree.rs
+++ b/crates/fleet/src/distribution_tree.rs
@@ -30,15 +30,15 @@
 const CHILDREN_PER_INTERMEDIATE: usize = 24;
 /// Maximum average number of children of a zone's intermediate gateways for which the zone's leaves
 /// take their parents from their own zone; half as many again as [`CHILDREN_PER_INTERMEDIATE`].
-/// Traffic between zones is the largest cost of the distribution: 2.0 GB in a day of 985 gateways,
-/// and 0.25 to 0.39 of the bench's score at 300 gateways.
+/// Traffic between zones is the largest cost of the distribution: 985 gateways sent 2.0 GB in one
+/// run, and with 300 gateways the traffic lowers the service quality score by 0.25 to 0.39.
 const MAX_CHILDREN_IN_ZONE: usize = 36;
 /// Number of intermediate gateways that a leaf requests changes from before it tries a root.
 const PARENTS_PER_LEAF: usize = 2;
 /// Maximum number of gateways that a gateway requests changes from, one after the other.
 const MAX_PARENTS: usize = 3;
-/// Rate at which one core can forward rows, in megabits per second. As measured, a parent used 0.3
-/// cores for 13 megabits per second.
+/// Rate at which one core can forward rows, in megabits per second. A parent used 0.3 cores for 13
+/// megabits per second.
 const MEGABITS_PER_SECOND_PER_CORE: f64 = 40.0;
 
 /// A gateway that may be a parent of others.
--- a/crates/fleet/src/ledger.rs
+++ b/crates/fleet/src/ledger.rs
@@ -165,9 +165,9 @@
         let mut left = cost;
         let known = self.bins.iter_mut().filter(|bin| !bin.is_uncertain);
         for bin in known {
-            let part = left.min(bin.cost);
-            bin.cost -= part;
-            left -= part;
+            let refunded = left.min(bin.cost);
+            bin.cost -= refunded;
+            left -= refunded;
         }
     }
 
--- a/crates/fleet/src/pacer.rs
+++ b/crates/fleet/src/pacer.rs
@@ -6,9 +6,9 @@
 //! the stated rate, so within any time span a back end receives at most
 //! `rate * (span + BURST_MS) + 1` requests from all gateways.
 //!
-//! Invariant: a send time that a pacing gateway assigns is at most [`MAX_LEAD_MS`] after the moment at
-//! which it stops, and the first send time of its successor is one interval later. A change of the
-//! pacing gateway therefore never exceeds the rate.
+//! Invariant: a send time that a pacing gateway assigns is at most [`MAX_LEAD_MS`] after the moment
+//! at which it stops, and the first send time of its successor is one interval later. A change of
+//! the pacing gateway therefore never exceeds the rate.
 
 use std::collections::HashMap;
 
--- a/crates/fleet/src/placement/engine/mod.rs
+++ b/crates/fleet/src/placement/engine/mod.rs
@@ -111,11 +111,11 @@
 
     /// Applies a discovery row, unless the row belongs to another incarnation.
     pub fn observe(&mut self, now: Timestamp, report: &BackEndReport) -> IncarnationMatch {
-        let heard = self.match_incarnation(now, report.born);
-        if heard == IncarnationMatch::Same {
+        let incarnation_match = self.match_incarnation(now, report.born);
+        if incarnation_match == IncarnationMatch::Same {
             self.observed = report.clone();
         }
-        heard
+        incarnation_match
     }
 
     /// Matches a reported start time against the known incarnation.
--- a/crates/fleet/src/placement/engine/next.rs
+++ b/crates/fleet/src/placement/engine/next.rs
@@ -89,8 +89,8 @@
         store: &mut WeightStore,
     ) -> Option<(OrderKind, &'static str)> {
         let model = self.goal.as_ref()?.model.clone();
-        let wanted = spec.models.get(&model)?;
-        if self.free_memory(spec) >= wanted.memory_mb {
+        let model_spec = spec.models.get(&model)?;
+        if self.free_memory(spec) >= model_spec.memory_mb {
             let from_store = !self.has_local_copy(&model);
             let sequence = self.confirmed.as_ref()?.sequence;
             let is_repeat = store.is_unresolved(now, &self.observed.id, sequence);
@@ -99,9 +99,9 @@
                 return None;
             }
             if from_store {
-                store.record_order(now, &self.observed.id, sequence, wanted.load);
+                store.record_order(now, &self.observed.id, sequence, model_spec.load);
             }
-            let expected = self.load_time(&model, wanted);
+            let expected = self.load_time(&model, model_spec);
             let goal = self.goal.as_mut()?;
             goal.ready_at = now + expected.as_millis() as u64;
             goal.is_load_ordered = true;
--- a/crates/fleet/src/placement/load_concurrency.rs
+++ b/crates/fleet/src/placement/load_concurrency.rs
@@ -10,9 +10,9 @@
 //! time widens the window, and slow loads narrow it to the number that would have run at full
 //! speed.
 //!
-//! Without this limit, forty loads were ordered from a store that performs two at full speed: they
-//! took 15 to 45 s instead of 6 s, no engine was free, and a quarter of the models in demand were
-//! never served (three simulated days with 21 gateways and 18 engines).
+//! Without this limit, 21 gateways with 18 engines ordered forty loads from a store that performs
+//! two at full speed: the loads took 15 to 45 s instead of 6 s, no engine was free, and a quarter
+//! of the models in demand were never served.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,9 +22,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Initial estimate of the number of concurrent loads at full speed. With a store that performs
-/// 148, an initial estimate of 4 served a fraction of requests that was lower by 0.011 than without
-/// a limit (nine paired runs, standard error 0.004), and lower by 0.007 than with an initial
-/// estimate of 8 (six paired runs, standard error 0.0045).
+/// 148, an initial estimate of 4 lowers the fraction of served requests by 0.011 compared to no
+/// limit (standard error 0.004), and by 0.007 compared to an initial estimate of 8 (standard error
+/// 0.0045).
 const INITIAL_MAX_LOADS: f64 = 8.0;
 /// Factor by which a load at full speed that filled the window widens it, until the first slow
 /// load. A store for a hundred engines performs more than eighty loads at full speed.
@@ -100,10 +100,10 @@
     /// Creates a window without loads. `estimate` is the one of a previous holder.
     pub fn new(estimate: LoadConcurrencyEstimate) -> Self {
         // The value comes from a stored row, which may contain any number.
-        let at_once = estimate.max_loads.max(1.0);
+        let max_loads = estimate.max_loads.max(1.0);
         LoadConcurrency {
             estimate: LoadConcurrencyEstimate {
-                max_loads: at_once,
+                max_loads,
                 ..estimate
             },
             active_loads: BTreeMap::new(),
--- a/crates/fleet/src/placement/load_rate_limiter.rs
+++ b/crates/fleet/src/placement/load_rate_limiter.rs
@@ -97,29 +97,29 @@
 /// The recent loads of one weight store and their rate limit.
 #[derive(Debug)]
 pub struct LoadRateLimiter {
-    bound: LoadRateLimit,
+    rate_limit: LoadRateLimit,
     loads: BTreeMap<BackEndId, Vec<OrderedLoad>>,
 }
 
 impl LoadRateLimiter {
     /// Creates the limiter of a holder that starts at `now` and knows the recent loads of previous
     /// holders.
-    pub fn new(now: Timestamp, bound: LoadRateLimit, former: &[RecentLoad]) -> Self {
-        let mut pace = LoadRateLimiter {
-            bound,
+    pub fn new(now: Timestamp, rate_limit: LoadRateLimit, previous: &[RecentLoad]) -> Self {
+        let mut limiter = LoadRateLimiter {
+            rate_limit,
             loads: BTreeMap::new(),
         };
-        for load in former {
+        for load in previous {
             let ordered_load = OrderedLoad {
                 ordered_at: now - load.age_ms,
                 unresolved_sequence: load.unresolved_sequence,
                 had_no_response: load.unresolved_sequence.is_some(),
                 is_of_previous_incarnation: false,
             };
-            let loads = pace.loads.entry(load.engine.clone()).or_default();
+            let loads = limiter.loads.entry(load.engine.clone()).or_default();
             loads.push(ordered_load);
         }
-        pace
+        limiter
     }
 
     /// Whether another load may start now.
@@ -129,8 +129,9 @@
         let count = loads
             .filter(|load| load.is_counted(now, counting_window_ms))
             .count();
-        let bound = loads_per_second * self.bound.window.as_secs_f64() * self.bound.overage;
-        let max_loads = (bound + self.bound.extra - RESERVED_LOADS).floor();
+        let rated_loads =
+            loads_per_second * self.rate_limit.window.as_secs_f64() * self.rate_limit.overage;
+        let max_loads = (rated_loads + self.rate_limit.extra - RESERVED_LOADS).floor();
         (count as f64) < max_loads.max(1.0)
     }
 
@@ -148,10 +149,10 @@
     pub fn record_order(&mut self, now: Timestamp, engine: &BackEndId, sequence: u64) {
         self.forget_old(now);
         let loads = self.loads.entry(engine.clone()).or_default();
-        let former = loads
+        let existing = loads
             .iter_mut()
             .find(|load| load.is_unresolved_order(sequence));
-        match former {
+        match existing {
             Some(load) => load.ordered_at = now,
             None => loads.push(OrderedLoad {
                 ordered_at: now,
@@ -268,6 +269,6 @@
     }
 
     fn counting_window_ms(&self) -> u64 {
-        self.bound.window.as_millis() as u64 + ORDER_DELAY_MS
+        self.rate_limit.window.as_millis() as u64 + ORDER_DELAY_MS
     }
 }
--- a/crates/fleet/src/placement/load_selection.rs
+++ b/crates/fleet/src/placement/load_selection.rs
@@ -299,7 +299,7 @@
         candidate: &LoadCandidate,
         store_check: Result<(), Obstacle>,
     ) -> Result<(), Obstacle> {
-        let Some(wanted) = self.spec.models.get(&candidate.model) else {
+        let Some(model_spec) = self.spec.models.get(&candidate.model) else {
             return Ok(());
         };
         if self.store.is_deferred(self.now, &candidate.model) {
@@ -313,7 +313,7 @@
         if !engines.iter().any(|engine| is_free(engine)) {
             return Err(Obstacle::NoFreeEngine);
         }
-        let store_check = if self.copy_is_sooner(engines, &candidate.model, wanted) {
+        let store_check = if self.copy_is_sooner(engines, &candidate.model, model_spec) {
             Err(Obstacle::CopyOccupied)
         } else {
             store_check
@@ -324,7 +324,7 @@
             .map(|index| {
                 (
                     index,
-                    self.plan_evictions(engines[index], candidate, wanted),
+                    self.plan_evictions(engines[index], candidate, model_spec),
                 )
             })
             .min_by(|one, other| one.1.cost(candidate).total_cmp(&other.1.cost(candidate)))
@@ -369,16 +369,16 @@
         &self,
         engine: &EngineState,
         candidate: &LoadCandidate,
-        wanted: &ModelSpec,
+        model_spec: &ModelSpec,
     ) -> EvictionPlan {
-        let mut missing_mb = wanted.memory_mb - engine.free_memory(self.spec);
+        let mut missing_mb = model_spec.memory_mb - engine.free_memory(self.spec);
         let mut costs: Vec<(f64, &ModelId)> = engine
             .holdings()
             .keys()
             .map(|model| (self.replica_value(model), model))
             .collect();
         costs.sort_by(|one, other| one.0.total_cmp(&other.0));
-        let load = engine.load_time(&candidate.model, wanted);
+        let load = engine.load_time(&candidate.model, model_spec);
         let mut evictions = EvictionPlan {
             loss: self.adapter_delay_cost(engine, load),
             delay: load,
--- a/crates/fleet/src/prefill.rs
+++ b/crates/fleet/src/prefill.rs
@@ -183,8 +183,8 @@
             let models = engine.models.iter();
             models.map(move |(model, pair)| (id, model, pair))
         });
-        let fresh = pairs.filter(|(_, _, pair)| now.since(pair.updated) < SAMPLE_LIFETIME_MS);
-        let estimates = fresh.map(|(id, model, pair)| {
+        let recent = pairs.filter(|(_, _, pair)| now.since(pair.updated) < SAMPLE_LIFETIME_MS);
+        let estimates = recent.map(|(id, model, pair)| {
             let sample = GapSample {
                 gap: pair.gap,
                 events: pair.events,
--- a/crates/fleet/src/quarantine/mod.rs
+++ b/crates/fleet/src/quarantine/mod.rs
@@ -228,8 +228,8 @@
             .collect()
     }
 
-    /// Like [`Quarantine::notices_since`], but only the events observed by this gateway and the gateways
-    /// below it.
+    /// Like [`Quarantine::notices_since`], but only the events observed by this gateway and the
+    /// gateways below it.
     pub fn subtree_notices_since(
         &self,
         now: Timestamp,
--- a/crates/fleet/src/quota_shard.rs
+++ b/crates/fleet/src/quota_shard.rs
@@ -8,8 +8,8 @@
 //!
 //! Half of a quota covers most of a tenant's usual demand. When a gateway is lost, the other half
 //! stays available until another gateway holds the shard, which takes 4.6 s. With one shard per
-//! tenant, and half of the shards at the gateway that was lost, 1,163 requests were rejected in
-//! the 4.3 s after the loss (one day of 87 gateways, some 300 requests per second).
+//! tenant, and half of the shards at the gateway that was lost, 87 gateways with some 300 requests
+//! per second in total rejected 1,163 requests in the 4.3 s after the loss.
 
 use std::cmp::Reverse;
 
@@ -34,7 +34,7 @@
 pub fn shards_of(tenant: &TenantId) -> [usize; SHARDS_PER_TENANT] {
     let pairs = (QUOTA_SHARDS / SHARDS_PER_TENANT) as u64;
     let first = (xxh3_64(tenant.as_str().as_bytes()) % pairs) as usize * SHARDS_PER_TENANT;
-    std::array::from_fn(|half| first + half)
+    std::array::from_fn(|offset| first + offset)
 }
 
 /// The name of a shard's lease.
--- a/crates/fleet/src/running.rs
+++ b/crates/fleet/src/running.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Default)]
 pub struct Running {
     /// Counts received from children, each including the child's own children.
-    fed: HashMap<String, (Counts, Timestamp)>,
+    children: HashMap<String, (Counts, Timestamp)>,
     /// Counts received from other roots, each including all gateways below that root.
     roots: HashMap<String, (Counts, Timestamp)>,
     /// Totals over all gateways as received from the parent, less the count that this gateway had
@@ -46,7 +46,7 @@
 impl Running {
     /// Records the counts of a child, which include those of the child's children.
     pub fn record_child(&mut self, now: Timestamp, from: &str, counts: Counts) {
-        self.fed.insert(from.to_owned(), (counts, now));
+        self.children.insert(from.to_owned(), (counts, now));
     }
 
     /// Records the counts of another root, which include all gateways below that root.
@@ -54,10 +54,16 @@
         self.roots.insert(from.to_owned(), (counts, now));
     }
 
-    /// Counts of this gateway and all gateways below it; `own` is this gateway's part.
+    /// Counts of this gateway and all gateways below it; `own` contains this gateway's
+    /// counts.
     pub fn subtree_counts(&mut self, now: Timestamp, own: &Counts) -> Counts {
-        retain_fresh(&mut self.fed, now);
-        sum_counts(self.fed.values().map(|(counts, _)| counts).chain([own]))
+        retain_fresh(&mut self.children, now);
+        sum_counts(
+            self.children
+                .values()
+                .map(|(counts, _)| counts)
+                .chain([own]),
+        )
     }
 
     /// Totals over all gateways, computed at a root from its own subtree and the other roots'
@@ -73,7 +79,8 @@
         )
     }
 
-    /// Records the totals over all gateways; `own` is the part that this gateway contributed.
+    /// Records the totals over all gateways; `own` contains the counts that this gateway
+    /// contributed.
     pub fn record_totals(&mut self, now: Timestamp, sums: &Counts, own: &Counts) {
         self.others = sums
             .iter()
@@ -96,8 +103,8 @@
         self.others.get(&back_end).copied().unwrap_or(0)
     }
 
-    /// The last received totals over all gateways, for this gateway's children; `own` are this
-    /// gateway's current counts. `None` if no recent totals are known.
+    /// The last received totals over all gateways, for this gateway's children; `own` contains
+    /// this gateway's current counts. `None` if no recent totals are known.
     pub fn forwarded_totals(&self, now: Timestamp, own: &Counts) -> Option<Counts> {
         let received = self.others_received?;
         if now.since(received) >= COUNT_LIFETIME_MS {
--- a/crates/fleet/src/tenant.rs
+++ b/crates/fleet/src/tenant.rs
@@ -33,7 +33,7 @@
 pub enum LimitUnit {
     /// Each request is charged as one unit.
     Requests,
-    /// Requests are charged by tokens: those of the prompt and of the longest possible answer.
+    /// Requests are charged by tokens: those of the prompt and of the longest possible response.
     Tokens {
         /// Charge for a request that states no number of tokens.
         default_cost: f64,
--- a/crates/gateway/src/adaptive_client.rs
+++ b/crates/gateway/src/adaptive_client.rs
@@ -56,9 +56,9 @@
         Ok(request)
     }
 
-    /// Makes a call that the service answers immediately. The duration of a rejected call is not
-    /// recorded, because it does not tell how long an executed call takes: writes to a contended
-    /// part of a table take up to a second.
+    /// Makes a call to which the service responds immediately. The duration of a rejected call is
+    /// not recorded, because it does not tell how long an executed call takes: writes to a
+    /// contended part of a table take up to a second.
     ///
     /// # Errors
     ///
--- a/crates/gateway/src/admission/mod.rs
+++ b/crates/gateway/src/admission/mod.rs
@@ -107,7 +107,8 @@
     is_useless.then(|| refuse(call, &missing))
 }
 
-/// Remaining pause if all back ends that could take the request have requested one; none otherwise.
+/// Remaining pause if all back ends that could take the request have requested one; `None`
+/// otherwise.
 pub fn shortest_requested_pause(call: &Call) -> Option<Duration> {
     match eligible(call, call.shared.now(), &[]) {
         Err(Missing::Pause(left)) => Some(left),
@@ -231,7 +232,7 @@
     Err(Missing::Model(load))
 }
 
-/// Back ends that were not tried. None if all were.
+/// Back ends that were not tried. `None` if all were.
 fn untried(mut back_ends: Vec<Arc<BackEnd>>, tried: &[BackEndId]) -> Option<Vec<Arc<BackEnd>>> {
     back_ends.retain(|back_end| !tried.contains(&back_end.id));
     (!back_ends.is_empty()).then_some(back_ends)
--- a/crates/gateway/src/admission/waits.rs
+++ b/crates/gateway/src/admission/waits.rs
@@ -61,7 +61,7 @@
     pub copy: CopyTier,
 }
 
-/// Until when it is worthwhile to wait for what is missing; none if it is not.
+/// Until when it is worthwhile to wait for what is missing; `None` if it is not.
 pub(super) fn wait_deadline(call: &Call, missing: &Missing) -> Option<Instant> {
     let now = Instant::now();
     let objective = call.route.objective;
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -39,7 +39,7 @@
     /// The unread body.
     pub body: Incoming,
     /// What the gateway's own headers in the response say.
-    pub marks: ResponseMetadata,
+    pub metadata: ResponseMetadata,
     /// The back end that responded.
     pub back_end: Arc<BackEnd>,
     connection: Connection,
@@ -137,12 +137,12 @@
                 result => return self.conclude(result, load).await,
             }
         }
-        let began = Instant::now();
+        let started_at = Instant::now();
         let connecting = timeout_at(self.call.deadline(), self.back_end.connect()).await;
         self.call
             .shared
             .metrics
-            .record_connect_time(began.elapsed());
+            .record_connect_time(started_at.elapsed());
         let Ok(Ok(connection)) = connecting else {
             self.record_unreachable();
             return AttemptResult::NotSent("not_connected");
@@ -311,23 +311,23 @@
     load: AttemptLoad,
 ) -> AttemptResult {
     let platform = &call.shared.platform;
-    let marks = platform.response_metadata(head.parts.status, &head.parts.headers);
-    let belongs = marks.request_id.as_deref() == Some(call.metadata.id.as_str());
+    let metadata = platform.response_metadata(head.parts.status, &head.parts.headers);
+    let belongs = metadata.request_id.as_deref() == Some(call.metadata.id.as_str());
     if !belongs && !call.metadata.id.is_empty() {
         return record_failure(call, back_end, "foreign_answer");
     }
-    // A misdirected request was answered by a back end other than the intended one.
+    // A misdirected request reached a back end other than the intended one, which responded.
     if head.parts.status != StatusCode::MISDIRECTED_REQUEST {
-        call.shared.record_response(back_end, head.sent, &marks);
+        call.shared.record_response(back_end, head.sent, &metadata);
     }
-    if !marks.has_not_run {
+    if !metadata.has_not_run {
         call.mark_may_have_run();
     }
     call.clear_in_doubt();
     AttemptResult::Responded(Box::new(BackEndResponse {
         head: head.parts,
         body: head.body,
-        marks,
+        metadata,
         back_end: back_end.clone(),
         connection: head.connection,
         in_flight: load.in_flight,
@@ -352,10 +352,10 @@
                 | StatusCode::REQUEST_TIMEOUT
                 | StatusCode::MISDIRECTED_REQUEST
         );
-        implies_not_run && !self.marks.has_not_run
+        implies_not_run && !self.metadata.has_not_run
     }
 
-    /// Reads the complete body. None if the body was cut off or took too long.
+    /// Reads the complete body. `None` if the body was cut off or took too long.
     pub async fn read_body(&mut self, until: Instant) -> Option<Bytes> {
         let body = timeout_at(until, (&mut self.body).collect()).await;
         body.ok()?.ok().map(|collected| collected.to_bytes())
--- a/crates/gateway/src/back_end.rs
+++ b/crates/gateway/src/back_end.rs
@@ -35,8 +35,9 @@
 /// which a row is removed. The limit is needed because a back end that refuses connections under
 /// overload looks the same.
 const EXIT_LIFETIME_MS: u64 = 10_000;
-/// Maximum number of remembered lost connections of a back end, which has fewer slots.
-const MAX_LOST: usize = 256;
+/// Maximum number of requests with a lost connection that are remembered per back end. A back end
+/// has fewer slots.
+const MAX_LOST_REQUESTS: usize = 256;
 /// Maximum time from the exit of a back end's process to the removal of its row, in milliseconds:
 /// three heartbeats of 1.2 s, as users set them, and the delivery of the update.
 const LOST_WINDOW_MS: u64 = 6_000;
@@ -289,8 +290,9 @@
     }
 
     /// Checks whether the process has exited: a connection was lost at `lost_at`, and the address
-    /// refuses connections since. A connection that the network resets, or a merely silent back end,
-    /// is no evidence of an exit. One check serves all requests that lost a connection before it.
+    /// refuses connections since. A connection that the network resets, or a merely silent back
+    /// end, is no evidence of an exit. One check serves all requests that lost a connection before
+    /// it.
     pub async fn check_for_exit(&self, now: Timestamp, lost_at: Instant) -> bool {
         let mut last = self.exit_check.lock().await;
         if self.has_exited(now) || last.is_some_and(|check| check.started >= lost_at) {
@@ -321,7 +323,7 @@
     /// back end is alive, or a proxy in front of it is.
     pub fn record_lost(&self, now: Timestamp, request: Fingerprint) {
         let mut lost = self.lost_requests.lock();
-        if lost.len() >= MAX_LOST {
+        if lost.len() >= MAX_LOST_REQUESTS {
             lost.pop_front();
         }
         lost.push_back((request, now));
--- a/crates/gateway/src/candidates.rs
+++ b/crates/gateway/src/candidates.rs
@@ -23,7 +23,7 @@
     /// The chosen back end.
     pub back_end: Arc<BackEnd>,
     /// Requests per second that the back end takes from all gateways together; the gateway must
-    /// reserve a send time first. None if the back end has no limit.
+    /// reserve a send time first. `None` if the back end has no limit.
     pub rate: Option<f64>,
     /// Whether a back end without a limit could take the request, so that waiting for capacity at
     /// the chosen one is not worthwhile.
@@ -67,14 +67,14 @@
     warm_up_rate(call).is_some() || limits.with_limits(|known| !known.is_empty())
 }
 
-/// Requests per second that a back end of the service takes while it is warming up; none if such a
-/// back end is merely slow.
+/// Requests per second that a back end of the service takes while it is warming up; `None` if such
+/// a back end is merely slow.
 fn warm_up_rate(call: &Call) -> Option<f64> {
     call.configuration.service(&call.service)?.warm_up_rate
 }
 
 /// Requests per second that a back end takes from all gateways together: the lower of its stated
-/// limit and its limit while it is warming up. None if it has neither.
+/// limit and its limit while it is warming up. `None` if it has neither.
 fn rate_limit(call: &Call, now: Timestamp, back_end: &BackEnd) -> Option<f64> {
     let stated = call.shared.back_end_limits.rate(back_end.incarnation_hash);
     let warm_up_rate = warm_up_rate(call).filter(|_| back_end.is_warming_up(now));
--- a/crates/gateway/src/demand_sender.rs
+++ b/crates/gateway/src/demand_sender.rs
@@ -1,9 +1,9 @@
 //! Sends the demand of this gateway's callers to the placement holder.
 //!
-//! The input is the demand of callers. The output is one message over a kept connection, which is
-//! sent immediately when a model or an adapter is missing and otherwise only when the demand has
-//! changed or has not been sent for some time. If the holder cannot be reached, the message is
-//! forwarded by another gateway.
+//! The input is the demand of callers. The output is one message over a persistent connection,
+//! which is sent immediately when a model or an adapter is missing and otherwise only when the
+//! demand has changed or has not been sent for some time. If the holder cannot be reached, the
+//! message is forwarded by another gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -138,16 +138,16 @@
         is_forwarded
     }
 
-    async fn send_to(&self, address: SocketAddr, row: &DemandRow, hand_on: bool) -> bool {
+    async fn send_to(&self, address: SocketAddr, row: &DemandRow, should_forward: bool) -> bool {
         let request = RelayRequest::Demand(GatewayDemand {
             from: self.shared.settings.node.clone(),
             row: row.clone(),
-            should_forward: hand_on,
+            should_forward,
         });
         let client = self.shared.table().client();
-        let answer = client.call(address, &request, RESPONSE_TIMEOUT).await;
+        let response = client.call(address, &request, RESPONSE_TIMEOUT).await;
         matches!(
-            answer,
+            response,
             Some(RelayResponse::DemandReceived { by_holder: true })
         )
     }
--- a/crates/gateway/src/directory.rs
+++ b/crates/gateway/src/directory.rs
@@ -178,7 +178,7 @@
         match entry.incarnation.observe(now, report.born) {
             IncarnationMatch::Same => {
                 let moved = entry.report.service != report.service;
-                let former = entry.report.service.clone();
+                let previous_service = entry.report.service.clone();
                 let id = report.id.clone();
                 if report.draining {
                     self.drain_notices
@@ -187,7 +187,7 @@
                 }
                 entry.apply(report, row);
                 if moved {
-                    self.change_service(&id, &former);
+                    self.change_service(&id, &previous_service);
                 }
             }
             IncarnationMatch::Other => self.begin_incarnation(report, row),
@@ -246,8 +246,8 @@
         }
     }
 
-    fn change_service(&mut self, id: &BackEndId, former: &ServiceId) {
-        if let Some(service_back_ends) = self.services.get_mut(former) {
+    fn change_service(&mut self, id: &BackEndId, previous_service: &ServiceId) {
+        if let Some(service_back_ends) = self.services.get_mut(previous_service) {
             service_back_ends.retain(|member| member != id);
         }
         if let Some(entry) = self.entries.get(id) {
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Records that the newest row of a back end cannot be parsed. Returns whether the former row
-    /// could be. The back end may still run, and receives requests again once its row can be
+    /// Records that the newest row of a back end cannot be parsed. Returns whether the previous
+    /// row could be. The back end may still run, and receives requests again once its row can be
     /// parsed.
     pub fn put_unreadable(&mut self, id: &BackEndId, version: u64) -> bool {
         let Some(entry) = self.entries.get_mut(id) else {
@@ -305,7 +305,7 @@
     /// Whether all of these drains are known.
     pub fn knows_drains(&self, notices: &[DrainNotice]) -> bool {
         let mut notices = notices.iter();
-        notices.all(|departure| self.drain_notices.contains(departure.back_end))
+        notices.all(|notice| self.drain_notices.contains(notice.back_end))
     }
 
     /// Drain notices for other gateways.
@@ -397,8 +397,8 @@
     /// Back ends whose process exited while it ran requests, and whose row still exists.
     pub fn exited(&self, now: Timestamp) -> BTreeSet<BackEndId> {
         let entries = self.entries.values();
-        let ended = entries.filter(|entry| entry.back_end.has_exited(now));
-        ended.map(|entry| entry.report.id.clone()).collect()
+        let exited = entries.filter(|entry| entry.back_end.has_exited(now));
+        exited.map(|entry| entry.report.id.clone()).collect()
     }
 
     /// Records exits of back ends that other gateways have reported.
--- a/crates/gateway/src/failure.rs
+++ b/crates/gateway/src/failure.rs
@@ -120,7 +120,7 @@
         response
     }
 
-    /// Time after which a retry makes sense; none if this is unknown.
+    /// Time after which a retry makes sense; `None` if this is unknown.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Failure::Refused { retry_after, .. } | Failure::QuotaExceeded { retry_after } => {
--- a/crates/gateway/src/feed/cache.rs
+++ b/crates/gateway/src/feed/cache.rs
@@ -231,7 +231,7 @@
         }
     }
 
-    /// The cached version of a table, from which changes can be requested; none if the whole
+    /// The cached version of a table, from which changes can be requested; `None` if the whole
     /// table has to be read.
     pub fn version(&self, table: &str) -> Option<u64> {
         let cached = self.tables.get(table)?;
@@ -245,7 +245,7 @@
         self.entry(table).has_gap = true;
     }
 
-    /// The update that brings a gateway at `position` to the cached version; none if the table's
+    /// The update that brings a gateway at `position` to the cached version; `None` if the table's
     /// rows are not known. The update has no changes if the gateway is up to date.
     pub fn update_for(&self, position: &TablePosition) -> Option<TableUpdate> {
         let now = self.clock.since_boot();
@@ -298,13 +298,13 @@
         })
     }
 
-    /// Time since the table confirmed the cached content; none if nothing is cached.
+    /// Time since the table confirmed the cached content; `None` if nothing is cached.
     pub fn age(&self, table: &str) -> Option<Duration> {
         self.tables.get(table)?.age(self.clock.since_boot())
     }
 
     /// Time since the latest moment for which the table is known to have held nothing newer than
-    /// the version `applied`; none if there is no such moment.
+    /// the version `applied`; `None` if there is no such moment.
     pub fn verified_age(&self, table: &str, applied: u64) -> Option<Duration> {
         let cached = self.tables.get(table)?;
         cached.verified.age(self.clock.since_boot(), applied)
@@ -377,7 +377,7 @@
         self.version = version;
     }
 
-    /// The changes between the cached rows and the rows that were read; none if no rows were
+    /// The changes between the cached rows and the rows that were read; `None` if no rows were
     /// cached. A row that changed several times has one change, to its last state.
     fn differences(
         &self,
--- a/crates/gateway/src/feed/message.rs
+++ b/crates/gateway/src/feed/message.rs
@@ -18,7 +18,7 @@
     /// The table.
     #[serde(rename = "t")]
     pub table: String,
-    /// The version up to which the gateway has all changes; none if it needs the whole table.
+    /// The version up to which the gateway has all changes; `None` if it needs the whole table.
     #[serde(rename = "v")]
     pub version: Option<u64>,
     /// Whether the newest of several changes of a row is sufficient.
@@ -28,8 +28,8 @@
     /// parent whose content is older responds at once, so that the gateway can ask another one.
     #[serde(rename = "m")]
     pub max_age_ms: u64,
-    /// The page to send if the whole table has to be sent; none from a gateway that receives whole
-    /// tables in one message, as gateways of earlier builds do.
+    /// The page to send if the whole table has to be sent; `None` from a gateway that receives
+    /// whole tables in one message, as gateways of earlier builds do.
     #[serde(rename = "p", default, skip_serializing_if = "Option::is_none")]
     pub page: Option<PageRequest>,
 }
@@ -46,7 +46,7 @@
     pub from: NodeId,
     /// The requests that the sender and all gateways below it have running at back ends.
     pub running: Counts,
-    /// The position up to which the sender has the receiver's quarantine updates; none if it has
+    /// The position up to which the sender has the receiver's quarantine updates; `None` if it has
     /// none, or is of an earlier build.
     #[serde(default)]
     pub quarantine: Option<EventPosition>,
@@ -68,7 +68,7 @@
     #[serde(rename = "a")]
     pub age_ms: u64,
     /// Time since the latest moment for which the content is known to equal the table, in
-    /// milliseconds; none if there is no such moment.
+    /// milliseconds; `None` if there is no such moment.
     #[serde(rename = "p", default)]
     pub verified_age_ms: Option<u64>,
     /// The rows or changes.
@@ -106,9 +106,9 @@
     /// younger than the request by at least this time.
     #[serde(rename = "held", default)]
     pub held_ms: u64,
-    /// The requests that all gateways together have running at back ends; none if not known.
+    /// The requests that all gateways together have running at back ends; `None` if not known.
     pub running: Option<Counts>,
-    /// Requests under which back ends crashed; none from a gateway of an earlier build.
+    /// Requests under which back ends crashed; `None` from a gateway of an earlier build.
     #[serde(default)]
     pub quarantine: Option<QuarantineUpdate>,
     /// Rate limits that back ends state, as known to the sender.
--- a/crates/gateway/src/feed/mod.rs
+++ b/crates/gateway/src/feed/mod.rs
@@ -12,10 +12,11 @@
 //! and the responses carry the sums over all gateways. One of hundreds of gateways sees too few
 //! requests to tell how busy a back end is.
 //!
-//! [`parents`] chooses the gateways to ask, [`table_sync`] reads the table or asks a parent, [`cache`]
-//! keeps the tables, [`packed`] is the form in which rows are sent, [`page`] divides whole tables
-//! into pages, and [`message`] has the messages. Updates are ordered by the table's versions only.
-//! No clocks are compared between gateways; each gateway adds to the age of an update.
+//! [`parents`] chooses the gateways to ask, [`table_sync`] reads the table or asks a parent,
+//! [`cache`] keeps the tables, [`packed`] is the form in which rows are sent, [`page`] divides
+//! whole tables into pages, and [`message`] defines the messages. Updates are ordered by the
+//! table's versions only. No clocks are compared between gateways; each gateway adds to the age of
+//! an update.
 
 pub mod cache;
 pub mod message;
@@ -113,7 +114,7 @@
     }
 
     /// Time since the latest moment for which a table is known to have held nothing newer than
-    /// its follower has applied; none if there is no such moment.
+    /// its follower has applied; `None` if there is no such moment.
     pub fn verified_age(&self, table: &str) -> Option<Duration> {
         let applied = *self.applied.lock().get(table)?;
         self.cache(|cache| cache.verified_age(table, applied))
@@ -124,7 +125,7 @@
         self.cache(|cache| cache.subscribe(table))
     }
 
-    /// The update of a table since `position`, for a follower of this gateway; none if there are
+    /// The update of a table since `position`, for a follower of this gateway; `None` if there are
     /// no changes. Advances the position.
     pub fn next_update(&self, position: &mut TablePosition) -> Option<FollowerUpdate> {
         let update = self.cache(|cache| {
--- a/crates/gateway/src/feed/page.rs
+++ b/crates/gateway/src/feed/page.rs
@@ -28,7 +28,7 @@
 /// A request for one page of a table.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PageRequest {
-    /// The last key of the previous page; none for the first page.
+    /// The last key of the previous page; `None` for the first page.
     #[serde(rename = "k", default, skip_serializing_if = "Option::is_none")]
     pub after: Option<String>,
     /// The version of the first page. A page of an older version cannot be combined with it.
--- a/crates/gateway/src/feed/parent_follower.rs
+++ b/crates/gateway/src/feed/parent_follower.rs
@@ -32,8 +32,8 @@
 /// Factor by which the pause between two table reads is longer while a parent responds that it has
 /// no fresh content either. The waiting gateways then make six table reads per second in total, in
 /// case all parents respond but none of them reaches the table. Without this factor, each of
-/// 985 starting gateways read the 20 pages of the back-end table itself, which took 115,698 calls
-/// of the table in one day.
+/// 985 starting gateways read the 20 pages of the back-end table itself, and the gateways made
+/// 115,698 calls of the table in total.
 const WAITING_PAUSE_FACTOR: u32 = 8;
 /// A parent that responded within this time counts as responsive.
 const PARENT_LIFETIME: Duration = Duration::from_secs(2);
@@ -228,14 +228,14 @@
     /// table. `responded_at` is the earliest moment at which the parent can have responded, as time
     /// since boot.
     fn apply(&self, request: &FeedRequest, response: FeedResponse, responded_at: Duration) -> bool {
-        let mut fresh = 0;
+        let mut fresh_count = 0;
         for update in response.tables {
             let mut requested = request.tables.iter();
             let Some(position) = requested.find(|position| position.table == update.table) else {
                 continue;
             };
             if update.age_ms <= position.max_age_ms {
-                fresh += 1;
+                fresh_count += 1;
             }
             // An old update may still contain unknown changes. The cache ignores older versions.
             let version = position.version;
@@ -243,7 +243,7 @@
                 .feed
                 .cache(|cache| cache.apply_update(version, update, responded_at));
         }
-        fresh == request.tables.len()
+        fresh_count == request.tables.len()
     }
 
     /// Whether the content of an urgent table is too old to wait any longer for a parent.
--- a/crates/gateway/src/feed/parents.rs
+++ b/crates/gateway/src/feed/parents.rs
@@ -60,7 +60,7 @@
     last_request: Option<Instant>,
     /// When the table last responded to this gateway while no parent sent a fresh response.
     last_direct_response: Option<Instant>,
-    /// The gateway that sent the last update; none if the table itself did.
+    /// The gateway that sent the last update; `None` if the table itself did.
     source: Option<SocketAddr>,
 }
 
@@ -92,16 +92,16 @@
         self.cooldowns.retain(|address, until| {
             now < *until && parents.iter().any(|parent| parent.address == *address)
         });
-        let former = std::mem::replace(&mut self.position, order.position);
-        if former != order.position {
+        let previous = std::mem::replace(&mut self.position, order.position);
+        if previous != order.position {
             let fields = format_args!(
-                "place={:?} former={former:?} gateways={}",
+                "place={:?} former={previous:?} gateways={}",
                 order.position,
                 members.len()
             );
             event_log::write(LogPriority::Decision, "feed_place", fields);
         }
-        former != order.position
+        previous != order.position
     }
 
     /// The position of this gateway in the tree.
@@ -164,13 +164,13 @@
         self.position == TreePosition::Middle || self.last_request.is_some_and(is_recent)
     }
 
-    /// Records the source of the last update, which is a gateway, or the table if it is none. Logs
-    /// a change of the source.
+    /// Records the source of the last update: a gateway, or `None` for the table itself. Logs a
+    /// change of the source.
     pub fn record_source(&mut self, source: Option<SocketAddr>) {
-        let former = std::mem::replace(&mut self.source, source);
-        if former != source {
+        let previous = std::mem::replace(&mut self.source, source);
+        if previous != source {
             let name = |it: Option<SocketAddr>| it.map_or("table".to_owned(), |it| it.to_string());
-            let fields = format_args!("from={} former={}", name(source), name(former));
+            let fields = format_args!("from={} former={}", name(source), name(previous));
             event_log::write(LogPriority::Decision, "fed", fields);
         }
     }
--- a/crates/gateway/src/feed/sync_policy.rs
+++ b/crates/gateway/src/feed/sync_policy.rs
@@ -12,9 +12,9 @@
 /// within two such waits, well within the bound on the drain of back ends (2 s).
 pub const MAX_UPDATE_WAIT: Duration = Duration::from_millis(400);
 /// Minimum time between two reads of changes of a busy table, as a fraction of the propagation
-/// bound. In four paired benchmark runs with 69 gateways, reads of the table cost 0.050 of the
-/// score, compared to 0.071 with 100 ms between two reads, and as many requests were served
-/// (difference in score: +0.024 ± 0.005).
+/// bound. With 69 gateways and this pause instead of 100 ms, reads of the table lower the service
+/// quality score by 0.050 instead of 0.071. The score is higher by 0.024 ± 0.005, and as many
+/// requests are served.
 const BUSY_PAUSE_FRACTION: f64 = 0.08;
 /// Maximum wait for a change in one request for a table that is not urgent.
 const MAX_NON_URGENT_WAIT: Duration = Duration::from_millis(1_500);
--- a/crates/gateway/src/feed/table_sync.rs
+++ b/crates/gateway/src/feed/table_sync.rs
@@ -171,8 +171,8 @@
 }
 
 /// Minimum time between two reads of changes of a table. In a small fleet, more reads cost nothing
-/// and earlier updates serve callers better: in 20 paired benchmark runs of tks-indoor, which has
-/// nine gateways, the pause of a large fleet lowered the score by 0.012 ± 0.004.
+/// and earlier updates serve callers better: with nine gateways, the pause of a large fleet lowers
+/// the service quality score by 0.012 ± 0.004.
 fn busy_pause(shared: &Shared, policy: &TableSyncPolicy) -> Duration {
     if shared.max_gateway_count() <= MAX_SMALL_FLEET {
         policy.min_interval
--- a/crates/gateway/src/feed/verified_contents.rs
+++ b/crates/gateway/src/feed/verified_contents.rs
@@ -41,7 +41,7 @@
     }
 
     /// Time since the latest moment for which the table is known to have held nothing newer than
-    /// the version `applied`; none if there is no such moment.
+    /// the version `applied`; `None` if there is no such moment.
     pub fn age(&self, now: Duration, applied: u64) -> Option<Duration> {
         let known = self
             .contents
--- a/crates/gateway/src/holder.rs
+++ b/crates/gateway/src/holder.rs
@@ -73,7 +73,7 @@
 /// The tasks of the lease holder, which end when they are dropped.
 type HolderTasks = [AbortOnDrop; 4];
 
-/// The part of this process in taking and renewing the lease.
+/// This process as a candidate for the lease, and as its holder.
 struct LeaseCandidate {
     shared: Arc<Shared>,
     session: LeaseSession,
@@ -84,17 +84,17 @@
 
 impl LeaseCandidate {
     async fn run_iteration(&mut self) {
-        let offer = self.offer();
+        let candidacy = self.candidacy();
         let shared = self.shared.clone();
-        let additional_put = move || store_records_row(&shared);
-        if let LeaseStepResult::Idle(pause) = self.session.step(offer, additional_put).await {
+        let extra_put = move || store_records_row(&shared);
+        if let LeaseStepResult::Idle(pause) = self.session.step(candidacy, extra_put).await {
             sleep(pause.min(MAX_CHECK_INTERVAL)).await;
         }
     }
 
     /// When this process may take the lease. The strongest machines take it first, because the
     /// planner has to keep up with hundreds of engines.
-    fn offer(&self) -> Candidacy {
+    fn candidacy(&self) -> Candidacy {
         let shared = &self.shared;
         if shared.is_stopping() || !shared.may_place() {
             return Candidacy::Never;
--- a/crates/gateway/src/lease_session.rs
+++ b/crates/gateway/src/lease_session.rs
@@ -34,8 +34,8 @@
     pub keeper: Arc<Mutex<LeaseKeeper>>,
     shared: Arc<Shared>,
     key: String,
-    /// The last write was refused or had no response. The next read bypasses the cache and reads
-    /// the table.
+    /// Whether the last write was refused or had no response. The next read then bypasses the cache
+    /// and reads the table.
     must_read_table: bool,
     /// The newest version of the row that this process has read or written.
     newest_version: u64,
@@ -61,16 +61,16 @@
         self.keeper.lock().is_holder()
     }
 
-    /// Performs the step that is due. `offer` states whether this gateway is a candidate for the
-    /// lease. The row that `extra_put` returns is written in the same transaction as the lease's
-    /// row.
+    /// Performs the step that is due. `candidacy` states whether this gateway is a candidate for
+    /// the lease. The row that `extra_put` returns is written in the same transaction as the
+    /// lease's row.
     pub async fn step(
         &mut self,
-        offer: Candidacy,
+        candidacy: Candidacy,
         extra_put: impl FnOnce() -> Option<Put>,
     ) -> LeaseStepResult {
         let now = self.shared.now();
-        let step = self.keeper.lock().step(now, offer);
+        let step = self.keeper.lock().step(now, candidacy);
         match step {
             LeaseStep::Wait(until) => {
                 LeaseStepResult::Idle(Duration::from_millis(until.since(now)))
@@ -119,11 +119,11 @@
         };
         let mut transaction = Transaction::put_if(self.key.clone(), expected, value);
         transaction.puts.extend(extra_put);
-        let answer = shared.table().transact(transaction).await;
-        self.must_read_table = !matches!(answer, TableAnswer::Committed { .. });
+        let response = shared.table().transact(transaction).await;
+        self.must_read_table = !matches!(response, TableAnswer::Committed { .. });
         let now = self.shared.now();
         let mut keeper = self.keeper.lock();
-        match answer {
+        match response {
             TableAnswer::Committed { revision, .. } => {
                 self.newest_version = revision;
                 keeper.record_write(now, revision, &row);
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -75,11 +75,11 @@
 async fn join_at_initial_start(shared: &Arc<Shared>) {
     sleep(WRITE_SPREAD.mul_f64(rand::random::<f64>())).await;
     write_own_row(shared).await;
-    let mut joining = MembershipConvergence::default();
+    let mut convergence = MembershipConvergence::default();
     let mut pause = FIRST_READ_DELAY;
     loop {
         sleep(pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
-        if joining.observe(read_members(shared).await) {
+        if convergence.observe(read_members(shared).await) {
             return;
         }
         pause = READ_PAUSE;
@@ -160,8 +160,8 @@
     let Some(row) = known_row(&shared) else {
         return;
     };
-    let answer = shared.table().remove(&row.key, row.modified).await;
-    let removed = matches!(answer, TableAnswer::Committed { .. });
+    let response = shared.table().remove(&row.key, row.modified).await;
+    let removed = matches!(response, TableAnswer::Committed { .. });
     event_log::write(
         LogPriority::Decision,
         "member_left",
--- a/crates/gateway/src/orders.rs
+++ b/crates/gateway/src/orders.rs
@@ -1,7 +1,7 @@
 //! Sends orders and polls to engines for the placement holder.
 //!
 //! The input is an order or a poll of an engine. The output is the result of the order, or the
-//! engine's report. Each message uses a kept connection to the engine or a new one.
+//! engine's report. Each message uses an idle connection to the engine, or a new one.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -38,21 +38,21 @@
     let request = shared.platform.report_request(&engine.id);
     let sent_at = Instant::now();
     let suspended = shared.clock.total_suspension();
-    let Ok(answered) = timeout(RESPONSE_TIMEOUT, send(shared, engine, request)).await else {
+    let Ok(result) = timeout(RESPONSE_TIMEOUT, send(shared, engine, request)).await else {
         engine.close_idle_since(sent_at);
         return None;
     };
-    let (response, connection) = answered?;
+    let (response, connection) = result?;
     record_if_draining(shared, engine, &response);
     let status = response.status();
-    let rest = keep_alive_timeout(response.headers());
+    let keep_alive = keep_alive_timeout(response.headers());
     let body = timeout(RESPONSE_TIMEOUT, response.into_body().collect())
         .await
         .ok()?
         .ok()?;
     engine.return_connection(
         connection,
-        rest,
+        keep_alive,
         shared.max_idle_connections(&engine.service),
     );
     // A response that arrived while the machine was suspended does not describe the present state.
@@ -80,7 +80,7 @@
     let sending = send_if_valid(shared, engine, request, still_valid);
     let sent_at = Instant::now();
     let (response, connection) = match timeout(shared.order_timeout.current(), sending).await {
-        Ok(Ok(answered)) => answered,
+        Ok(Ok(result)) => result,
         Ok(Err(NotWritten)) => return OrderResult::NotSent,
         Err(_) => {
             shared.order_timeout.record_timeout();
@@ -94,11 +94,11 @@
     shared.order_timeout.record_response(sent_at.elapsed());
     record_if_draining(shared, engine, &response);
     let result = shared.platform.order_result(response.status());
-    let rest = keep_alive_timeout(response.headers());
+    let keep_alive = keep_alive_timeout(response.headers());
     if let Ok(Ok(_)) = timeout(RESPONSE_TIMEOUT, response.into_body().collect()).await {
         engine.return_connection(
             connection,
-            rest,
+            keep_alive,
             shared.max_idle_connections(&engine.service),
         );
     }
@@ -109,10 +109,10 @@
 /// request comes from another engine and is ignored.
 fn record_if_draining(shared: &Shared, engine: &BackEnd, response: &Response<Incoming>) {
     let status = response.status();
-    let marks = shared
+    let metadata = shared
         .platform
         .response_metadata(status, response.headers());
-    if marks.is_draining && status != StatusCode::MISDIRECTED_REQUEST {
+    if metadata.is_draining && status != StatusCode::MISDIRECTED_REQUEST {
         shared.record_drain(engine);
     }
 }
--- a/crates/gateway/src/placement.rs
+++ b/crates/gateway/src/placement.rs
@@ -1,7 +1,8 @@
 //! Places models and adapters on engines while this process holds the placement lease.
 //!
 //! The input is the demand that gateways send, discovery, and the reports of engines. The output is
-//! orders under the fencing token of the lease, and rows that tell gateways what each engine holds.
+//! orders under the fencing token of the lease, and rows that state for all gateways what each
+//! engine holds.
 //!
 //! A crash between the write of a row and its order leaves a row that names an operation that was
 //! never ordered; the next holder polls every engine whose row names an operation in progress. A
@@ -44,7 +45,7 @@
 const MIN_WRITE_INTERVAL: Duration = Duration::from_millis(40);
 /// Ratio of the pause after a plan to the duration of the plan, which bounds the planner's share of
 /// the processor.
-const PLAN_REST_FACTOR: u32 = 2;
+const PLAN_PAUSE_FACTOR: u32 = 2;
 /// Fraction of the known gateways whose demand a new holder waits for before its first plan.
 const REPORTING_GATEWAY_FRACTION: f64 = 0.8;
 /// Maximum time that a new holder waits for the demand of gateways before its first plan.
@@ -126,10 +127,10 @@
         let shared = self.shared.clone();
         let mut changes = shared.subscribe();
         loop {
-            let began = Instant::now();
+            let started_at = Instant::now();
             self.run_iteration();
-            // The rest bounds the processor time for plans, however often the input changes.
-            sleep(began.elapsed() * PLAN_REST_FACTOR).await;
+            // The pause bounds the processor time for plans, however often the input changes.
+            sleep(started_at.elapsed() * PLAN_PAUSE_FACTOR).await;
             let woken = async {
                 tokio::select! {
                     completion = self.completions.recv() => completion,
@@ -155,8 +156,8 @@
     /// the new holder, and the models in demand are not known earlier.
     async fn await_demand(&self) {
         let shared = &self.shared;
-        let began = Instant::now();
-        while began.elapsed() < MAX_DEMAND_WAIT {
+        let started_at = Instant::now();
+        while started_at.elapsed() < MAX_DEMAND_WAIT {
             let reporting = shared.demand_rows.reporting_gateways(shared.now()).len();
             if reporting as f64 >= shared.known_gateway_count() as f64 * REPORTING_GATEWAY_FRACTION
             {
@@ -203,10 +204,10 @@
 
     fn observe(&mut self) {
         let now = self.shared.now();
-        let (reports, ended) = self
+        let (reports, exited) = self
             .shared
             .directory(|directory| (directory.reports(), directory.exited(now)));
-        self.planner.observe(now, &reports, &ended);
+        self.planner.observe(now, &reports, &exited);
         self.planner
             .set_limits(&self.shared.stated_limits_by_name());
     }
@@ -370,8 +371,8 @@
         let back_end = self.shared.directory(find);
         // An order that was computed for one incarnation is not sent to another one.
         let is_intended = |back_end: &Arc<BackEnd>| {
-            let life = Incarnation::new(back_end.born);
-            life.may_match(action.born) || action.kind == ActionKind::Report
+            let incarnation = Incarnation::new(back_end.born);
+            incarnation.may_match(action.born) || action.kind == ActionKind::Report
         };
         let Some(back_end) = back_end.filter(is_intended) else {
             self.planner
--- a/crates/gateway/src/prefill_speed_rows.rs
+++ b/crates/gateway/src/prefill_speed_rows.rs
@@ -105,8 +105,8 @@
     async fn write(&mut self, service: ServiceId, mut row: PrefillSpeedRow) {
         let (written, version) = self.written.get(&service).cloned().unwrap_or_default();
         row.fill_from(&written, |id: &BackEndId| {
-            let is_there = |directory: &Directory| directory.back_end(id).is_some();
-            self.shared.directory(is_there)
+            let exists = |directory: &Directory| directory.back_end(id).is_some();
+            self.shared.directory(exists)
         });
         if !row.differs_from(&written) {
             return;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -246,8 +246,8 @@
     let request = RelayRequest::Quarantine(events);
     for parent in candidates {
         let client = shared.table().client();
-        let answer = client.call(parent.address, &request, SEND_TIMEOUT).await;
-        if matches!(answer, Some(RelayResponse::Acknowledged)) {
+        let response = client.call(parent.address, &request, SEND_TIMEOUT).await;
+        if matches!(response, Some(RelayResponse::Acknowledged)) {
             return true;
         }
     }
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -80,7 +80,8 @@
     outcomes.iter().map(|outcome| outcome.fingerprint).collect()
 }
 
-/// Merges the outcomes in the row and returns them; returns none if the row cannot be parsed.
+/// Merges the outcomes in the row and returns them; returns no outcomes if the row cannot be
+/// parsed.
 fn merge_row(shared: &Shared, row: &TableRow) -> Vec<OutcomeNotice> {
     match serde_json::from_str::<Vec<OutcomeNotice>>(&row.value) {
         Ok(outcomes) => {
@@ -111,9 +112,9 @@
     event_log::write(LogPriority::Decision, "quarantine_row", fields);
 }
 
-fn record_write_failure(shared: &Shared, answer: &str) {
-    count_result(shared, answer);
-    let fields = format_args!("result=write_failed answer={answer}");
+fn record_write_failure(shared: &Shared, result: &str) {
+    count_result(shared, result);
+    let fields = format_args!("result=write_failed answer={result}");
     event_log::write(LogPriority::Decision, "quarantine_row", fields);
 }
 
--- a/crates/gateway/src/relay/client.rs
+++ b/crates/gateway/src/relay/client.rs
@@ -35,7 +35,7 @@
 }
 
 impl RelayClient {
-    /// Sends a request to a gateway and waits for the response; none if there was no response
+    /// Sends a request to a gateway and waits for the response; `None` if there was no response
     /// within the time limit. The gateway may have executed the request even then.
     pub async fn call(
         &self,
--- a/crates/gateway/src/relay/table.rs
+++ b/crates/gateway/src/relay/table.rs
@@ -29,9 +29,9 @@
 /// Number of consecutive direct calls without a response after which calls are relayed.
 const MAX_FAILURES: u32 = 2;
 /// Time after which the direct path is abandoned if every direct call is throttled. Together with
-/// the wait and the pause of the previous call (0.55 s) and the relayed call, the gap in the updates
-/// of a gateway that follows the table is shorter than 1.7 s. Users' lowest propagation bound is
-/// 2 s, and the bound on the revocation of keys is 3 s.
+/// the wait and the pause of the previous call (0.55 s) and the relayed call, the gap in the
+/// updates of a gateway that follows the table is shorter than 1.7 s. Users' lowest propagation
+/// bound is 2 s, and the bound on the revocation of keys is 3 s.
 const MAX_THROTTLED_TIME: Duration = Duration::from_millis(1_000);
 /// Resolution of timers.
 const TIMER_RESOLUTION: Duration = Duration::from_millis(1);
@@ -61,7 +61,7 @@
     failures: u32,
     /// Since when every direct call was throttled.
     throttled_since: Option<Instant>,
-    /// When the direct path is probed next; none while calls are direct.
+    /// When the direct path is probed next; `None` while calls are direct.
     probe_at: Option<Instant>,
     /// Until when no calls are relayed, after no other gateway could relay one.
     no_relay_until: Option<Instant>,
@@ -296,26 +296,26 @@
 
     async fn transact_by_path(&self, transaction: Transaction) -> TableAnswer {
         if self.choose_path() == CallPath::Direct {
-            let answer = self.platform.table().transact(transaction).await;
-            self.record_write(&answer);
-            return answer;
+            let response = self.platform.table().transact(transaction).await;
+            self.record_write(&response);
+            return response;
         }
         self.relay_write(RelayRequest::Transact(transaction)).await
     }
 
     async fn remove_by_path(&self, key: &str, version: u64) -> TableAnswer {
         if self.choose_path() == CallPath::Direct {
-            let answer = self.platform.table().remove(key, version).await;
-            self.record_write(&answer);
-            return answer;
+            let response = self.platform.table().remove(key, version).await;
+            self.record_write(&response);
+            return response;
         }
         let key = key.to_owned();
         self.relay_write(RelayRequest::Remove { key, version })
             .await
     }
 
-    fn record_write(&self, answer: &TableAnswer) {
-        match answer {
+    fn record_write(&self, response: &TableAnswer) {
+        match response {
             TableAnswer::Committed { .. } | TableAnswer::Conflict { .. } => self.record_success(),
             TableAnswer::Refused { throttled: true } => self.record_throttled(),
             TableAnswer::Refused { throttled: false } | TableAnswer::Unknown => {
@@ -326,7 +326,7 @@
 
     async fn relay_write(&self, request: RelayRequest) -> TableAnswer {
         match self.relay(request, Duration::ZERO).await {
-            Some(RelayResponse::Transacted(answer)) => answer,
+            Some(RelayResponse::Transacted(response)) => response,
             _ => TableAnswer::Unknown,
         }
     }
@@ -341,8 +341,8 @@
         | RelayResponse::DemandReceived { .. }
         | RelayResponse::Quota(_)
         | RelayResponse::Acknowledged => false,
-        RelayResponse::Transacted(answer) => matches!(
-            answer,
+        RelayResponse::Transacted(response) => matches!(
+            response,
             TableAnswer::Committed { .. } | TableAnswer::Conflict { .. }
         ),
         RelayResponse::Failed(error) => {
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -92,7 +92,7 @@
     pub is_returning: bool,
     /// How many times the request was sent to a back end so far.
     pub attempts: AtomicU32,
-    /// The quota charge for the request; none if its tenant has no quota.
+    /// The quota charge for the request; `None` if its tenant has no quota.
     quota_charge: Option<Grant>,
     may_have_run: AtomicBool,
     in_doubt: AtomicBool,
@@ -143,7 +143,7 @@
     }
 
     /// How much time is left to send the request to a back end, so that its response ends before
-    /// the process is killed. None if the process is not stopping.
+    /// the process is killed. `None` if the process is not stopping.
     pub fn time_left_to_send(&self) -> Option<Duration> {
         let stopping_for_ms = self.shared.stopping_for_ms()?;
         let grace = self.shared.settings.bounds.shutdown_grace;
@@ -210,7 +210,7 @@
     /// Writes the log line on the end of the request and updates the metrics.
     pub fn log_end(&self, outcome: &str, status: u16, back_end: &str) {
         self.is_end_logged.store(true, Ordering::Relaxed);
-        let rank = if outcome == "served" {
+        let priority = if outcome == "served" {
             LogPriority::Served
         } else {
             LogPriority::Decision
@@ -228,7 +228,7 @@
             .map_or("-", |model| model.as_str());
         let adapter = self.metadata.adapter.as_ref();
         event_log::write(
-            rank,
+            priority,
             "request_end",
             format_args!(
                 "request={} outcome={outcome} status={status} route={} service={} back_end={back_end} \
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -92,8 +92,8 @@
     let _ = stream.set_nodelay(true);
     let (header_bytes, idle) = limits(&shared);
     let service = service_fn(move |request: Request<Incoming>| {
-        let answering = request::handle(shared.clone(), request);
-        async move { Ok::<_, Infallible>(answering.await) }
+        let handling = request::handle(shared.clone(), request);
+        async move { Ok::<_, Infallible>(handling.await) }
     });
     let mut builder = http1::Builder::new();
     builder
--- a/crates/gateway/src/shared/mod.rs
+++ b/crates/gateway/src/shared/mod.rs
@@ -162,8 +162,8 @@
 
     /// Records that this gateway has acquired or lost the placement lease.
     pub fn set_placing(&self, placing: bool) {
-        let former = self.placing.swap(placing, Ordering::Relaxed);
-        if former != placing {
+        let previous = self.placing.swap(placing, Ordering::Relaxed);
+        if previous != placing {
             self.demand_rows.clear();
             *self.store_records.lock() = None;
             self.new_holder.notify_one();
--- a/crates/gateway/src/shared/quotas.rs
+++ b/crates/gateway/src/shared/quotas.rs
@@ -35,7 +35,7 @@
         let request = RelayRequest::Quota(quota_request);
         let client = self.table().client();
         match client.call(address, &request, RESPONSE_TIMEOUT).await? {
-            RelayResponse::Quota(answer) => Some(answer),
+            RelayResponse::Quota(response) => Some(response),
             _ => None,
         }
     }
--- a/crates/gateway/src/shared/running.rs
+++ b/crates/gateway/src/shared/running.rs
@@ -35,9 +35,9 @@
     /// Requests of all gateways in flight at each back end; `None` if unknown.
     pub fn running_totals(&self) -> Option<Counts> {
         let own = self.own_running();
-        let (now, place) = (self.now(), self.feed.parents.lock().position());
+        let (now, position) = (self.now(), self.feed.parents.lock().position());
         let mut running = self.feed.running.lock();
-        match place {
+        match position {
             TreePosition::Root => Some(running.root_totals(now, &own)),
             _ => running.forwarded_totals(now, &own),
         }
--- a/crates/gateway/src/single_response.rs
+++ b/crates/gateway/src/single_response.rs
@@ -17,7 +17,7 @@
 use http_body_util::{BodyExt, Full};
 use tokio::time::Instant;
 
-/// Minimum time that a back end is given before another one is asked.
+/// Minimum time that a back end is given before another one is tried.
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(100);
 /// A back end is given this multiple of its mean latency.
 const LATENCY_FACTOR: f64 = 4.0;
@@ -45,7 +45,7 @@
     }
 }
 
-/// How long a back end may take while another one could be asked.
+/// Maximum time until a back end's response head while another back end could be tried.
 fn head_timeout(call: &Call, mean_latency: Option<f64>) -> Duration {
     let latency_limit =
         Duration::from_millis((mean_latency.unwrap_or(0.0) * LATENCY_FACTOR) as u64);
@@ -74,9 +74,9 @@
     };
     let latency = response.age().as_millis() as u64;
     let now = call.shared.now();
-    if response.marks.has_not_run {
+    if response.metadata.has_not_run {
         record_absence(call, &response);
-        let pause = response.marks.pause;
+        let pause = response.metadata.pause;
         response.return_connection(&call.shared);
         return Err(attempts.after_not_run(call, pause));
     }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -56,7 +56,7 @@
         let model = call.metadata.model.clone();
         if let Some(model) = &model {
             let mut demand = call.shared.demand.lock();
-            demand.running(&call.service, model, 1);
+            demand.record_running(&call.service, model, 1);
         }
         RunningGuard {
             call: call.clone(),
@@ -69,7 +69,7 @@
     fn drop(&mut self) {
         if let Some(model) = &self.model {
             let mut demand = self.call.shared.demand.lock();
-            demand.running(&self.call.service, model, -1);
+            demand.record_running(&self.call.service, model, -1);
         }
     }
 }
@@ -114,7 +114,7 @@
     demand.record_arrival(now, &call.service, model, adapter, is_urgent);
 }
 
-/// How long a back end may take to start its response while another one could be asked.
+/// Maximum time until a back end's response head while another back end could be tried.
 fn head_timeout(call: &Call) -> Duration {
     call.route.objective.mul_f64(FIRST_EVENT_FACTOR)
 }
@@ -345,7 +345,7 @@
     }
 
     /// Sends the request to another back end and returns its response, which continues after the
-    /// last event. None if the stream cannot be resumed.
+    /// last event. `None` if the stream cannot be resumed.
     async fn resume(&mut self, reason: &'static str) -> Option<BackEndResponse> {
         let mut next = self.attempts.after_may_have_run(&self.call, reason);
         while let NextStep::Retry = next {
@@ -363,9 +363,9 @@
                 AttemptResult::Responded(response) if response.head.status == StatusCode::OK => {
                     return Some(*response);
                 }
-                AttemptResult::Responded(response) if response.marks.has_not_run => self
+                AttemptResult::Responded(response) if response.metadata.has_not_run => self
                     .attempts
-                    .after_not_run(&self.call, response.marks.pause),
+                    .after_not_run(&self.call, response.metadata.pause),
                 AttemptResult::Responded(_) => self
                     .attempts
                     .after_may_have_run(&self.call, "resume_refused"),
--- a/crates/gateway/src/sweeper.rs
+++ b/crates/gateway/src/sweeper.rs
@@ -63,8 +63,8 @@
         .map(|row| (row.key, row.modified))
         .collect();
     for (key, version) in sweep.observe(shared.now(), &rows) {
-        let answer = shared.table().remove(&key, version).await;
-        let removed = matches!(answer, TableAnswer::Committed { .. });
+        let response = shared.table().remove(&key, version).await;
+        let removed = matches!(response, TableAnswer::Committed { .. });
         let fields = format_args!("row={key} version={version} removed={removed}");
         event_log::write(LogPriority::Decision, "row_swept", fields);
     }
--- a/crates/gateway/src/table_followers.rs
+++ b/crates/gateway/src/table_followers.rs
@@ -336,8 +336,8 @@
     fn apply_lease(&self, name: &str, lease: LeaseRow) {
         if name == holder::LEASE_NAME {
             self.0.set_holder(lease.holder);
-        } else if let Some(seat) = shard_of_lease(name) {
-            self.0.tenant_quotas.set_holder(seat, lease.holder);
+        } else if let Some(shard) = shard_of_lease(name) {
+            self.0.tenant_quotas.set_holder(shard, lease.holder);
         }
     }
 }
--- a/crates/gateway/src/tenant_quotas/denials.rs
+++ b/crates/gateway/src/tenant_quotas/denials.rs
@@ -44,7 +44,7 @@
         self.last.insert(demand.tenant.clone(), denial);
     }
 
-    /// Time until there is capacity for this demand, if a valid denial covers it; none if the
+    /// Time until there is capacity for this demand, if a valid denial covers it; `None` if the
     /// demand may be granted now.
     pub(super) fn remaining_wait(&self, demand: &QuotaDemand) -> Option<Duration> {
         let denial = self.last.get(&demand.tenant)?;
--- a/crates/gateway/src/tenant_quotas/message.rs
+++ b/crates/gateway/src/tenant_quotas/message.rs
@@ -44,8 +44,8 @@
 }
 
 impl QuotaRequest {
-    /// A request that charges nothing. Every gateway answers it, whether or not it holds the
-    /// shard.
+    /// A request that charges nothing. Every gateway responds to the request, whether or not the
+    /// gateway holds the shard.
     pub fn without_charge() -> Self {
         QuotaRequest {
             shard: 0,
@@ -80,7 +80,7 @@
     pub max_wait_ms: u64,
 }
 
-/// The response to an [`QuotaRequest`].
+/// The response to a [`QuotaRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaResponse {
     /// The request is within the quota and was charged.
--- a/crates/gateway/src/tenant_quotas/mod.rs
+++ b/crates/gateway/src/tenant_quotas/mod.rs
@@ -163,7 +163,7 @@
         is_active
     }
 
-    /// The granted usage of a shard, to be written to the table with its lease; none if this
+    /// The granted usage of a shard, to be written to the table with its lease; `None` if this
     /// gateway does not hold the shard.
     pub fn usage_to_save(
         &self,
@@ -249,7 +249,7 @@
 
     /// Charges a request to its tenant's quota. Retries until a shard holder grants the request,
     /// all holders respond that it exceeds the quota, or the time `until` would be passed.
-    /// `send` sends a request to a gateway, this one included, and returns none if there was no
+    /// `send` sends a request to a gateway, this one included, and returns `None` if there was no
     /// response.
     pub async fn charge<F>(
         &self,
--- a/crates/gateway/src/tenant_quotas/shards.rs
+++ b/crates/gateway/src/tenant_quotas/shards.rs
@@ -21,9 +21,9 @@
 use crate::ports::WatchedTable;
 use crate::shared::Shared;
 
-/// Length of a shard's lease, as a multiple of `bounds.lease`. While the table is unavailable, a
-/// lease of 3 s would end after 1.7 s. With this factor it lasts for 3.4 s, and after that time
-/// callers with keys need no longer be answered.
+/// Length of a shard's lease, as a multiple of the placement lease's length. While the table is
+/// unavailable, a lease of 3 s would end after 1.7 s. With this factor it lasts for 3.4 s, and
+/// after that time requests with API keys need not be served.
 const LEASE_FACTOR: f64 = 1.4;
 /// Maximum time between two iterations.
 const MAX_PAUSE: Duration = Duration::from_millis(700);
@@ -31,11 +31,11 @@
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 /// A machine with at least this fraction of the strongest machine's processor counts as strong.
 const STRONG_FRACTION: f64 = 0.8;
-/// A gateway with a higher average timer lag does not offer to hold shards.
+/// A gateway with a higher average timer lag is not a candidate for shards.
 const MAX_TIMER_LAG: Duration = Duration::from_millis(150);
 /// Minimum time for which a gateway holds a shard before it hands the shard over to another
 /// gateway. Without hand-overs, the gateway that started first would keep all shards.
-const MIN_HOLD: Duration = Duration::from_secs(6);
+const MIN_HOLD_TIME: Duration = Duration::from_secs(6);
 /// How long a computed order of gateways is used; the computation goes through all known gateways.
 const ORDER_LIFETIME: Duration = Duration::from_secs(2);
 
@@ -82,7 +82,7 @@
     )
 }
 
-/// The write that saves the granted usage of a shard, to be made together with its lease; none if
+/// The write that saves the granted usage of a shard, to be made together with its lease; `None` if
 /// this gateway does not hold the shard or has no configuration.
 fn usage_write(shared: &Shared, shard: usize) -> Option<Put> {
     let configuration = shared.configuration()?;
@@ -96,7 +96,7 @@
     })
 }
 
-/// Reads the last saved usage of a shard; none if the table could not be read.
+/// Reads the last saved usage of a shard; `None` if the table could not be read.
 async fn read_usage(shared: &Shared, shard: usize) -> Option<SavedUsage> {
     let snapshot = shared
         .table()
@@ -124,7 +124,7 @@
     leases: Vec<LeaseSession>,
     /// Whether this gateway charges requests to each shard.
     is_active: [bool; QUOTA_SHARDS],
-    /// The order in which gateways offer to take a free shard.
+    /// The order in which gateways are candidates for a free shard.
     order: ShardOrder,
     /// When `order` was computed.
     order_computed_at: Option<Instant>,
@@ -148,19 +148,19 @@
 
     /// Runs one iteration for one shard. Returns the time until the next one.
     async fn step(&mut self, shard: usize) -> Duration {
-        let offer = self.offer(shard);
+        let candidacy = self.candidacy(shard);
         let shared = self.shared.clone();
         if shared.tenant_quotas.needs_saving(shard) {
             self.leases[shard].keeper.lock().request_renewal();
         }
-        let stepped = self.leases[shard]
-            .step(offer, || usage_write(&shared, shard))
+        let step_result = self.leases[shard]
+            .step(candidacy, || usage_write(&shared, shard))
             .await;
-        if stepped == LeaseStepResult::Written {
+        if step_result == LeaseStepResult::Written {
             shared.tenant_quotas.confirm_saved(shard);
         }
         self.update_active(shard).await;
-        match stepped {
+        match step_result {
             LeaseStepResult::Idle(pause) => pause,
             LeaseStepResult::Done | LeaseStepResult::Written => MIN_PAUSE,
         }
@@ -176,8 +176,8 @@
             };
             let bound = shared.settings.bounds.quota_bound;
             let keeper = &self.leases[shard].keeper;
-            let (allowance, now) = (&shared.tenant_quotas, shared.now());
-            self.is_active[shard] = allowance.activate_shard(now, shard, keeper, bound, saved);
+            let (quotas, now) = (&shared.tenant_quotas, shared.now());
+            self.is_active[shard] = quotas.activate_shard(now, shard, keeper, bound, saved);
         } else if !is_held && was_active {
             shared.tenant_quotas.deactivate_shard(shard);
             self.is_active[shard] = false;
@@ -189,7 +189,7 @@
         }
     }
 
-    fn offer(&mut self, shard: usize) -> Candidacy {
+    fn candidacy(&mut self, shard: usize) -> Candidacy {
         let shared = &self.shared;
         if shared.is_stopping() || !shared.may_place() || !self.has_tenants() {
             return Candidacy::Never;
@@ -224,13 +224,13 @@
             return;
         };
         let held = self.leases[shard].keeper.lock().held_for(self.shared.now());
-        if held.is_none_or(|held| Duration::from_millis(held) < MIN_HOLD) {
+        if held.is_none_or(|held| Duration::from_millis(held) < MIN_HOLD_TIME) {
             return;
         }
         if self.shared.responds_to_quota_requests(&to).await {
             self.handing_over = Some(shard);
         } else {
-            self.unresponsive.insert(to, now + MIN_HOLD);
+            self.unresponsive.insert(to, now + MIN_HOLD_TIME);
         }
     }
 
@@ -238,9 +238,9 @@
     fn shard_to_hand_over(&self) -> Option<(usize, NodeId)> {
         let shared = &self.shared;
         let own = shared.settings.node.as_str();
-        let least = f64::from(shared.settings.millicores) * STRONG_FRACTION;
+        let min_millicores = f64::from(shared.settings.millicores) * STRONG_FRACTION;
         let members = shared.serving_members();
-        let is_as_strong = |member: &&Member| f64::from(member.row.millicores) >= least;
+        let is_as_strong = |member: &&Member| f64::from(member.row.millicores) >= min_millicores;
         let strong = members.iter().filter(is_as_strong);
         let others: Vec<&str> = strong
             .map(|member| member.name.as_str())
@@ -259,8 +259,8 @@
         Some((hand_over.shard, hand_over.to.into()))
     }
 
-    /// Computes the order in which the known gateways offer to take free shards, unless the current
-    /// one is recent.
+    /// Computes the order in which the known gateways are candidates for free shards, unless the
+    /// current order is recent.
     fn update_order(&mut self) {
         if self
             .order_computed_at
--- a/crates/gateway/src/timer_lag.rs
+++ b/crates/gateway/src/timer_lag.rs
@@ -1,7 +1,7 @@
 //! Measures the timer lag of this process: the mean delay with which its timers fire.
 //!
 //! On a machine without enough CPU capacity all tasks run late. A gateway with a high timer lag
-//! does not offer itself for the placement lease.
+//! is not a candidate for the placement lease.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -26,8 +26,8 @@
 
     /// Adds one measurement.
     pub fn record(&self, lag: Duration) {
-        let former = self.average().as_secs_f64();
-        let average = former + (lag.as_secs_f64() - former) * NEWEST_WEIGHT;
+        let previous = self.average().as_secs_f64();
+        let average = previous + (lag.as_secs_f64() - previous) * NEWEST_WEIGHT;
         let micros = Duration::from_secs_f64(average).as_micros() as u64;
         self.0.store(micros, Ordering::Relaxed);
     }
@@ -36,8 +36,8 @@
 /// Measures until the future is dropped.
 pub async fn measure(timer_lag: Arc<TimerLag>) {
     loop {
-        let began = Instant::now();
+        let started_at = Instant::now();
         sleep(MEASUREMENT_PAUSE).await;
-        timer_lag.record(began.elapsed().saturating_sub(MEASUREMENT_PAUSE));
+        timer_lag.record(started_at.elapsed().saturating_sub(MEASUREMENT_PAUSE));
     }
 }
