--- a/crates/fleet/src/quarantine/blame.rs
+++ b/crates/fleet/src/quarantine/blame.rs
@@ -33,16 +33,16 @@
     loop {
         let unexplained =
             |crashes: &BTreeSet<IncarnationHash>| crashes.difference(&explained).count();
-        let most = suspects
+        let max_unexplained = suspects
             .iter()
             .map(|(_, crashes)| unexplained(crashes))
             .max();
-        let Some(most) = most.filter(|most| *most > 0) else {
+        let Some(max_unexplained) = max_unexplained.filter(|count| *count > 0) else {
             return blamed;
         };
         let (most_frequent, others): (Vec<_>, Vec<_>) = suspects
             .into_iter()
-            .partition(|(_, crashes)| unexplained(crashes) == most);
+            .partition(|(_, crashes)| unexplained(crashes) == max_unexplained);
         for (fingerprint, crashes) in most_frequent {
             blamed.insert(fingerprint);
             explained.extend(crashes);
