--- a/crates/gorsebank/tests/callers_gone.rs
+++ b/crates/gorsebank/tests/callers_gone.rs
@@ -1,4 +1,4 @@
-//! Callers that went away: before their request was read, and without a word.
+//! Callers that disconnect before the gateway reads their request, and connections that stay idle.
 
 #[path = "../../../platform/tests/support/mod.rs"]
 mod platform;
@@ -17,84 +17,106 @@
 use platform::runner::{End, Reply, Runner, Seen, events};
 use platform::{store_with, until};
 
-/// Callers that leave.
-const CALLERS: usize = 20;
-/// Requests that may arrive all the same: a caller can leave while one is being sent.
-const FEW: usize = 3;
+/// Number of callers that disconnect.
+const DISCONNECTING_CALLERS: usize = 20;
+/// Number of requests that may still arrive: a caller can disconnect while its request is
+/// forwarded.
+const MAX_FORWARDED: usize = 3;
 
 fn stream(_: &Seen) -> Reply {
     Reply::Events(events(1, 20, Duration::from_millis(50)), End::Whole)
 }
 
-/// A ready gateway, a process of its own, and the runner that it sends streams to.
+/// Starts a gateway process and a back end that responds with streams, and waits until the gateway
+/// is ready.
 async fn gateway_with_runner() -> (GatewayProcess, Runner) {
     let runner = Runner::start("i-1", stream).await;
     let store = store_with("llm", &[&runner]).await;
-    let addresses = [0, 1].map(|_| free_address().expect("a port"));
+    let addresses = [0, 1].map(|_| free_address().expect("a free port"));
     let program = Path::new(env!("CARGO_BIN_EXE_gorsebank"));
     let gateway = GatewayProcess::start(program, &store, addresses);
     until(async || gateway.is_ready().await).await;
     (gateway, runner)
 }
 
-async fn ask_and_leave(gateway: &GatewayProcess, number: usize) {
-    let mut caller = TcpStream::connect(gateway.callers).await.expect("there");
-    let head = stream_bytes(&format!("gone-{number}"));
-    caller.write_all(head.as_bytes()).await.expect("sent");
+async fn send_and_disconnect(gateway: &GatewayProcess, number: usize) {
+    let mut caller = TcpStream::connect(gateway.callers)
+        .await
+        .expect("the gateway accepts connections");
+    let request_head = stream_bytes(&format!("gone-{number}"));
+    caller
+        .write_all(request_head.as_bytes())
+        .await
+        .expect("the request is sent");
 }
 
-/// A process that stood still finds requests whose callers have closed long ago.
+/// Guards against forwarding requests nobody waits for: a gateway that was suspended finds requests
+/// whose callers closed their connections in the meantime.
 #[tokio::test]
-async fn requests_whose_callers_left_before_they_were_read_are_not_sent_on() {
+async fn requests_of_disconnected_callers_are_not_forwarded() {
     let (gateway, runner) = gateway_with_runner().await;
-    let warm = send(gateway.callers, request("r1", "/stream/")).await;
-    assert_eq!(warm.expect("an answer").status, 200);
-    let before = runner.seen().len();
+    let warm_up = send(gateway.callers, request("r1", "/stream/")).await;
+    assert_eq!(warm_up.expect("a response").status, 200);
+    let count_before = runner.seen().len();
 
-    let id = Pid::from_raw(gateway.child.id().try_into().expect("an id"));
-    kill(id, Signal::SIGSTOP).expect("it stands still");
-    for number in 0..CALLERS {
-        ask_and_leave(&gateway, number).await;
+    let process_id = Pid::from_raw(
+        gateway
+            .child
+            .id()
+            .try_into()
+            .expect("the process id is valid"),
+    );
+    kill(process_id, Signal::SIGSTOP).expect("the gateway is suspended");
+    for number in 0..DISCONNECTING_CALLERS {
+        send_and_disconnect(&gateway, number).await;
     }
     tokio::time::sleep(Duration::from_millis(600)).await;
-    kill(id, Signal::SIGCONT).expect("it goes on");
+    kill(process_id, Signal::SIGCONT).expect("the gateway resumes");
     tokio::time::sleep(Duration::from_millis(800)).await;
-    let arrived = runner.seen().len() - before;
-    assert!(arrived <= FEW, "{arrived} of {CALLERS} were sent on");
+    let forwarded = runner.seen().len() - count_before;
+    assert!(
+        forwarded <= MAX_FORWARDED,
+        "{forwarded} of {DISCONNECTING_CALLERS} were forwarded"
+    );
 }
 
-/// Connections that say nothing, as after their callers went away without a word.
-const SILENT: usize = 600;
-/// New callers.
-const NEW: usize = 20;
+/// Number of idle connections, as left behind by callers that vanished without closing them.
+const IDLE_CONNECTIONS: usize = 600;
+/// Number of new callers.
+const NEW_CALLERS: usize = 20;
 
 #[tokio::test]
-async fn a_ready_gateway_takes_new_callers_beside_many_silent_ones() {
+async fn idle_connections_do_not_block_new_callers() {
     let (gateway, _runner) = gateway_with_runner().await;
-    let mut silent = Vec::new();
-    for number in 0..SILENT {
-        let mut caller = TcpStream::connect(gateway.callers).await.expect("there");
-        // Every second one has said half of a request.
+    let mut idle = Vec::new();
+    for number in 0..IDLE_CONNECTIONS {
+        let mut caller = TcpStream::connect(gateway.callers)
+            .await
+            .expect("the gateway accepts connections");
+        // Every second connection has sent half of a request head.
         if number % 2 == 0 {
             caller
                 .write_all(b"POST /stream/ HTTP/1.1\r\nHost:")
                 .await
-                .expect("sent");
+                .expect("the request is sent");
         }
-        silent.push(caller);
+        idle.push(caller);
     }
     assert!(gateway.is_ready().await);
-    let began = Instant::now();
-    let new = (0..NEW).map(|number| {
+    let started_at = Instant::now();
+    let new_callers = (0..NEW_CALLERS).map(|number| {
         let request = request(&format!("r{number}"), "/stream/");
         send(gateway.callers, request)
     });
-    let answers = futures_util::future::join_all(new).await;
-    let served = answers.iter().flatten().filter(|got| got.status == 200);
-    assert_eq!(served.count(), NEW);
+    let responses = futures_util::future::join_all(new_callers).await;
+    let served = responses
+        .iter()
+        .flatten()
+        .filter(|response| response.status == 200);
+    assert_eq!(served.count(), NEW_CALLERS);
     assert!(
-        began.elapsed() < Duration::from_secs(3),
+        started_at.elapsed() < Duration::from_secs(3),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
 }
--- a/crates/gorsebank/tests/explain.rs
+++ b/crates/gorsebank/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `gorsebank explain` on logs with bad lines among them.
+//! `gorsebank explain` on a log with malformed lines.
 
 mod logs;
 
@@ -23,70 +23,76 @@
 ";
 
 fn explain(request: &str) -> String {
-    logs::told(&["explain", request], request, LOG)
+    logs::successful_output(&["explain", request], request, LOG)
 }
 
 #[test]
-fn a_failed_attempt_is_told_with_what_was_known_of_its_back_end() {
-    let told = explain("r1");
+fn failed_attempt_shows_last_known_back_end_state() {
+    let output = explain("r1");
     assert!(
-        told.contains("cause: the attempt at i-1 ended with connection_lost"),
-        "{told}"
+        output.contains("cause: the attempt at i-1 ended with connection_lost"),
+        "{output}"
     );
     assert!(
-        told.contains("last heard of it: event=back_end_gone back_end=i-1"),
-        "{told}"
+        output.contains("last heard of it: event=back_end_gone back_end=i-1"),
+        "{output}"
     );
-    assert!(told.contains("1 lines were no log lines"), "{told}");
+    assert!(output.contains("1 lines were no log lines"), "{output}");
 }
 
 #[test]
-fn a_request_that_is_not_sent_again_for_want_of_budget_is_told_so() {
-    let told = explain("r5");
-    assert!(told.contains("the attempt at i-4 ended with 500"), "{told}");
-    assert!(told.contains("no retry was left: event=retry"), "{told}");
-    assert!(told.contains("budget_left=0.4 gateways=8"), "{told}");
+fn exhausted_retry_budget_is_reported() {
+    let output = explain("r5");
+    assert!(
+        output.contains("the attempt at i-4 ended with 500"),
+        "{output}"
+    );
+    assert!(
+        output.contains("no retry was left: event=retry"),
+        "{output}"
+    );
+    assert!(output.contains("budget_left=0.4 gateways=8"), "{output}");
 }
 
 #[test]
-fn a_refusal_is_told_with_its_inputs_and_the_orders_for_its_model() {
-    let told = explain("r2");
+fn rejection_shows_its_inputs_and_load_orders() {
+    let output = explain("r2");
     assert!(
-        told.contains("cause: refused by the gateway: event=refused"),
-        "{told}"
+        output.contains("cause: refused by the gateway: event=refused"),
+        "{output}"
     );
-    assert!(told.contains("expected_ms=4800"), "{told}");
-    assert!(told.contains("LoadModel(m1)"), "{told}");
+    assert!(output.contains("expected_ms=4800"), "{output}");
+    assert!(output.contains("LoadModel(m1)"), "{output}");
 }
 
 #[test]
-fn what_was_refused_by_its_key_or_limit_is_told_with_the_inputs() {
-    let told = explain("r6");
+fn key_and_limit_rejections_show_their_inputs() {
+    let output = explain("r6");
     assert!(
-        told.contains("refused by the gateway: event=access_denied"),
-        "{told}"
+        output.contains("refused by the gateway: event=access_denied"),
+        "{output}"
     );
-    assert!(told.contains("age_ms=4710"), "{told}");
-    let told = explain("r7");
+    assert!(output.contains("age_ms=4710"), "{output}");
+    let output = explain("r7");
     assert!(
-        told.contains("refused by the gateway: event=limited"),
-        "{told}"
+        output.contains("refused by the gateway: event=limited"),
+        "{output}"
     );
-    assert!(told.contains("tenant=crews cost=1540"), "{told}");
+    assert!(output.contains("tenant=crews cost=1540"), "{output}");
 }
 
 #[test]
-fn a_request_whose_gateway_was_killed_is_told_with_its_last_line() {
-    let told = explain("r4");
-    assert!(told.contains("the process was killed"), "{told}");
+fn request_without_end_shows_its_last_log_line() {
+    let output = explain("r4");
+    assert!(output.contains("the process was killed"), "{output}");
     assert!(
-        told.contains("last: event=waiting request=r4 missing=model"),
-        "{told}"
+        output.contains("last: event=waiting request=r4 missing=model"),
+        "{output}"
     );
 }
 
 #[test]
-fn a_served_request_and_an_unknown_one_are_told_apart() {
+fn served_and_unknown_requests_are_distinguished() {
     assert!(explain("r3").contains("cause: it was served"));
     assert!(explain("r9").contains("no line speaks of request r9"));
 }
--- a/crates/gorsebank/tests/failures.rs
+++ b/crates/gorsebank/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures over separate processes: kills, planned stops, races, outages.
+//! Failures across separate processes: kills, planned stops, races and outages.
 
 mod support;
 
@@ -14,7 +14,7 @@
 const COMPLETIONS: &str = "/v1/completions";
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_key_at_three_nodes_runs_once() {
+async fn same_idempotency_key_at_three_nodes_runs_once() {
     let deployment = Deployment::start("one-key", 3).await;
     for round in 0..5 {
         let key = format!("top-up-{round}");
@@ -29,33 +29,43 @@
                 "5",
             )
         });
-        let answers = join_all(calls).await;
-        let answered = answers.iter().filter(|answer| answer.status == 200).count();
-        let used = answers.iter().filter(|answer| answer.status == 409).count();
-        assert_eq!((answered, used), (1, 2), "round {round}");
+        let responses = join_all(calls).await;
+        let succeeded = responses
+            .iter()
+            .filter(|response| response.status == 200)
+            .count();
+        let rejected = responses
+            .iter()
+            .filter(|response| response.status == 409)
+            .count();
+        assert_eq!((succeeded, rejected), (1, 2), "round {round}");
     }
     assert_eq!(deployment.executions().len(), 5);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_call_that_broke_after_it_ran_is_not_said_to_have_not_run() {
+async fn call_lost_after_execution_is_not_reported_as_not_run() {
     let deployment = Deployment::start("broke-after", 1).await;
     let address = deployment.callers("n1");
     let path = "/services/customer-api/top-up?fail=after";
     let lost = deployment.post(address, path, "5").await;
     assert_eq!(lost.status, 502, "{}", lost.text);
     assert_eq!(lost.headers["gorsebank-ran"], "unknown");
-    assert_eq!(deployment.executions().len(), 1, "it was sent once");
+    assert_eq!(deployment.executions().len(), 1, "the call was sent once");
     let path = "/services/customer-api/top-up?fail=refuse";
     let refused = deployment.post(address, path, "5").await;
     assert_eq!(refused.status, 503, "{}", refused.text);
     assert_eq!(refused.headers["gorsebank-ran"], "no");
     assert!(refused.headers.contains_key("retry-after"));
-    assert_eq!(deployment.executions().len(), 1, "it did not run");
+    assert_eq!(
+        deployment.executions().len(),
+        1,
+        "the refused call did not run"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_planned_stop_cuts_no_stream() {
+async fn planned_stop_completes_open_streams() {
     let mut deployment = Deployment::start("planned-stop", 3).await;
     let warm = deployment
         .post(
@@ -74,29 +84,29 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
         deployment.live.nodes["n2"].signal(Signal::SIGTERM);
     };
-    let (answers, ()) = futures_util::join!(join_all(streams), stop);
-    for answer in answers {
-        assert!(answer.is_whole);
+    let (responses, ()) = futures_util::join!(join_all(streams), stop);
+    for response in responses {
+        assert!(response.is_complete);
         let numbers: Vec<u64> = (0..202).collect();
-        assert_eq!(answer.event_numbers(), numbers);
+        assert_eq!(response.event_numbers(), numbers);
     }
-    let mut node = deployment.live.nodes.remove("n2").expect("it was there");
-    assert!(node.wait(), "the node ends by itself, and well");
+    let mut node = deployment.live.nodes.remove("n2").expect("the node exists");
+    assert!(node.wait(), "the node exits by itself with success");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stream_is_resumed_at_another_node() {
+async fn stream_resumes_at_another_node() {
     let deployment = Deployment::start("resume", 2).await;
-    let whole = deployment
+    let complete = deployment
         .post(
             deployment.callers("n1"),
             COMPLETIONS,
             &completion("llama", true, 10),
         )
         .await;
-    let stream = whole.headers["x-request-id"]
+    let stream = complete.headers["x-request-id"]
         .to_str()
-        .expect("a name")
+        .expect("the request id is text")
         .to_owned();
     let path = format!("/v1/streams/{stream}");
     let last = format!("{stream}:4");
@@ -117,47 +127,57 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_holder_is_killed_and_models_still_load() {
+async fn models_load_after_placement_holder_is_killed() {
     let mut deployment = Deployment::start("holder-killed", 3).await;
-    let status = deployment.live.status("n1").await.expect("a status");
-    let holder = status["holder"].as_str().expect("a holder").to_owned();
+    let status = deployment
+        .live
+        .status("n1")
+        .await
+        .expect("the node reports its status");
+    let holder = status["holder"]
+        .as_str()
+        .expect("there is a placement holder")
+        .to_owned();
     deployment
         .live
         .nodes
         .remove(&holder)
-        .expect("it runs")
+        .expect("the placement holder runs")
         .kill();
     let other = ["n1", "n2", "n3"]
         .into_iter()
         .find(|node| *node != holder)
-        .expect("another node");
-    let answer = deployment
+        .expect("another node exists");
+    let response = deployment
         .post(
             deployment.callers(other),
             COMPLETIONS,
             &completion("llama", false, 3),
         )
         .await;
-    assert_eq!(answer.status, 200, "{}", answer.text);
+    assert_eq!(response.status, 200, "{}", response.text);
     assert_eq!(deployment.count_events("loaded"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_dormant_model_wakes_while_the_table_is_down() {
+async fn cold_model_loads_while_table_is_down() {
     let deployment = Deployment::start("table-down", 2).await;
-    // Standing decisions are written within the first seconds.
+    // The placement holder writes its plans to the table within the first seconds.
     deployment
-        .wait_until("standing decisions are in the table", async || {
+        .wait_until("the plans are in the table", async || {
             let range =
                 json!({"key": "Z29yc2ViYW5rL2NlbGxzLw==", "range_end": "Z29yc2ViYW5rL2NlbGxzMA=="});
-            let answer = deployment
+            let response = deployment
                 .post(
                     deployment.live.table.address(),
                     "/v3/kv/range",
                     &range.to_string(),
                 )
                 .await;
-            let rows = answer.json()["kvs"].as_array().cloned().unwrap_or_default();
+            let rows = response.json()["kvs"]
+                .as_array()
+                .cloned()
+                .unwrap_or_default();
             rows.iter()
                 .any(|row| decoded(&row["value"]).contains("llama@1"))
         })
@@ -167,15 +187,15 @@
         .live
         .put(table, "/fault", &json!("down"))
         .await
-        .expect("a fault");
-    let answer = deployment
+        .expect("the fault is set");
+    let response = deployment
         .post(
             deployment.callers("n1"),
             COMPLETIONS,
             &completion("llama", false, 3),
         )
         .await;
-    assert_eq!(answer.status, 200, "{}", answer.text);
+    assert_eq!(response.status, 200, "{}", response.text);
 }
 
 fn decoded(value: &Value) -> String {
@@ -186,11 +206,11 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn of_two_operators_one_wins_and_one_is_told_the_version() {
+async fn concurrent_update_conflict_reports_current_version() {
     let deployment = Deployment::start("operators", 2).await;
     let path = "/v1/configuration/model/llama";
     let row = deployment.get(deployment.admin("n1"), path).await.json();
-    let version = row["revision"].as_u64().expect("a version");
+    let version = row["revision"].as_u64().expect("the row has a version");
     let conditional = format!("{path}?version={version}");
     let calls = [("n1", "a"), ("n2", "b")].map(|(node, stage)| {
         let body = json!({"stage": stage}).to_string();
@@ -202,56 +222,61 @@
                 .await
         }
     });
-    let answers = join_all(calls).await;
-    let winner = answers
+    let responses = join_all(calls).await;
+    let winner = responses
         .iter()
-        .find(|answer| answer.status == 200)
-        .expect("one wins");
-    let loser = answers
+        .find(|response| response.status == 200)
+        .expect("one update succeeds");
+    let loser = responses
         .iter()
-        .find(|answer| answer.status == 409)
-        .expect("one loses");
+        .find(|response| response.status == 409)
+        .expect("one update conflicts");
     assert_eq!(loser.json()["current_version"], winner.json()["revision"]);
     deployment
-        .wait_until("both nodes have the winner's row", async || {
-            let first = deployment.get(deployment.admin("n1"), path).await.json();
-            let second = deployment.get(deployment.admin("n2"), path).await.json();
-            first == second && first == winner.json()
-        })
+        .wait_until(
+            "both nodes have the row of the successful update",
+            async || {
+                let first = deployment.get(deployment.admin("n1"), path).await.json();
+                let second = deployment.get(deployment.admin("n2"), path).await.json();
+                first == second && first == winner.json()
+            },
+        )
         .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_back_end_gets_no_new_calls() {
+async fn draining_back_end_receives_no_new_calls() {
     let mut deployment = Deployment::start("leaving", 2).await;
     deployment
         .live
         .list_as_leaving("a1")
         .await
-        .expect("the list changes");
+        .expect("the machine list changes");
     tokio::time::sleep(Duration::from_secs(3)).await;
     let before = deployment.live.lines_of("a1").len();
     for _ in 0..20 {
         let address = deployment.callers("n1");
-        let answer = deployment
+        let response = deployment
             .post(address, "/services/customer-api/x", "")
             .await;
-        assert_eq!(answer.status, 200, "{}", answer.text);
+        assert_eq!(response.status, 200, "{}", response.text);
     }
     assert_eq!(deployment.live.lines_of("a1").len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_engine_that_dies_is_replaced_by_another() {
+async fn killed_engine_is_replaced() {
     let mut deployment = Deployment::start("engine-dies", 2).await;
     let address = deployment.callers("n1");
     let body = completion("llama", false, 2);
     let first = deployment.post(address, COMPLETIONS, &body).await;
     assert_eq!(first.status, 200, "{}", first.text);
-    let name = first.headers["x-request-id"].to_str().expect("a name");
+    let name = first.headers["x-request-id"]
+        .to_str()
+        .expect("the request id is text");
     let engine = name
         .rsplit_once('@')
-        .expect("it names the engine")
+        .expect("the request id names the engine")
         .1
         .to_owned();
     deployment.live.kill_back_end(&engine);
--- a/crates/gorsebank/tests/gateway_lines.rs
+++ b/crates/gorsebank/tests/gateway_lines.rs
@@ -1,4 +1,4 @@
-//! Requests that a gateway cannot take in leave a line, too.
+//! Log lines for requests that a gateway cannot accept.
 
 #[path = "../../../platform/tests/support/mod.rs"]
 mod platform;
@@ -12,20 +12,20 @@
 use platform::store::Store;
 use platform::until;
 
-/// Found in a hunt: a request that came right after a restart got 503, and no line
-/// told why.
+/// Guards against a rejection without a log line: a request right after a restart, before the first
+/// configuration, got status 503, and no log line gave the reason.
 #[tokio::test]
-async fn a_request_before_the_first_configuration_leaves_a_line() {
+async fn request_before_first_configuration_is_logged() {
     let store = Store::start().await;
-    let addresses = [0, 1].map(|_| free_address().expect("a port"));
+    let addresses = [0, 1].map(|_| free_address().expect("a free port"));
     let program = Path::new(env!("CARGO_BIN_EXE_gorsebank"));
     let mut gateway = GatewayProcess::start(program, &store, addresses);
     until(async || gateway.listens().await).await;
-    let got = send(gateway.callers, request("early", "/read/")).await;
-    assert_eq!(got.expect("an answer").status, 503);
+    let response = send(gateway.callers, request("early", "/read/")).await;
+    assert_eq!(response.expect("a response").status, 503);
     let lines = gateway.read_lines();
-    let told = lines.iter().any(|line| {
+    let is_logged = lines.iter().any(|line| {
         line.contains("event=request_end request=early outcome=no_configuration status=503")
     });
-    assert!(told, "{lines:#?}");
+    assert!(is_logged, "{lines:#?}");
 }
--- a/crates/gorsebank/tests/logs/mod.rs
+++ b/crates/gorsebank/tests/logs/mod.rs
@@ -1,25 +1,25 @@
-//! Commands of `gorsebank` that read gateways' lines, run on a log.
+//! Runs the commands of `gorsebank` that read gateway logs.
 
 use std::io::Write as _;
 use std::process::{Command, Output};
 
-/// What a command does with a log; `name` keeps files of different tests apart.
+/// Runs a command on a log and returns its output; `name` separates the files of different tests.
 pub fn run(arguments: &[&str], name: &str, log: &str) -> Output {
     let file = format!("{}-{}-{name}.log", arguments[0], std::process::id());
     let path = std::env::temp_dir().join(file);
-    let mut file = std::fs::File::create(&path).expect("a file");
-    file.write_all(log.as_bytes()).expect("written");
+    let mut file = std::fs::File::create(&path).expect("the log file can be created");
+    file.write_all(log.as_bytes()).expect("the log is written");
     Command::new(env!("CARGO_BIN_EXE_gorsebank"))
         .args(arguments)
         .arg(&path)
         .output()
-        .expect("it runs")
+        .expect("the command starts")
 }
 
-/// What a command that succeeds writes.
+/// Returns the standard output of a command that must succeed.
 #[allow(dead_code)]
-pub fn told(arguments: &[&str], name: &str, log: &str) -> String {
+pub fn successful_output(arguments: &[&str], name: &str, log: &str) -> String {
     let output = run(arguments, name, log);
     assert!(output.status.success());
-    String::from_utf8(output.stdout).expect("text")
+    String::from_utf8(output.stdout).expect("the output is UTF-8")
 }
--- a/crates/gorsebank/tests/losses.rs
+++ b/crates/gorsebank/tests/losses.rs
@@ -1,4 +1,4 @@
-//! `gorsebank losses` on recorded lines with bad ones among them.
+//! `gorsebank losses` on a log with malformed lines.
 
 mod logs;
 
@@ -35,22 +35,22 @@
     logs::run(&["losses"], name, log)
 }
 
-fn told(name: &str) -> String {
-    logs::told(&["losses"], name, LOG)
+fn report(name: &str) -> String {
+    logs::successful_output(&["losses"], name, LOG)
 }
 
-/// The line that names a request as an example.
-fn line_of(told: &str, request: &str) -> String {
+/// Returns the output line that names a request as its example.
+fn example_line(report: &str, request: &str) -> String {
     let suffix = format!("such as {request}");
-    let line = told.lines().find(|line| line.ends_with(&suffix));
-    line.unwrap_or_else(|| panic!("{request} is missing: {told}"))
+    let line = report.lines().find(|line| line.ends_with(&suffix));
+    line.unwrap_or_else(|| panic!("{request} is missing: {report}"))
         .to_owned()
 }
 
 #[test]
-fn each_lost_request_has_its_cause() {
-    let told = told("causes");
-    for (request, ending, cause) in [
+fn each_lost_request_shows_its_cause() {
+    let report = report("causes");
+    for (request, outcome, cause) in [
         ("r2", "late", "pause, engine read long prompts"),
         ("r8", "refused", "key: unknown_key"),
         ("r9", "refused", "limit: beyond_limit"),
@@ -63,37 +63,37 @@
         ("r4", "failed", "no retry left after: 500"),
         ("r5", "late", "back end slow to answer"),
     ] {
-        let line = line_of(&told, request);
-        assert!(line.contains(ending) && line.contains(cause), "{line}");
+        let line = example_line(&report, request);
+        assert!(line.contains(outcome) && line.contains(cause), "{line}");
     }
-    assert!(told.contains("no line tells the end"), "{told}");
+    assert!(report.contains("no line tells the end"), "{report}");
 }
 
 #[test]
-fn endings_are_counted_by_route() {
-    let told = told("endings");
-    let live = told
+fn outcomes_are_counted_by_route() {
+    let report = report("endings");
+    let live = report
         .lines()
         .find(|line| line.starts_with("live"))
-        .expect("a line");
+        .expect("the route has a line");
     let numbers: Vec<&str> = live.split_whitespace().skip(1).collect();
     assert_eq!(numbers, ["4", "1", "1", "1", "0", "1"]);
-    assert!(told.contains("1 lines were no log lines"), "{told}");
+    assert!(report.contains("1 lines were no log lines"), "{report}");
 }
 
 #[test]
-fn no_lines_are_no_losses() {
+fn empty_log_succeeds() {
     let output = losses("empty", "");
     assert!(output.status.success());
 }
 
 #[test]
-fn a_file_that_is_missing_is_named() {
+fn error_names_missing_file() {
     let output = Command::new(env!("CARGO_BIN_EXE_gorsebank"))
         .args(["losses", "/nowhere/gateway.log"])
         .output()
-        .expect("it runs");
+        .expect("the command starts");
     assert!(!output.status.success());
-    let error = String::from_utf8(output.stderr).expect("text");
+    let error = String::from_utf8(output.stderr).expect("the output is UTF-8");
     assert!(error.contains("/nowhere/gateway.log"), "{error}");
 }
--- a/crates/gorsebank/tests/recording.rs
+++ b/crates/gorsebank/tests/recording.rs
@@ -1,4 +1,4 @@
-//! A trace recorded from callers can be replayed.
+//! Requests of callers are recorded as a trace that can be replayed.
 
 mod support;
 
@@ -14,12 +14,12 @@
 use support::{Deployment, completion};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn what_callers_ask_becomes_a_trace() {
+async fn recorded_requests_can_be_replayed() {
     let deployment = Deployment::start("recording", 1).await;
     let traces = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
     let out = std::env::temp_dir().join(format!("gorsebank-record-{}.jsonl", std::process::id()));
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let listen = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+    let listen = listener.local_addr().expect("the listener has an address");
     let options = RecordOptions {
         node: deployment.callers("n1"),
         header: traces.join("served/burst-of-one-cold-model.jsonl"),
@@ -33,22 +33,25 @@
         record(listener, &options, stopped).await
     });
     let body = completion("llama", true, 4);
-    let answer = deployment.post(listen, "/v1/completions", &body).await;
+    let response = deployment.post(listen, "/v1/completions", &body).await;
     assert_eq!(
-        answer.event_numbers(),
+        response.event_numbers(),
         [0, 1, 2, 3, 4, 5],
-        "it was passed on"
+        "the stream is forwarded"
     );
     let headers = [("idempotency-key", "k1")];
     let path = "/services/customer-api/x";
-    let answer = deployment
+    let response = deployment
         .send(Method::POST, listen, path, &headers, "5")
         .await;
-    assert_eq!(answer.status, 200, "{}", answer.text);
+    assert_eq!(response.status, 200, "{}", response.text);
     stop.send(()).expect("the recorder listens");
-    recorder.await.expect("it ends").expect("it recorded");
+    recorder
+        .await
+        .expect("the recorder exits")
+        .expect("the requests are recorded");
     let trace = Trace::read(&out).expect("the trace can be read");
-    std::fs::remove_file(&out).expect("the file is there");
+    std::fs::remove_file(&out).expect("the trace file exists");
     assert_eq!(trace.events.len(), 2);
     assert_eq!(play_seed(&trace, 1, None).violations, []);
 }
--- a/crates/gorsebank/tests/refused_rows.rs
+++ b/crates/gorsebank/tests/refused_rows.rs
@@ -1,4 +1,4 @@
-//! `gorsebank refused-rows` on logs with bad lines among them.
+//! `gorsebank refused-rows` on a log with malformed lines.
 
 mod logs;
 
@@ -12,26 +12,26 @@
 time_ms=990 node=n1 left_out=0 event=back_end_gone back_end=i-1 version=7
 ";
 
-fn told(name: &str, log: &str) -> String {
-    logs::told(&["refused-rows"], name, log)
+fn listing(name: &str, log: &str) -> String {
+    logs::successful_output(&["refused-rows"], name, log)
 }
 
 #[test]
-fn each_row_is_listed_once_by_its_newest_version() {
-    let told = told("rows", LOG);
-    let mut lines = told.lines().filter(|line| line.contains("servers/i-1"));
-    let line = lines.next().expect("the row");
+fn refused_row_is_listed_once_with_newest_version() {
+    let listing = listing("rows", LOG);
+    let mut lines = listing.lines().filter(|line| line.contains("servers/i-1"));
+    let line = lines.next().expect("the row is listed");
     let words: Vec<&str> = line.split_whitespace().collect();
     assert_eq!(
         words,
         ["servers/i-1", "9", "bytes", "2", "900", "960", "no", "text"]
     );
     assert!(lines.next().is_none());
-    assert!(told.contains("op/config"), "{told}");
-    assert!(told.contains("1 lines were no log lines"), "{told}");
+    assert!(listing.contains("op/config"), "{listing}");
+    assert!(listing.contains("1 lines were no log lines"), "{listing}");
 }
 
 #[test]
-fn no_refused_row_is_said_so() {
-    assert!(told("none", "").contains("no row was refused"));
+fn absence_of_refused_rows_is_reported() {
+    assert!(listing("none", "").contains("no row was refused"));
 }
--- a/crates/gorsebank/tests/soak/broken.rs
+++ b/crates/gorsebank/tests/soak/broken.rs
@@ -1,211 +1,252 @@
-//! Each checker is seen to fail on a history that breaks its promise, and to pass on the
-//! history that it was made from.
+//! Tests of the checkers: each checker reports a history that violates its guarantee and accepts
+//! the history from which the test derived it.
 
 use std::time::Duration;
 
-use super::history::{Departed, Done, End, History, Kind, Left, Limited, PauseWanted, Try, What};
-use super::promises::{Promise, check};
+use super::history::{
+    CallerRequest, Disturbance, DisturbanceKind, History, LimitedBackEnd, Outcome, RequestKind,
+    RequestedPauses, ResponseDrain, RowDrain,
+};
+use super::promises::{Guarantee, check_guarantees};
 
 const fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-fn answer(status: u16, body: &str) -> End {
-    End::Answer {
+fn response(status: u16, body: &str) -> Outcome {
+    Outcome::Response {
         status,
-        whole: true,
+        is_complete: true,
         seal: Some("seal-i-1-r1".to_owned()),
         body: body.to_owned(),
     }
 }
 
-/// One request that one back end ran and answered.
-fn sound() -> History {
-    let one = Try {
+/// Returns a history with one request that one back end ran and answered.
+fn sound_history() -> History {
+    let request = CallerRequest {
         id: "r1".to_owned(),
-        kind: Kind::Mutating,
+        kind: RequestKind::Mutating,
         process: 1,
-        sent: at(1),
-        ended: at(2),
-        end: answer(200, "done"),
+        sent_at: at(1),
+        ended_at: at(2),
+        outcome: response(200, "done"),
     };
     History {
-        tries: vec![one],
-        runs: [("r1".to_owned(), vec!["i-1".to_owned()])].into(),
+        requests: vec![request],
+        executions: [("r1".to_owned(), vec!["i-1".to_owned()])].into(),
         fences: [("i-1".to_owned(), vec![3, 3, 9])].into(),
         ..History::default()
     }
 }
 
-fn broken(history: &History) -> Vec<Promise> {
-    check(history)
+fn violated_guarantees(history: &History) -> Vec<Guarantee> {
+    check_guarantees(history)
         .iter()
-        .map(|finding| finding.promise)
+        .map(|finding| finding.guarantee)
         .collect()
 }
 
 #[test]
-fn a_sound_history_breaks_nothing() {
-    assert_eq!(broken(&sound()), []);
+fn sound_history_has_no_findings() {
+    assert_eq!(violated_guarantees(&sound_history()), []);
 }
 
 #[test]
-fn other_bytes_or_the_seal_of_another_are_seen() {
-    let mut history = sound();
-    history.tries[0].end = answer(200, "don");
-    assert_eq!(broken(&history), [Promise::Whole]);
-    let mut history = sound();
-    history.runs.insert("r1".to_owned(), vec!["i-2".to_owned()]);
-    assert_eq!(broken(&history), [Promise::Whole]);
-    let mut history = sound();
-    history.tries[0].kind = Kind::Stream;
-    history.tries[0].end = answer(200, "id: 1\ndata: t1\n\nid: 3\ndata: t3\n\n");
-    assert_eq!(broken(&history), [Promise::Whole], "an event is missing");
+fn wrong_body_or_seal_is_found() {
+    let mut history = sound_history();
+    history.requests[0].outcome = response(200, "don");
+    assert_eq!(violated_guarantees(&history), [Guarantee::Whole]);
+    let mut history = sound_history();
+    history
+        .executions
+        .insert("r1".to_owned(), vec!["i-2".to_owned()]);
+    assert_eq!(violated_guarantees(&history), [Guarantee::Whole]);
+    let mut history = sound_history();
+    history.requests[0].kind = RequestKind::Stream;
+    history.requests[0].outcome = response(200, "id: 1\ndata: t1\n\nid: 3\ndata: t3\n\n");
+    assert_eq!(
+        violated_guarantees(&history),
+        [Guarantee::Whole],
+        "an event is missing"
+    );
 }
 
 #[test]
-fn a_second_run_is_seen() {
-    let mut history = sound();
-    let twice = vec!["i-1".to_owned(), "i-2".to_owned()];
-    history.runs.insert("r1".to_owned(), twice);
-    assert_eq!(broken(&history), [Promise::Once]);
-    history.tries[0].kind = Kind::Idempotent;
-    assert_eq!(broken(&history), []);
+fn repeated_execution_is_found() {
+    let mut history = sound_history();
+    let executed_twice = vec!["i-1".to_owned(), "i-2".to_owned()];
+    history.executions.insert("r1".to_owned(), executed_twice);
+    assert_eq!(violated_guarantees(&history), [Guarantee::Once]);
+    history.requests[0].kind = RequestKind::Idempotent;
+    assert_eq!(violated_guarantees(&history), []);
 }
 
 #[test]
-fn a_refusal_of_what_ran_is_seen() {
-    let mut history = sound();
-    history.tries[0].end = answer(503, "");
-    assert_eq!(broken(&history), [Promise::Truthful]);
-    history.runs.clear();
-    assert_eq!(broken(&history), []);
+fn rejection_of_executed_request_is_found() {
+    let mut history = sound_history();
+    history.requests[0].outcome = response(503, "");
+    assert_eq!(violated_guarantees(&history), [Guarantee::Truthful]);
+    history.executions.clear();
+    assert_eq!(violated_guarantees(&history), []);
 }
 
 #[test]
-fn a_request_that_a_planned_stop_cuts_is_seen() {
-    let mut history = sound();
-    history.tries[0].end = End::Closed;
-    assert_eq!(broken(&history), []);
-    let done = |what| Done {
+fn request_cut_by_planned_stop_is_found() {
+    let mut history = sound_history();
+    history.requests[0].outcome = Outcome::Closed;
+    assert_eq!(violated_guarantees(&history), []);
+    let disturbance = |kind| Disturbance {
         from: at(1),
         until: at(3),
-        what,
+        kind,
     };
-    history.done.push(done(What::Stopped(1)));
-    assert_eq!(broken(&history), [Promise::StopCutsNothing]);
-    history.done.push(done(What::Killed(1)));
-    assert_eq!(broken(&history), [], "it was killed");
+    history
+        .disturbances
+        .push(disturbance(DisturbanceKind::Stopped(1)));
+    assert_eq!(violated_guarantees(&history), [Guarantee::StopCutsNothing]);
+    history
+        .disturbances
+        .push(disturbance(DisturbanceKind::Killed(1)));
+    assert_eq!(violated_guarantees(&history), [], "the process was killed");
 }
 
 #[test]
-fn work_for_a_back_end_that_left_is_seen() {
-    let mut history = sound();
-    history.left.push(Left {
+fn request_to_drained_back_end_is_found() {
+    let mut history = sound_history();
+    history.row_drains.push(RowDrain {
         back_end: "i-1".to_owned(),
-        said: at(1),
-        counted: at(4),
-        arrived: 5,
-        arrived_in_the_end: 6,
+        announced_at: at(1),
+        counted_at: at(4),
+        arrived_when_counted: 5,
+        arrived_in_total: 6,
     });
-    assert_eq!(broken(&history), [Promise::LeavingLeftAlone]);
-    history.done.push(Done {
+    assert_eq!(violated_guarantees(&history), [Guarantee::LeavingLeftAlone]);
+    history.disturbances.push(Disturbance {
         from: at(2),
         until: at(3),
-        what: What::Table,
+        kind: DisturbanceKind::Table,
     });
-    assert_eq!(broken(&history), [], "nobody could be told");
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "gateways could not learn of the drain"
+    );
 }
 
 #[test]
-fn a_request_that_goes_on_ending_back_ends_is_seen() {
-    let mut history = sound();
+fn late_arrivals_of_crashing_request_are_found() {
+    let mut history = sound_history();
     let mut arrivals = vec![at(1), at(2), at(3), at(4), at(5), at(6)];
     arrivals.extend([at(7), at(8), at(9)]);
-    history.endings.insert(b"x".to_vec(), arrivals);
+    history.crash_arrivals.insert(b"x".to_vec(), arrivals);
     assert_eq!(
-        broken(&history),
+        violated_guarantees(&history),
         [],
-        "three later than the bound are allowed"
+        "three late arrivals are allowed"
     );
     let arrivals = history
-        .endings
+        .crash_arrivals
         .get_mut(b"x".as_slice())
-        .expect("it is there");
+        .expect("the body is recorded");
     arrivals.push(at(10));
-    assert_eq!(broken(&history), [Promise::EndingKeptAway]);
+    assert_eq!(violated_guarantees(&history), [Guarantee::EndingKeptAway]);
 }
 
 #[test]
-fn more_than_a_back_end_says_it_takes_is_seen() {
-    let mut history = sound();
-    // Twelve requests within four seconds, once gateways can know of the limit.
+fn excess_over_stated_limit_is_found() {
+    let mut history = sound_history();
+    // Twelve requests arrive within four seconds, at a time by which gateways know the limit.
     let arrival = |number: u32| (at(5) + Duration::from_millis(300) * number, 1);
-    history.limits.push(Limited {
+    history.limited_back_ends.push(LimitedBackEnd {
         back_end: "i-1".to_owned(),
         rate: 1.0,
         from: at(1),
         until: at(20),
         arrivals: (0..12).map(arrival).collect(),
     });
-    assert_eq!(broken(&history), [Promise::LimitKept]);
-    history.limits[0].from = at(4);
-    assert_eq!(broken(&history), [], "most came before gateways can know");
-    history.limits[0].from = at(1);
-    history.done.push(Done {
+    assert_eq!(violated_guarantees(&history), [Guarantee::LimitKept]);
+    history.limited_back_ends[0].from = at(4);
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "most arrived before gateways can know the limit"
+    );
+    history.limited_back_ends[0].from = at(1);
+    history.disturbances.push(Disturbance {
         from: at(2),
         until: at(3),
-        what: What::Paused(1),
+        kind: DisturbanceKind::Suspended(1),
     });
-    assert_eq!(broken(&history), [], "the process stood still");
-    history.done.clear();
-    history.limits[0].rate = 1.5;
-    assert_eq!(broken(&history), [], "14 are allowed");
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "the process was suspended"
+    );
+    history.disturbances.clear();
+    history.limited_back_ends[0].rate = 1.5;
+    assert_eq!(violated_guarantees(&history), [], "14 requests are allowed");
 }
 
 #[test]
-fn work_for_a_back_end_whose_answer_said_that_it_leaves_is_seen() {
-    let mut history = sound();
-    history.departed.push(Departed {
+fn request_after_drain_in_response_is_found() {
+    let mut history = sound_history();
+    history.response_drains.push(ResponseDrain {
         back_end: "i-1".to_owned(),
-        said: at(1),
+        announced_at: at(1),
     });
-    let later = |id: &str, sent| Try {
+    let later = |id: &str, sent| CallerRequest {
         id: id.to_owned(),
-        sent,
-        ended: sent + at(1),
-        end: End::Closed,
-        ..history.tries[0].clone()
+        sent_at: sent,
+        ended_at: sent + at(1),
+        outcome: Outcome::Closed,
+        ..history.requests[0].clone()
     };
-    // The answer was passed on at 2 s.
-    let (under_way, late) = (later("r2", at(4)), later("r3", at(5)));
-    history.tries.extend([under_way, late]);
-    let arrived = vec!["i-1".to_owned()];
-    history.runs.insert("r2".to_owned(), arrived.clone());
-    assert_eq!(broken(&history), [], "within the bound");
-    history.runs.insert("r3".to_owned(), arrived);
-    assert_eq!(broken(&history), [Promise::DepartureKept]);
-    let done = |what| Done {
+    // Process 1 received the response that announces the drain at 2 s.
+    let (in_flight, late) = (later("r2", at(4)), later("r3", at(5)));
+    history.requests.extend([in_flight, late]);
+    let received = vec!["i-1".to_owned()];
+    history.executions.insert("r2".to_owned(), received.clone());
+    assert_eq!(violated_guarantees(&history), [], "within the bound");
+    history.executions.insert("r3".to_owned(), received);
+    assert_eq!(violated_guarantees(&history), [Guarantee::DepartureKept]);
+    let disturbance = |kind| Disturbance {
         from: at(3),
         until: at(4),
-        what,
+        kind,
     };
-    history.done.push(done(What::Table));
-    assert_eq!(broken(&history), [Promise::DepartureKept], "no excuse");
-    history.done.push(done(What::Paused(1)));
-    assert_eq!(broken(&history), [], "the process stood still");
-    history.done.clear();
-    history.tries[2].process = 2;
-    assert_eq!(broken(&history), [], "another process was not told");
+    history
+        .disturbances
+        .push(disturbance(DisturbanceKind::Table));
+    assert_eq!(
+        violated_guarantees(&history),
+        [Guarantee::DepartureKept],
+        "a faulty table is no excuse"
+    );
+    history
+        .disturbances
+        .push(disturbance(DisturbanceKind::Suspended(1)));
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "the process was suspended"
+    );
+    history.disturbances.clear();
+    history.requests[2].process = 2;
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "another process did not learn of the drain"
+    );
 }
 
 #[test]
-fn requests_in_a_pause_that_was_asked_for_are_seen() {
-    let mut history = sound();
-    let arrival = |millis: u64, process| (at(5) + Duration::from_millis(millis), process);
-    history.pauses.push(PauseWanted {
+fn requests_during_requested_pause_are_found() {
+    let mut history = sound_history();
+    let arrival = |offset_ms: u64, process| (at(5) + Duration::from_millis(offset_ms), process);
+    history.requested_pauses.push(RequestedPauses {
         back_end: "i-1".to_owned(),
-        turned_away: vec![arrival(0, 1)],
+        rejections: vec![arrival(0, 1)],
         arrivals: vec![
             arrival(0, 1),
             arrival(100, 1),
@@ -216,40 +257,48 @@
             arrival(1_600, 1),
         ],
     });
-    assert_eq!(broken(&history), [], "two in the rest of the pause");
-    history.pauses[0].arrivals.push(arrival(900, 1));
-    assert_eq!(broken(&history), [Promise::PauseKept]);
-    history.done.push(Done {
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "two requests are allowed in the rest of the pause"
+    );
+    history.requested_pauses[0].arrivals.push(arrival(900, 1));
+    assert_eq!(violated_guarantees(&history), [Guarantee::PauseKept]);
+    history.disturbances.push(Disturbance {
         from: at(4),
         until: at(5),
-        what: What::BackEndCutOff,
+        kind: DisturbanceKind::BackEndCutOff,
     });
-    assert_eq!(broken(&history), [], "the answer may not have come");
+    assert_eq!(
+        violated_guarantees(&history),
+        [],
+        "the response may not have arrived"
+    );
 }
 
 #[test]
-fn an_engine_with_more_models_than_memory_is_seen() {
-    let mut history = sound();
-    history.most_models.insert("i-1".to_owned(), 2);
-    assert_eq!(broken(&history), []);
-    history.most_models.insert("i-2".to_owned(), 3);
-    assert_eq!(broken(&history), [Promise::Memory]);
+fn engine_over_memory_is_found() {
+    let mut history = sound_history();
+    history.max_models.insert("i-1".to_owned(), 2);
+    assert_eq!(violated_guarantees(&history), []);
+    history.max_models.insert("i-2".to_owned(), 3);
+    assert_eq!(violated_guarantees(&history), [Guarantee::Memory]);
 }
 
 #[test]
-fn orders_of_a_former_holder_are_seen() {
-    let mut history = sound();
+fn orders_of_previous_holder_are_found() {
+    let mut history = sound_history();
     history.fences.insert("i-1".to_owned(), vec![3, 9, 3]);
-    assert_eq!(broken(&history), [Promise::OneHolder]);
+    assert_eq!(violated_guarantees(&history), [Guarantee::OneHolder]);
 }
 
 #[test]
-fn a_gateway_that_does_not_come_back_or_is_behind_is_seen() {
-    let mut history = sound();
-    history.not_recovered.push("node-1".to_owned());
-    history.behind.push("node-2".to_owned());
+fn unrecovered_or_outdated_gateway_is_found() {
+    let mut history = sound_history();
+    history.unrecovered_gateways.push("node-1".to_owned());
+    history.outdated_gateways.push("node-2".to_owned());
     assert_eq!(
-        broken(&history),
-        [Promise::Recovery, Promise::Configuration]
+        violated_guarantees(&history),
+        [Guarantee::Recovery, Guarantee::Configuration]
     );
 }
--- a/crates/gorsebank/tests/soak/callers.rs
+++ b/crates/gorsebank/tests/soak/callers.rs
@@ -1,5 +1,6 @@
-//! Callers: each keeps its connection for as long as the process lives, sends requests of
-//! all kinds with deadlines, and comes back after a refusal when it was told to.
+//! Callers of a soak run. Each caller keeps its connection while the gateway process runs, sends
+//! requests of all kinds with deadlines, and waits after a rejection as its `retry-after` header
+//! asks.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,119 +10,125 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::sleep;
 
-use super::gateways::{Door, Slot};
-use super::history::{End, Kind, Try};
+use super::gateways::{Endpoint, GatewaySlot};
+use super::history::{CallerRequest, Outcome, RequestKind};
 use super::platform::client::{Client, Got, request_within};
-use super::run::MORE_MODELS;
+use super::run::EXTRA_MODELS;
 
 /// Longest pause between two requests of one caller, in milliseconds.
-const MOST_PAUSE: u64 = 40;
-/// For so long a caller waits for an answer, in milliseconds.
-const WAIT: u32 = 1_500;
-/// Longest time that a caller waits before it comes back, in seconds.
-const MOST_RETURN: f64 = 0.3;
-/// Requests for a model that is loaded on demand.
-const COLD_PART: f64 = 0.1;
+const MAX_PAUSE_MS: u64 = 40;
+/// Time that a caller waits for a response, in milliseconds.
+const TIMEOUT_MS: u32 = 1_500;
+/// Longest time that a caller waits after a `retry-after` header, in seconds.
+const MAX_RETRY_AFTER_SECONDS: f64 = 0.3;
+/// Fraction of requests that ask for a model that is loaded on demand.
+const COLD_FRACTION: f64 = 0.1;
 /// Models that are loaded on demand.
-const COLD: [&str; 3] = ["cold", MORE_MODELS[0], MORE_MODELS[1]];
-/// Kinds with the paths of their routes.
-const KINDS: [(Kind, &str); 4] = [
-    (Kind::Idempotent, "/read/"),
-    (Kind::Mutating, "/top-up/"),
-    (Kind::Stream, "/stream/"),
-    (Kind::Resumable, "/resumable/"),
+const COLD_MODELS: [&str; 3] = ["cold", EXTRA_MODELS[0], EXTRA_MODELS[1]];
+/// Request kinds with the paths of their routes.
+const ROUTES: [(RequestKind, &str); 4] = [
+    (RequestKind::Idempotent, "/read/"),
+    (RequestKind::Mutating, "/top-up/"),
+    (RequestKind::Stream, "/stream/"),
+    (RequestKind::Resumable, "/resumable/"),
 ];
 
-/// One caller.
+/// A caller that sends one request at a time.
 pub struct Caller {
-    /// Its number.
+    /// Number of the caller within the run.
     pub number: usize,
-    /// The gateways.
-    pub slots: Arc<Vec<Mutex<Slot>>>,
-    /// What was seen.
-    pub tries: Arc<Mutex<Vec<Try>>>,
-    /// When the run began.
-    pub began: Instant,
+    /// Gateways that the caller may use.
+    pub slots: Arc<Vec<Mutex<GatewaySlot>>>,
+    /// Requests of all callers with their outcomes.
+    pub requests: Arc<Mutex<Vec<CallerRequest>>>,
+    /// Start of the run; all recorded times are relative to it.
+    pub started_at: Instant,
     random: ChaCha8Rng,
-    kept: Option<(Door, Client)>,
-    sent: usize,
+    kept_connection: Option<(Endpoint, Client)>,
+    request_count: usize,
 }
 
 impl Caller {
-    /// A caller of a run.
+    /// Returns a caller whose choices follow from the seed of the run and the caller's number.
     pub fn new(
         seed: u64,
         number: usize,
-        slots: Arc<Vec<Mutex<Slot>>>,
-        tries: Arc<Mutex<Vec<Try>>>,
-        began: Instant,
+        slots: Arc<Vec<Mutex<GatewaySlot>>>,
+        requests: Arc<Mutex<Vec<CallerRequest>>>,
+        started_at: Instant,
     ) -> Self {
         Caller {
             number,
             slots,
-            tries,
-            began,
+            requests,
+            started_at,
             random: ChaCha8Rng::seed_from_u64(seed * 1_000 + number as u64),
-            kept: None,
-            sent: 0,
+            kept_connection: None,
+            request_count: 0,
         }
     }
 
-    /// Sends requests until time is up.
+    /// Sends requests until the run is `until` old.
     pub async fn run(mut self, until: Duration) {
-        while self.began.elapsed() < until {
-            let (kind, path) = KINDS[self.random.random_range(0..KINDS.len())];
+        while self.started_at.elapsed() < until {
+            let (kind, path) = ROUTES[self.random.random_range(0..ROUTES.len())];
             let got = self.send(kind, path).await;
-            let told = got.as_ref().and_then(|got| got.header("retry-after"));
-            let told = told.and_then(|pause| pause.parse::<f64>().ok());
-            if let Some(pause) = told {
-                sleep(Duration::from_secs_f64(pause.min(MOST_RETURN))).await;
+            let retry_after = got.as_ref().and_then(|got| got.header("retry-after"));
+            let retry_after = retry_after.and_then(|pause| pause.parse::<f64>().ok());
+            if let Some(pause) = retry_after {
+                sleep(Duration::from_secs_f64(pause.min(MAX_RETRY_AFTER_SECONDS))).await;
             }
-            let pause = self.random.random_range(1..MOST_PAUSE);
+            let pause = self.random.random_range(1..MAX_PAUSE_MS);
             sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    async fn send(&mut self, kind: Kind, path: &str) -> Option<Got> {
-        let (door, mut client) = self.connection().await?;
-        let id = format!("c{}-{}", self.number, self.sent);
-        self.sent += 1;
-        let is_cold = self.random.random_bool(COLD_PART);
-        let cold = COLD[self.random.random_range(0..COLD.len())];
-        let model = if is_cold { cold } else { "warm" };
-        let sent = self.began.elapsed();
-        let got = client.send(request_within(&id, path, model, WAIT)).await;
-        let one = Try {
+    async fn send(&mut self, kind: RequestKind, path: &str) -> Option<Got> {
+        let (endpoint, mut client) = self.connection().await?;
+        let id = format!("c{}-{}", self.number, self.request_count);
+        self.request_count += 1;
+        let is_cold = self.random.random_bool(COLD_FRACTION);
+        let cold_model = COLD_MODELS[self.random.random_range(0..COLD_MODELS.len())];
+        let model = if is_cold { cold_model } else { "warm" };
+        let sent_at = self.started_at.elapsed();
+        let got = client
+            .send(request_within(&id, path, model, TIMEOUT_MS))
+            .await;
+        let request = CallerRequest {
             id,
             kind,
-            process: door.process,
-            sent,
-            ended: self.began.elapsed(),
-            end: got.as_ref().map_or(End::Closed, end),
+            process: endpoint.process,
+            sent_at,
+            ended_at: self.started_at.elapsed(),
+            outcome: got.as_ref().map_or(Outcome::Closed, outcome),
         };
-        self.tries.lock().push(one);
+        self.requests.lock().push(request);
         if client.is_open() {
-            self.kept = Some((door, client));
+            self.kept_connection = Some((endpoint, client));
         }
         got
     }
 
-    /// The kept connection, or a new one to some gateway.
-    async fn connection(&mut self) -> Option<(Door, Client)> {
-        if let Some((door, client)) = self.kept.take().filter(|(_, client)| client.is_open()) {
-            return Some((door, client));
+    /// Returns the open connection, or a new connection to a randomly chosen gateway.
+    async fn connection(&mut self) -> Option<(Endpoint, Client)> {
+        if let Some((endpoint, client)) = self
+            .kept_connection
+            .take()
+            .filter(|(_, client)| client.is_open())
+        {
+            return Some((endpoint, client));
         }
         let index = self.random.random_range(0..self.slots.len());
-        let door = self.slots[index].lock().door()?;
-        let client = Client::try_connect(door.callers).await?;
-        Some((door, client))
+        let endpoint = self.slots[index].lock().endpoint()?;
+        let client = Client::try_connect(endpoint.caller_address).await?;
+        Some((endpoint, client))
     }
 }
 
-fn end(got: &Got) -> End {
-    End::Answer {
+fn outcome(got: &Got) -> Outcome {
+    Outcome::Response {
         status: got.status,
-        whole: got.whole,
+        is_complete: got.whole,
         seal: got.seal().map(str::to_owned),
         body: got.body.clone(),
     }
--- a/crates/gorsebank/tests/soak/gateways.rs
+++ b/crates/gorsebank/tests/soak/gateways.rs
@@ -1,5 +1,5 @@
-//! The gateways of a run: each a process, that is signalled, and started again when it is
-//! gone. Only processes that were started here are signalled, by their id.
+//! Gateway processes of a soak run, which faults signal and restart. Only processes that this
+//! module started are signalled, by their process id.
 
 use std::fs::File;
 use std::net::SocketAddr;
@@ -15,61 +15,61 @@
 use super::platform::process::{GatewayPlace, GatewayProcess};
 use super::platform::wire::Wire;
 
-/// Pause between two looks at whether a process has ended.
-const LOOK: Duration = Duration::from_millis(50);
-/// A process that was asked to stop ends its requests within this time, or is killed.
-pub const GRACE: Duration = Duration::from_secs(8);
+/// Interval at which the exit of a process is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// A process that was asked to stop is killed if it has not exited within this time.
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Names the program of an earlier build.
-const EARLIER_BUILD: &str = "GORSEBANK_SOAK_EARLIER";
+/// Environment variable with the path of an earlier build of the program.
+const EARLIER_BUILD_VARIABLE: &str = "GORSEBANK_SOAK_EARLIER";
 
-/// A gateway, now this process, then that.
-pub struct Slot {
+/// One gateway of a run with its current process; a restart replaces the process.
+pub struct GatewaySlot {
     name: String,
-    /// The way to the table.
+    /// Link to the table, which faults can disturb.
     pub wire: Wire,
     process: Option<GatewayProcess>,
-    number: usize,
-    /// Where each process's lines go; nowhere if nobody asked for a report.
-    logs: Option<PathBuf>,
+    process_number: usize,
+    /// Folder for the log of each process; logs are discarded without it.
+    log_folder: Option<PathBuf>,
 }
 
-/// Where callers find the process of a slot.
+/// Process of a gateway and the address at which callers reach it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Door {
-    /// The process's number.
+pub struct Endpoint {
+    /// Number of the process, unique within the run.
     pub process: usize,
-    /// Where it listens.
-    pub callers: SocketAddr,
+    /// Address at which the process accepts callers.
+    pub caller_address: SocketAddr,
 }
 
-/// The program of the process with this number. Every second process is of an earlier build, if
-/// one is given, so that both run side by side and take each other's places.
+/// Returns the program for the process with this number. Every second process runs an earlier
+/// build, if one is given, so that both builds run side by side and replace each other.
 fn program(number: usize) -> PathBuf {
-    let earlier = std::env::var_os(EARLIER_BUILD).map(PathBuf::from);
+    let earlier = std::env::var_os(EARLIER_BUILD_VARIABLE).map(PathBuf::from);
     let earlier = earlier.filter(|_| number % 2 == 1);
     earlier.unwrap_or_else(|| PathBuf::from(env!("CARGO_BIN_EXE_gorsebank")))
 }
 
-impl Slot {
-    /// Starts a gateway that reaches the table through `wire`, and writes its lines to a
-    /// file of its process in `logs`.
-    pub fn start(name: &str, wire: Wire, number: usize, logs: Option<PathBuf>) -> Self {
-        let mut slot = Slot {
+impl GatewaySlot {
+    /// Starts a gateway that reaches the table through `wire` and writes its log to a file in
+    /// `log_folder`.
+    pub fn start(name: &str, wire: Wire, number: usize, log_folder: Option<PathBuf>) -> Self {
+        let mut slot = GatewaySlot {
             name: name.to_owned(),
             wire,
             process: None,
-            number,
-            logs,
+            process_number: number,
+            log_folder,
         };
-        slot.start_again(number);
+        slot.restart(number);
         slot
     }
 
-    /// Starts another process in place of one that is gone.
-    pub fn start_again(&mut self, number: usize) {
+    /// Starts another process in place of one that has exited, or kills and replaces a running one.
+    pub fn restart(&mut self, number: usize) {
         self.process = None;
-        let address = || free_address().expect("a port");
+        let address = || free_address().expect("a free port");
         let place = GatewayPlace {
             node: &self.name,
             table: self.wire.address,
@@ -82,57 +82,65 @@
             &place,
             self.output(number),
         ));
-        self.number = number;
+        self.process_number = number;
     }
 
     fn output(&self, number: usize) -> Stdio {
-        let Some(folder) = &self.logs else {
+        let Some(folder) = &self.log_folder else {
             return Stdio::null();
         };
-        std::fs::create_dir_all(folder).expect("a folder for logs");
+        std::fs::create_dir_all(folder).expect("the log folder can be created");
         let file = folder.join(format!("{}-process-{number}.log", self.name));
-        File::create(file).expect("a file for logs").into()
+        File::create(file)
+            .expect("the log file can be created")
+            .into()
     }
 
-    /// Its name.
+    /// Returns the name of the gateway.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Where callers go; none while there is no process.
-    pub fn door(&self) -> Option<Door> {
+    /// Returns the endpoint for callers, or `None` while there is no process.
+    pub fn endpoint(&self) -> Option<Endpoint> {
         let process = self.process.as_ref()?;
-        Some(Door {
-            process: self.number,
-            callers: process.callers,
+        Some(Endpoint {
+            process: self.process_number,
+            caller_address: process.callers,
         })
     }
 
-    /// Sends a signal. Out: the number of the process.
+    /// Sends a signal to the process and returns the number of the process.
     pub fn signal(&self, signal: Signal) -> Option<usize> {
         let process = self.process.as_ref()?;
-        let id = Pid::from_raw(process.child.id().try_into().expect("an id"));
+        let id = Pid::from_raw(
+            process
+                .child
+                .id()
+                .try_into()
+                .expect("the process id is valid"),
+        );
         kill(id, signal).ok()?;
-        Some(self.number)
+        Some(self.process_number)
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
         self.process = None;
     }
 
-    fn has_ended(&mut self) -> bool {
+    fn has_exited(&mut self) -> bool {
         let process = self.process.as_mut();
         process.is_none_or(|process| matches!(process.child.try_wait(), Ok(Some(_))))
     }
 
-    /// Waits until a process that was asked to stop is gone.
-    pub async fn wait_for_end(slot: &parking_lot::Mutex<Slot>) {
-        for _ in 0..GRACE.as_millis() / LOOK.as_millis() {
-            if slot.lock().has_ended() {
+    /// Waits until a process that was asked to stop has exited, and kills it after `STOP_TIMEOUT`.
+    pub async fn wait_for_exit(slot: &parking_lot::Mutex<GatewaySlot>) {
+        for _ in 0..STOP_TIMEOUT.as_millis() / POLL_INTERVAL.as_millis() {
+            if slot.lock().has_exited() {
                 return;
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         slot.lock().kill();
     }
--- a/crates/gorsebank/tests/soak/history.rs
+++ b/crates/gorsebank/tests/soak/history.rs
@@ -1,168 +1,175 @@
-//! What callers and back ends saw, and what was done to the system.
+//! The history of a soak run: what callers and back ends observed, and which faults disturbed the
+//! system. All times are relative to the start of the run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How a request may be treated.
+/// Kind of a request; it decides whether the request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// It may run more than once.
+pub enum RequestKind {
+    /// May run more than once.
     Idempotent,
-    /// It runs once at most.
+    /// Runs at most once.
     Mutating,
-    /// Events; runs once at most.
+    /// An event stream; runs at most once.
     Stream,
-    /// Events that may go on at another back end.
+    /// An event stream that may continue at another back end.
     Resumable,
 }
 
-/// What a caller got.
+/// What a caller received for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum End {
-    /// An answer, whole or broken off.
-    Answer {
-        /// Its status.
+pub enum Outcome {
+    /// A response, complete or truncated.
+    Response {
+        /// HTTP status.
         status: u16,
-        /// Whether it ended as a whole one.
-        whole: bool,
-        /// Whose seal it bears.
+        /// Whether the response arrived to its end.
+        is_complete: bool,
+        /// Seal that names the back end and the request.
         seal: Option<String>,
-        /// Its body.
+        /// Body, as far as it arrived.
         body: String,
     },
-    /// The connection was closed without an answer.
+    /// The connection was closed without a response.
     Closed,
 }
 
-/// One request.
+/// One request of a caller.
 #[derive(Clone, Debug)]
-pub struct Try {
-    /// Its id.
+pub struct CallerRequest {
+    /// Id of the request.
     pub id: String,
-    /// What it is.
-    pub kind: Kind,
-    /// Which process took it: a number that no other process has.
+    /// Kind of the request.
+    pub kind: RequestKind,
+    /// Number of the gateway process that accepted the request; numbers are not reused.
     pub process: usize,
-    /// When it was sent.
-    pub sent: Duration,
-    /// When it ended.
-    pub ended: Duration,
-    /// How.
-    pub end: End,
+    /// Time at which the request was sent.
+    pub sent_at: Duration,
+    /// Time at which the response ended or the connection was closed.
+    pub ended_at: Duration,
+    /// What the caller received.
+    pub outcome: Outcome,
 }
 
-/// What was done to a process, or to the table.
+/// A fault that disturbed a process, the table or a back end for some time.
 #[derive(Clone, Debug)]
-pub struct Done {
-    /// When it began.
+pub struct Disturbance {
+    /// Start of the disturbance.
     pub from: Duration,
-    /// When it ended.
+    /// End of the disturbance.
     pub until: Duration,
-    /// What.
-    pub what: What,
+    /// What was disturbed, and how.
+    pub kind: DisturbanceKind,
 }
 
-/// What was done.
+/// Kind of a disturbance. Variants with a number name the gateway process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
+pub enum DisturbanceKind {
     /// The process was killed.
     Killed(usize),
     /// The process was asked to stop.
     Stopped(usize),
-    /// The process stood still.
-    Paused(usize),
-    /// The table, or the way to it, was in disorder.
+    /// The process was suspended.
+    Suspended(usize),
+    /// The table or a link to it was faulty.
     Table,
-    /// A back end's connections went silent, or were reset.
+    /// Connections of a back end went silent or were reset.
     BackEndCutOff,
-    /// A back end's process ended.
-    BackEndEnded,
+    /// The process of a back end exited.
+    BackEndExited,
 }
 
-/// A back end that left.
+/// A back end that announced its drain in its table row.
 #[derive(Clone, Debug)]
-pub struct Left {
-    /// Its name.
+pub struct RowDrain {
+    /// Name of the back end.
     pub back_end: String,
-    /// When it said so.
-    pub said: Duration,
-    /// When it was counted what it had run, after the bound on news.
-    pub counted: Duration,
-    /// Requests that had arrived by then.
-    pub arrived: usize,
-    /// Requests that had arrived in the end.
-    pub arrived_in_the_end: usize,
+    /// Time at which the row announced the drain.
+    pub announced_at: Duration,
+    /// Time at which the arrived requests were counted, after the propagation bound.
+    pub counted_at: Duration,
+    /// Requests that had arrived when they were counted.
+    pub arrived_when_counted: usize,
+    /// Requests that had arrived by the end of the run.
+    pub arrived_in_total: usize,
 }
 
-/// A limit that a back end stated.
+/// A back end that stated a rate limit for some time.
 #[derive(Clone, Debug)]
-pub struct Limited {
-    /// Its name.
+pub struct LimitedBackEnd {
+    /// Name of the back end.
     pub back_end: String,
-    /// Requests a second.
+    /// Stated limit, in requests per second.
     pub rate: f64,
-    /// When it said so first.
+    /// Time at which the back end began to state the limit.
     pub from: Duration,
-    /// When it said so last.
+    /// Time at which the back end stopped stating the limit.
     pub until: Duration,
-    /// When requests arrived there, and of which process, in order.
+    /// Arrival time and gateway process of each request at the back end, in order.
     pub arrivals: Vec<(Duration, usize)>,
 }
 
-/// A back end that said in its answers that it leaves.
+/// A back end that announced its drain in its responses.
 #[derive(Clone, Debug)]
-pub struct Departed {
-    /// Its name.
+pub struct ResponseDrain {
+    /// Name of the back end.
     pub back_end: String,
-    /// When it began to say so.
-    pub said: Duration,
+    /// Time from which responses announced the drain.
+    pub announced_at: Duration,
 }
 
-/// A back end that turned requests away and wanted a pause after each.
+/// A back end that rejected requests and requested a pause after each rejection.
 #[derive(Clone, Debug)]
-pub struct PauseWanted {
-    /// Its name.
+pub struct RequestedPauses {
+    /// Name of the back end.
     pub back_end: String,
-    /// When it turned a request of a process away, in order.
-    pub turned_away: Vec<(Duration, usize)>,
-    /// When requests arrived there, and of which process, in order.
+    /// Time and gateway process of each rejection, in order.
+    pub rejections: Vec<(Duration, usize)>,
+    /// Arrival time and gateway process of each request at the back end, in order.
     pub arrivals: Vec<(Duration, usize)>,
 }
 
-/// All of it.
+/// Everything that was observed in a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Requests.
-    pub tries: Vec<Try>,
-    /// Back ends at which each request arrived, by its id.
-    pub runs: BTreeMap<String, Vec<String>>,
-    /// Fences of the orders that each back end got, in order.
+    /// Requests of all callers.
+    pub requests: Vec<CallerRequest>,
+    /// Back ends that received each request and did not reject it, by request id.
+    pub executions: BTreeMap<String, Vec<String>>,
+    /// Fencing tokens of the orders that each engine received, in order, by incarnation.
     pub fences: BTreeMap<String, Vec<u64>>,
-    /// When each request under which back ends end arrived at one, in order, by its body.
-    pub endings: BTreeMap<Vec<u8>, Vec<Duration>>,
-    /// Most models that each engine was made to hold at once.
-    pub most_models: BTreeMap<String, usize>,
-    /// What was done.
-    pub done: Vec<Done>,
-    /// Back ends that left.
-    pub left: Vec<Left>,
-    /// Limits that back ends stated.
-    pub limits: Vec<Limited>,
-    /// Back ends that said in their answers that they leave.
-    pub departed: Vec<Departed>,
-    /// Back ends that wanted pauses.
-    pub pauses: Vec<PauseWanted>,
-    /// Gateways that did not serve all kinds in time once everything was over.
-    pub not_recovered: Vec<String>,
-    /// Gateways that did not have the last configuration in time.
-    pub behind: Vec<String>,
+    /// Arrival times of each request that crashes back ends, in order, by request body.
+    pub crash_arrivals: BTreeMap<Vec<u8>, Vec<Duration>>,
+    /// Largest number of models that each engine was ordered to hold at once, by incarnation.
+    pub max_models: BTreeMap<String, usize>,
+    /// Disturbances of the system.
+    pub disturbances: Vec<Disturbance>,
+    /// Back ends that announced their drain in their table row.
+    pub row_drains: Vec<RowDrain>,
+    /// Back ends that stated a rate limit.
+    pub limited_back_ends: Vec<LimitedBackEnd>,
+    /// Back ends that announced their drain in their responses.
+    pub response_drains: Vec<ResponseDrain>,
+    /// Back ends that requested pauses.
+    pub requested_pauses: Vec<RequestedPauses>,
+    /// Gateways that did not serve all request kinds in time after the last fault.
+    pub unrecovered_gateways: Vec<String>,
+    /// Gateways that did not apply the last configuration in time.
+    pub outdated_gateways: Vec<String>,
 }
 
 impl History {
-    /// Whether anything that `counts` was under way between two times.
-    pub fn overlaps(&self, from: Duration, until: Duration, counts: impl Fn(What) -> bool) -> bool {
-        let during = |done: &Done| done.from <= until && done.until >= from;
-        let mut done = self.done.iter();
-        done.any(|done| counts(done.what) && during(done))
+    /// Returns whether a disturbance of a relevant kind overlaps with the given period.
+    pub fn has_disturbance(
+        &self,
+        from: Duration,
+        until: Duration,
+        is_relevant: impl Fn(DisturbanceKind) -> bool,
+    ) -> bool {
+        let overlaps =
+            |disturbance: &Disturbance| disturbance.from <= until && disturbance.until >= from;
+        let mut disturbances = self.disturbances.iter();
+        disturbances.any(|disturbance| is_relevant(disturbance.kind) && overlaps(disturbance))
     }
 }
--- a/crates/gorsebank/tests/soak/main.rs
+++ b/crates/gorsebank/tests/soak/main.rs
@@ -1,13 +1,15 @@
-//! A soak: real gateways under faults from outside, and promises checked on what callers
-//! and back ends saw.
+//! Soak tests: real gateway processes run under injected faults, and guarantees are checked on what
+//! callers and back ends observed.
 //!
-//! Each run follows a seed: which faults strike when, and what callers send. By itself the
-//! test plays a few seeds for some seconds each; `GORSEBANK_SOAK_SEEDS` (how many, from a
-//! drawn one on, or `FIRST..LAST`) and `GORSEBANK_SOAK_SECONDS` make it longer,
-//! `GORSEBANK_SOAK_GATEWAYS` larger; `GORSEBANK_SOAK_REPORT` names a folder for reports and
-//! for the lines of each gateway's process. A run has three gateways, two callers for each, six back
-//! ends, on loopback; it ends only processes that it started. Its line tells requests, faults
-//! by kind and findings.
+//! The seed of a run determines which faults occur when, and what callers send. By default, each
+//! test runs a few seeds for some seconds. `GORSEBANK_SOAK_SEEDS` sets the seeds (`FIRST..LAST`, or
+//! a count of seeds from a random first one), `GORSEBANK_SOAK_SECONDS` the length of a run, and
+//! `GORSEBANK_SOAK_GATEWAYS` the number of gateways in `guarantees_hold_under_faults`.
+//! `GORSEBANK_SOAK_REPORT` names a folder for reports and for the logs of the gateway processes.
+//! `GORSEBANK_SOAK_EARLIER` names the program of an earlier build, which every second process then
+//! runs. A run has three gateways, two callers per gateway and six back ends, on loopback, and
+//! signals only processes that it started. Each run prints one line with the number of requests,
+//! the faults by kind and the number of findings.
 
 #[path = "../../../../platform/tests/support/mod.rs"]
 mod platform;
@@ -26,142 +28,176 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use plan::plan;
+use plan::draw_faults;
 use report::Report;
-use run::{Beside, Play};
-
-/// Seeds that are always played.
-const SEEDS: Range<u64> = 1..4;
-/// Seeds that showed a fault; they stay as they are.
-const SEEDS_WITH_A_FAULT: [u64; 1] = [557];
-/// Length of a run's faults, in seconds.
-const SECONDS: u64 = 12;
-/// Gateways.
-const GATEWAYS: u64 = 3;
-/// A run has so many gateways at most: each is a process.
-const MOST_GATEWAYS: u64 = 60;
+use run::{ExtraFaults, RunOptions};
+
+/// Seeds that run by default.
+const DEFAULT_SEEDS: Range<u64> = 1..4;
+/// Seeds that exposed a fault; the list does not depend on the environment.
+const REGRESSION_SEEDS: [u64; 1] = [557];
+/// Default period in which faults are injected, in seconds.
+const DEFAULT_SECONDS: u64 = 12;
+/// Default number of gateways.
+const DEFAULT_GATEWAYS: u64 = 3;
+/// Upper bound on the number of gateways in a run; each gateway is a process.
+const MAX_GATEWAYS: u64 = 60;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_under_faults_from_outside() {
-    let gateways = number("GORSEBANK_SOAK_GATEWAYS").unwrap_or(GATEWAYS);
-    let gateways = gateways.clamp(1, MOST_GATEWAYS) as usize;
-    hold(seeds(), run_length(), gateways, Beside::Nothing).await;
+async fn guarantees_hold_under_faults() {
+    let gateways = env_number("GORSEBANK_SOAK_GATEWAYS").unwrap_or(DEFAULT_GATEWAYS);
+    let gateways = gateways.clamp(1, MAX_GATEWAYS) as usize;
+    check_seeds(
+        selected_seeds(),
+        run_length(),
+        gateways,
+        ExtraFaults::Nothing,
+    )
+    .await;
 }
 
-/// The same, where back ends also say for a while how few requests they take.
+/// Back ends also state rate limits for some time.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_where_back_ends_state_limits() {
-    hold(seeds(), run_length(), GATEWAYS as usize, Beside::Limits).await;
+async fn guarantees_hold_with_stated_limits() {
+    check_seeds(
+        selected_seeds(),
+        run_length(),
+        DEFAULT_GATEWAYS as usize,
+        ExtraFaults::Limits,
+    )
+    .await;
 }
 
-/// The same, where rows of back ends are spoiled for a while, and back ends start again under
-/// the names that they had.
+/// Rows of back ends are also corrupted for some time, and back ends restart under their previous
+/// names.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_where_rows_are_spoiled_and_names_come_back() {
-    hold(seeds(), run_length(), GATEWAYS as usize, Beside::Rows).await;
+async fn guarantees_hold_with_corrupt_rows_and_reused_names() {
+    check_seeds(
+        selected_seeds(),
+        run_length(),
+        DEFAULT_GATEWAYS as usize,
+        ExtraFaults::Rows,
+    )
+    .await;
 }
 
-/// The same, where back ends also say in their answers that they leave, or turn requests away and
-/// ask for pauses.
+/// Back ends also announce their drain in their responses, or reject requests and request pauses.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_where_back_ends_leave_by_answers_or_ask_for_pauses() {
-    hold(seeds(), run_length(), GATEWAYS as usize, Beside::Statements).await;
+async fn guarantees_hold_with_response_drains_and_requested_pauses() {
+    check_seeds(
+        selected_seeds(),
+        run_length(),
+        DEFAULT_GATEWAYS as usize,
+        ExtraFaults::Statements,
+    )
+    .await;
 }
 
-/// Orders of a former holder followed those of a newer one, one at each of two engines, once in
-/// five plays of this seed: the former one was asked to stop while the table lost its answers,
-/// and ordered on after its hand-back, which the table had made.
+/// Guards against orders that a previous placement holder sends after those of a newer holder. The
+/// previous holder was asked to stop while the table lost responses. The table had applied the
+/// release of its lease, but the holder did not receive the response and went on sending orders. In
+/// one of five runs of this seed, two engines received one such order each.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn promises_hold_with_seeds_that_showed_a_fault() {
-    let length = Duration::from_secs(SECONDS);
-    hold(
-        SEEDS_WITH_A_FAULT,
+async fn guarantees_hold_with_regression_seeds() {
+    let length = Duration::from_secs(DEFAULT_SECONDS);
+    check_seeds(
+        REGRESSION_SEEDS,
         length,
-        GATEWAYS as usize,
-        Beside::Nothing,
+        DEFAULT_GATEWAYS as usize,
+        ExtraFaults::Nothing,
     )
     .await;
 }
 
-/// A request that had ended three back ends was sent to five others later than the bound, three
-/// are allowed, in one of four plays of this seed. It kills all gateways at once, twice, while the
-/// request comes again, the second time when the table has just been throttled and lost its answers.
+/// Guards against gateways that forget a quarantined request. All gateways are killed at once,
+/// twice, while a request that crashes back ends is repeated; before the second time, the table
+/// throttled calls and lost responses. In one of four runs of this seed, the request had crashed
+/// three back ends and was still sent to five others after the bound, where three are allowed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn an_ending_request_is_kept_away_though_all_gateways_are_killed_twice() {
-    let length = Duration::from_secs(SECONDS);
-    hold([5102], length, GATEWAYS as usize, Beside::Nothing).await;
+async fn crashing_request_stays_quarantined_after_two_kills_of_all_gateways() {
+    let length = Duration::from_secs(DEFAULT_SECONDS);
+    check_seeds(
+        [5102],
+        length,
+        DEFAULT_GATEWAYS as usize,
+        ExtraFaults::Nothing,
+    )
+    .await;
 }
 
-/// Plays seeds, and fails if any promise was broken.
-async fn hold(
+/// Runs the seeds and fails if any guarantee was violated.
+async fn check_seeds(
     seeds: impl IntoIterator<Item = u64>,
     length: Duration,
     gateways: usize,
-    beside: Beside,
+    extra_faults: ExtraFaults,
 ) {
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in seeds {
         let folder = std::env::var_os("GORSEBANK_SOAK_REPORT").map(PathBuf::from);
-        let logs = folder
+        let log_folder = folder
             .as_ref()
             .map(|folder| folder.join(format!("seed-{seed}")));
-        let play = Play {
+        let options = RunOptions {
             seed,
             length,
             gateways,
-            beside,
-            logs,
+            extra_faults,
+            log_folder,
         };
-        let history = run::play(play).await;
-        let findings = promises::check(&history);
-        let plan = plan(seed, length);
-        let report = Report::new(seed, &plan, &history, &findings);
-        println!("{}", account(&report, history.tries.len()));
+        let history = run::execute_run(options).await;
+        let findings = promises::check_guarantees(&history);
+        let schedule = draw_faults(seed, length);
+        let report = Report::new(seed, &schedule, &history, &findings);
+        println!("{}", summarize_run(&report, history.requests.len()));
         if let Some(folder) = folder {
-            let written = report.write(&folder, &plan);
-            written.expect("GORSEBANK_SOAK_REPORT: a folder to write to");
+            let result = report.write(&folder, &schedule);
+            result.expect("GORSEBANK_SOAK_REPORT names a writable folder");
         }
         for finding in &findings {
-            println!("  seed {seed}: {:?}: {}", finding.promise, finding.what);
+            println!(
+                "  seed {seed}: {:?}: {}",
+                finding.guarantee, finding.details
+            );
         }
         if !findings.is_empty() {
-            broken.push(seed);
+            failed_seeds.push(seed);
         }
     }
     assert!(
-        broken.is_empty(),
-        "promises were broken with seeds {broken:?}"
+        failed_seeds.is_empty(),
+        "guarantees were violated with seeds {failed_seeds:?}"
     );
 }
 
-/// Length of a run's faults: `GORSEBANK_SOAK_SECONDS`, or else `SECONDS`. Regression seeds ignore
-/// the variable.
+/// Returns the period in which faults are injected: `GORSEBANK_SOAK_SECONDS`, or `DEFAULT_SECONDS`.
+/// Regression seeds ignore the variable.
 fn run_length() -> Duration {
-    Duration::from_secs(number("GORSEBANK_SOAK_SECONDS").unwrap_or(SECONDS))
+    Duration::from_secs(env_number("GORSEBANK_SOAK_SECONDS").unwrap_or(DEFAULT_SECONDS))
 }
 
-fn number(variable: &str) -> Option<u64> {
+fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
 
-fn seeds() -> Range<u64> {
-    let Ok(asked) = std::env::var("GORSEBANK_SOAK_SEEDS") else {
-        return SEEDS;
+fn selected_seeds() -> Range<u64> {
+    let Ok(setting) = std::env::var("GORSEBANK_SOAK_SEEDS") else {
+        return DEFAULT_SEEDS;
     };
-    let bounds = asked.split_once("..");
+    let bounds = setting.split_once("..");
     let bounds = bounds.and_then(|(first, last)| Some((first.parse().ok()?, last.parse().ok()?)));
     if let Some((first, last)) = bounds {
         return first..last;
     }
-    let count: u64 = asked
+    let count: u64 = setting
         .parse()
-        .expect("GORSEBANK_SOAK_SEEDS: a count, or FIRST..LAST");
+        .expect("GORSEBANK_SOAK_SEEDS is a count or FIRST..LAST");
     let first = rand::random::<u32>().into();
     first..first + count
 }
 
-/// One line on a run.
-fn account(report: &Report, requests: usize) -> String {
+/// Formats the summary line of a run.
+fn summarize_run(report: &Report, requests: usize) -> String {
     let (seed, findings) = (report.seed, report.findings.len());
     let (ends, faults) = (&report.ends, &report.faults);
     format!("seed {seed}: {requests} requests {ends:?}, faults {faults:?}, {findings} findings")
--- a/crates/gorsebank/tests/soak/plan.rs
+++ b/crates/gorsebank/tests/soak/plan.rs
@@ -1,4 +1,4 @@
-//! Which faults strike when, drawn from a seed: in series, and overlapping.
+//! Schedules of the faults of a run, drawn from its seed. Faults may follow one another or overlap.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -7,81 +7,83 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Pause between the beginnings of two faults.
-const LEAST_PAUSE: u64 = 150;
-const LONGEST_PAUSE: u64 = 1_500;
-/// How long a fault that ends by itself lasts.
-const LEAST_FAULT: u64 = 200;
-const LONGEST_FAULT: u64 = 2_500;
+/// Shortest time between the starts of two faults, in milliseconds.
+const MIN_INTERVAL_MS: u64 = 150;
+/// Upper bound on the time between the starts of two faults, in milliseconds.
+const MAX_INTERVAL_MS: u64 = 1_500;
+/// Shortest duration of a fault that ends by itself, in milliseconds.
+const MIN_FAULT_MS: u64 = 200;
+/// Upper bound on the duration of a fault that ends by itself, in milliseconds.
+const MAX_FAULT_MS: u64 = 2_500;
 
-/// The stream of random numbers from which limits of back ends are drawn.
-const LIMITS: u64 = 1;
-/// The stream from which faults of rows are drawn.
-const ROWS: u64 = 2;
-/// The stream from which statements in answers are drawn.
-const STATEMENTS: u64 = 3;
-/// Back ends that make a statement in a run at most: half of them say nothing.
-const MOST_STATEMENTS: usize = 3;
-/// Faults of rows in a run at most.
-const MOST_ROW_FAULTS: usize = 5;
-/// Limits in a run at most: half of the back ends take what they are sent.
-const MOST_LIMITS: usize = 3;
-/// What back ends with a limit take, in requests a second.
-const LIMIT_RATES: [f64; 6] = [0.0, 0.5, 1.0, 2.0, 5.0, 10.0];
+/// Random stream from which stated limits are drawn.
+const LIMIT_STREAM: u64 = 1;
+/// Random stream from which row faults are drawn.
+const ROW_FAULT_STREAM: u64 = 2;
+/// Random stream from which statements in responses are drawn.
+const STATEMENT_STREAM: u64 = 3;
+/// Maximum number of statements in a run: at least half of the back ends make none.
+const MAX_STATEMENTS: usize = 3;
+/// Maximum number of row faults in a run.
+const MAX_ROW_FAULTS: usize = 5;
+/// Maximum number of stated limits in a run: at least half of the back ends state none.
+const MAX_LIMITS: usize = 3;
+/// Rate limits that back ends state, in requests per second.
+const LIMIT_RATES_PER_SECOND: [f64; 6] = [0.0, 0.5, 1.0, 2.0, 5.0, 10.0];
 
-/// A fault.
+/// A fault. Reports contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A gateway is killed, and started again.
+    /// A gateway is killed and restarted.
     Kill,
-    /// A gateway is asked to stop, and started again once it is gone.
+    /// A gateway is asked to stop and restarted after its exit.
     Stop,
-    /// A gateway stands still.
+    /// A gateway is suspended.
     Pause,
-    /// All gateways are killed at once.
+    /// All gateways are killed at once and restarted.
     KillAll,
-    /// The table answers 503.
+    /// The table responds with status 503.
     TableDown,
-    /// The table answers 429.
+    /// The table responds with status 429.
     TableThrottles,
-    /// The table makes writes and does not answer them.
+    /// The table applies writes and loses the responses.
     TableLosesAnswers,
-    /// The table forgets its history.
+    /// The table compacts its history of changes.
     TableForgets,
     /// A gateway's open connections to the table go silent.
     TableSilent,
     /// The open connections to a back end go silent.
     BackEndSilent,
-    /// A back end says that it leaves, serves on for a while, and another one comes.
+    /// A back end announces its drain in its row, serves for some time, and is replaced.
     BackEndLeaves,
-    /// A back end's process ends without a word, and another one comes later.
+    /// The process of a back end exits without notice and is replaced later.
     BackEndEnds,
-    /// A back end answers slowly.
+    /// A back end responds slowly.
     BackEndSlow,
-    /// A back end fails a part of what it runs.
+    /// A back end fails a fraction of its requests (a grey failure).
     BackEndGrey,
-    /// A request under which back ends end comes again and again, until the run is over.
+    /// A request that crashes back ends is repeated until the end of the run.
     EndingRequest,
-    /// A gateway's way to the table is slow.
+    /// A gateway's link to the table has a high latency.
     TableFar,
-    /// What the table answers a gateway does not arrive.
+    /// Responses of the table do not reach a gateway.
     TableOneWay,
-    /// The table turns one gateway away.
+    /// One gateway's connections to the table are refused.
     TableRefusesOne,
     /// The open connections to a back end are reset.
     BackEndReset,
-    /// Nothing passes to a back end or back, on new connections either.
+    /// A back end is unreachable in both directions, on new connections too.
     BackEndDark,
-    /// An engine takes the next orders neither in nor answers them.
+    /// An engine neither executes nor answers the next orders.
     OrdersLost,
-    /// A gateway is told that its settings may have changed.
+    /// A gateway receives the signal to reload its settings.
     Reload,
-    /// A new configuration.
+    /// A new configuration is written.
     Configuration,
 }
 
-/// Every kind.
-pub const KINDS: [Fault; 23] = [
+/// Every kind of fault.
+pub const FAULTS: [Fault; 23] = [
     Fault::Kill,
     Fault::Stop,
     Fault::Pause,
@@ -107,29 +109,29 @@
     Fault::Configuration,
 ];
 
-/// A fault with its time.
+/// A fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
-    /// When it begins.
+pub struct ScheduledFault {
+    /// Start of the fault, relative to the start of the schedule.
     pub at: Duration,
-    /// How long it lasts, where it ends by itself.
-    pub lasts: Duration,
-    /// What.
+    /// Duration of a fault that ends by itself.
+    pub duration: Duration,
+    /// Kind of the fault.
     pub fault: Fault,
-    /// Which one is struck; taken modulo how many there are.
+    /// Index of the gateway or back end, modulo their number.
     pub target: usize,
 }
 
-/// A back end says for a while that it takes so few requests.
+/// A rate limit that a back end states for some time.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StatedLimit {
-    /// When it begins to.
+pub struct ScheduledLimit {
+    /// Time at which the back end begins to state the limit.
     pub at: Duration,
-    /// How long it does.
-    pub lasts: Duration,
-    /// Requests a second.
+    /// Time for which the back end states the limit.
+    pub duration: Duration,
+    /// Stated limit, in requests per second.
     pub rate: f64,
-    /// Which one; taken modulo how many there are.
+    /// Index of the back end, modulo their number.
     pub target: usize,
 }
 
@@ -145,18 +147,20 @@
     Duration::from_millis(random.random_range(range))
 }
 
-/// Limits that back ends state in a run. They are drawn apart from its faults, which are the
-/// same with them as without.
-pub fn limits(seed: u64, length: Duration) -> Vec<StatedLimit> {
-    let mut random = random_stream(seed, LIMITS);
-    let count = random.random_range(1..=MOST_LIMITS);
+/// Draws the rate limits that back ends state in a run. Their random stream is separate, so that
+/// the faults of the run are the same with and without limits.
+pub fn draw_limits(seed: u64, length: Duration) -> Vec<ScheduledLimit> {
+    let mut random = random_stream(seed, LIMIT_STREAM);
+    let count = random.random_range(1..=MAX_LIMITS);
     let length = length.as_millis() as u64;
     let drawn = (0..count).map(|_| {
         let at = random.random_range(0..length / 4);
-        let rate = LIMIT_RATES.choose(&mut random).expect("there are rates");
-        StatedLimit {
+        let rate = LIMIT_RATES_PER_SECOND
+            .choose(&mut random)
+            .expect("the list of rates is not empty");
+        ScheduledLimit {
             at: Duration::from_millis(at),
-            lasts: draw_duration(&mut random, length / 2..length - at),
+            duration: draw_duration(&mut random, length / 2..length - at),
             rate: *rate,
             target: random.random_range(0..64),
         }
@@ -164,125 +168,133 @@
     drawn.collect()
 }
 
-/// What becomes of a back end's row.
+/// A fault of a back end's table row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowFault {
-    /// Its process ends, and another one starts under its name.
-    StartsAgain,
-    /// It lacks a field, until it is mended.
-    LacksField,
-    /// A field has another type, until it is mended.
-    OtherType,
-    /// It holds a word that nobody knows, until it is mended.
+    /// The process of the back end exits, and another one starts under the same name.
+    Restart,
+    /// The row lacks a field until it is restored.
+    MissingField,
+    /// A field of the row has another type until it is restored.
+    WrongType,
+    /// A field of the row has an unknown value until it is restored.
     UnknownWord,
 }
 
-/// Every kind.
-const ROW_KINDS: [RowFault; 4] = [
-    RowFault::StartsAgain,
-    RowFault::LacksField,
-    RowFault::OtherType,
+/// Every kind of row fault.
+const ROW_FAULTS: [RowFault; 4] = [
+    RowFault::Restart,
+    RowFault::MissingField,
+    RowFault::WrongType,
     RowFault::UnknownWord,
 ];
 
-/// A fault of a row with its time.
+/// A row fault with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct RowStrike {
-    /// When it begins.
+pub struct ScheduledRowFault {
+    /// Start of the fault, relative to the start of the schedule.
     pub at: Duration,
-    /// How long it lasts, where it ends by itself.
-    pub lasts: Duration,
-    /// What.
+    /// Duration of a fault that ends by itself.
+    pub duration: Duration,
+    /// Kind of the fault.
     pub fault: RowFault,
-    /// Which back end is struck; taken modulo how many there are.
+    /// Index of the back end, modulo their number.
     pub target: usize,
 }
 
-/// Faults of rows in a run, drawn apart from its other faults, in no order.
-pub fn row_strikes(seed: u64, length: Duration) -> Vec<RowStrike> {
-    let mut random = random_stream(seed, ROWS);
+/// Draws the row faults of a run from a separate random stream. They are not sorted by time.
+pub fn draw_row_faults(seed: u64, length: Duration) -> Vec<ScheduledRowFault> {
+    let mut random = random_stream(seed, ROW_FAULT_STREAM);
     let length = length.as_millis() as u64;
-    let count = random.random_range(2..=MOST_ROW_FAULTS);
-    let drawn = (0..count).map(|_| RowStrike {
+    let count = random.random_range(2..=MAX_ROW_FAULTS);
+    let drawn = (0..count).map(|_| ScheduledRowFault {
         at: draw_duration(&mut random, 0..length),
-        lasts: draw_duration(&mut random, LEAST_FAULT..LONGEST_FAULT),
-        fault: *ROW_KINDS.choose(&mut random).expect("there are kinds"),
+        duration: draw_duration(&mut random, MIN_FAULT_MS..MAX_FAULT_MS),
+        fault: *ROW_FAULTS
+            .choose(&mut random)
+            .expect("the list of faults is not empty"),
         target: random.random_range(0..64),
     });
     drawn.collect()
 }
 
-/// What a back end says of itself in its answers.
+/// A statement that a back end makes about itself in its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Statement {
-    /// It leaves; its row does not say so.
-    Leaves,
-    /// It turns requests away, and wants a pause after each.
-    WantsPause,
+pub enum ResponseStatement {
+    /// The back end drains; its row does not announce the drain.
+    Draining,
+    /// The back end rejects requests and requests a pause after each rejection.
+    RequestsPause,
 }
 
-/// A statement with its time.
+/// A statement with its time and target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StatementStrike {
-    /// When it begins.
+pub struct ScheduledStatement {
+    /// Time at which the back end begins to make the statement.
     pub at: Duration,
-    /// How long it lasts, where it ends by itself.
-    pub lasts: Duration,
-    /// What.
-    pub statement: Statement,
-    /// Which back end makes it; taken modulo how many there are.
+    /// Time for which the back end makes the statement.
+    pub duration: Duration,
+    /// Kind of the statement.
+    pub statement: ResponseStatement,
+    /// Index of the back end, modulo their number.
     pub target: usize,
 }
 
-/// Statements of back ends in a run, drawn apart from its faults, in no order.
-pub fn statement_strikes(seed: u64, length: Duration) -> Vec<StatementStrike> {
-    let mut random = random_stream(seed, STATEMENTS);
+/// Draws the statements of back ends in a run from a separate random stream. They are not sorted by
+/// time.
+pub fn draw_statements(seed: u64, length: Duration) -> Vec<ScheduledStatement> {
+    let mut random = random_stream(seed, STATEMENT_STREAM);
     let length = length.as_millis() as u64;
-    let count = random.random_range(1..=MOST_STATEMENTS);
-    let drawn = (0..count).map(|_| StatementStrike {
+    let count = random.random_range(1..=MAX_STATEMENTS);
+    let drawn = (0..count).map(|_| ScheduledStatement {
         at: draw_duration(&mut random, 0..length / 2),
-        lasts: draw_duration(&mut random, length / 4..length / 2),
-        statement: *[Statement::Leaves, Statement::WantsPause]
-            .choose(&mut random)
-            .expect("there are two"),
+        duration: draw_duration(&mut random, length / 4..length / 2),
+        statement: *[
+            ResponseStatement::Draining,
+            ResponseStatement::RequestsPause,
+        ]
+        .choose(&mut random)
+        .expect("the list of statements is not empty"),
         target: random.random_range(0..64),
     });
     drawn.collect()
 }
 
-/// The faults of a run, in order.
-pub fn plan(seed: u64, length: Duration) -> Vec<Strike> {
+/// Draws the faults of a run, sorted by time.
+pub fn draw_faults(seed: u64, length: Duration) -> Vec<ScheduledFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut strikes = Vec::new();
-    let mut at = draw_duration(&mut random, LEAST_PAUSE..LONGEST_PAUSE);
+    let mut faults = Vec::new();
+    let mut at = draw_duration(&mut random, MIN_INTERVAL_MS..MAX_INTERVAL_MS);
     while at < length {
-        let fault = *KINDS.choose(&mut random).expect("there are kinds");
-        strikes.push(Strike {
+        let fault = *FAULTS
+            .choose(&mut random)
+            .expect("the list of faults is not empty");
+        faults.push(ScheduledFault {
             at,
-            lasts: draw_duration(&mut random, LEAST_FAULT..LONGEST_FAULT),
+            duration: draw_duration(&mut random, MIN_FAULT_MS..MAX_FAULT_MS),
             fault,
             target: random.random_range(0..64),
         });
-        at += draw_duration(&mut random, LEAST_PAUSE..LONGEST_PAUSE);
+        at += draw_duration(&mut random, MIN_INTERVAL_MS..MAX_INTERVAL_MS);
     }
-    strikes
+    faults
 }
 
 #[test]
-fn a_seed_gives_one_plan_and_another_seed_another() {
+fn schedule_is_determined_by_seed() {
     let length = Duration::from_secs(30);
-    assert_eq!(plan(7, length), plan(7, length));
-    assert_ne!(plan(7, length), plan(8, length));
+    assert_eq!(draw_faults(7, length), draw_faults(7, length));
+    assert_ne!(draw_faults(7, length), draw_faults(8, length));
 }
 
 #[test]
-fn every_kind_strikes_within_some_seeds() {
-    let strikes: Vec<Strike> = (0..20)
-        .flat_map(|seed| plan(seed, Duration::from_secs(12)))
+fn twenty_seeds_include_every_fault() {
+    let faults: Vec<ScheduledFault> = (0..20)
+        .flat_map(|seed| draw_faults(seed, Duration::from_secs(12)))
         .collect();
-    for kind in KINDS {
+    for kind in FAULTS {
         assert!(
-            strikes.iter().any(|strike| strike.fault == kind),
+            faults.iter().any(|scheduled| scheduled.fault == kind),
             "{kind:?}"
         );
     }
--- a/crates/gorsebank/tests/soak/promises.rs
+++ b/crates/gorsebank/tests/soak/promises.rs
@@ -1,235 +1,289 @@
-//! Promises, checked on a history: what callers and back ends saw, and nothing else.
+//! Guarantees of the system, checked on the history of a run, that is, on what callers and back
+//! ends observed.
 
 use std::time::Duration;
 
-use super::gateways::GRACE;
-use super::history::{End, History, Kind, Limited, Try, What};
+use super::gateways::STOP_TIMEOUT;
+use super::history::{
+    CallerRequest, DisturbanceKind, History, LimitedBackEnd, Outcome, RequestKind,
+};
 use super::statements;
 
-/// Statuses that promise that the request did not run and never will.
-const NOT_RUN: [u16; 4] = [408, 421, 429, 503];
-/// A request that ended so many back ends is kept away from the others ...
-const ENDS_TO_BLAME: usize = 3;
-/// ... within this time ...
-pub const KNOWN_BOUND: Duration = Duration::from_secs(3);
-/// ... but for so many sends.
-const MOST_LATE_ENDINGS: usize = 3;
-/// An engine has memory for so many models of the configuration (200 MB, 70 MB each).
-const MOST_MODELS: usize = 2;
-/// Within any span of this length ...
+/// Response statuses which promise that the request did not run and never will.
+const NOT_RUN_STATUSES: [u16; 4] = [408, 421, 429, 503];
+/// A request that crashed this many back ends is to be quarantined.
+const CRASHES_TO_QUARANTINE: usize = 3;
+/// Time within which all gateways know a quarantined request or a stated limit.
+pub const NOTICE_BOUND: Duration = Duration::from_secs(3);
+/// Number of arrivals of a quarantined request that are allowed after `NOTICE_BOUND`.
+const MAX_LATE_ARRIVALS: usize = 3;
+/// Number of models of the configuration for which an engine has memory (200 MB, 70 MB each).
+const MAX_MODELS: usize = 2;
+/// Span in which the requests at a back end with a stated limit are counted. The number of requests
+/// may reach the stated rate times the span times `LIMIT_EXCESS_FACTOR`, plus
+/// `LIMIT_EXTRA_REQUESTS`.
 const LIMIT_SPAN: Duration = Duration::from_secs(4);
-/// ... a back end that states a limit gets this many times what it takes ...
-const LIMIT_EXCESS: f64 = 1.5;
-/// ... and so many requests on top, at most.
-const LIMIT_ON_TOP: f64 = 5.0;
-/// Events of a stream.
-pub const EVENTS: u64 = 5;
-/// The body of a plain answer.
-pub const PLAIN: &str = "done";
+/// Factor by which requests may exceed a stated limit in any `LIMIT_SPAN`.
+const LIMIT_EXCESS_FACTOR: f64 = 1.5;
+/// Number of requests that are allowed on top of the scaled limit.
+const LIMIT_EXTRA_REQUESTS: f64 = 5.0;
+/// Number of events in a stream.
+pub const EVENTS_PER_STREAM: u64 = 5;
+/// Body of a response that is no stream.
+pub const PLAIN_BODY: &str = "done";
 
-/// A promise.
+/// A guarantee of the system. Reports contain the names of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Promise {
-    /// A success is whole, and the answer of the back end that ran this very request.
+pub enum Guarantee {
+    /// A successful response is correct and comes from the back end that ran this request.
     Whole,
-    /// What may not be repeated runs once at most.
+    /// A request that may not be repeated runs at most once.
     Once,
-    /// What is said not to have run did not run.
+    /// A request that is reported as not run did not run.
     Truthful,
-    /// A planned stop cuts no request that a back end has.
+    /// A planned stop of a gateway interrupts no request that a back end has received.
     StopCutsNothing,
-    /// A back end that leaves gets nothing new after the bound on news.
+    /// A back end that drains receives no new requests after the propagation bound.
     LeavingLeftAlone,
-    /// A request under which three back ends ended is hardly sent to another one.
+    /// A request that crashed three back ends is quarantined; only a few late sends are allowed.
     EndingKeptAway,
-    /// No engine is ordered to hold more than its memory takes.
+    /// No engine is ordered to hold more models than fit into its memory.
     Memory,
-    /// Orders of a former holder do not follow those of a newer one.
+    /// Orders of a previous placement holder do not follow those of a newer one.
     OneHolder,
-    /// A back end that states a limit gets no more, once gateways can know, of all together.
+    /// All gateways together respect the limit that a back end states, after `NOTICE_BOUND`.
     LimitKept,
-    /// A process that has passed on an answer of a back end that leaves sends it nothing new.
+    /// A process that forwarded a response announcing a drain sends that back end nothing new.
     DepartureKept,
-    /// A back end gets next to nothing from a process that it asked for a pause.
+    /// A process sends a back end almost nothing during a pause that the back end requested.
     PauseKept,
-    /// Everything works again in time once all faults are over.
+    /// Every gateway serves all request kinds again in time after the last fault.
     Recovery,
-    /// The last configuration is in force in time.
+    /// Every gateway applies the last configuration in time.
     Configuration,
 }
 
-/// A promise that was broken.
+/// A violation of a guarantee.
 #[derive(Clone, Debug)]
 pub struct Finding {
-    /// Which.
-    pub promise: Promise,
-    /// What was seen.
-    pub what: String,
+    /// Violated guarantee.
+    pub guarantee: Guarantee,
+    /// Observations that show the violation.
+    pub details: String,
 }
 
-/// All broken promises of a history.
-pub fn check(history: &History) -> Vec<Finding> {
+/// Returns all violations in a history.
+pub fn check_guarantees(history: &History) -> Vec<Finding> {
     let mut findings = Vec::new();
-    for one in &history.tries {
-        findings.extend(check_try(history, one));
+    for request in &history.requests {
+        findings.extend(check_request(history, request));
     }
-    let find = |promise, what| Finding { promise, what };
-    for left in &history.left {
-        let is_excused = history.overlaps(left.said, left.counted, |what| {
-            matches!(what, What::Table | What::Paused(_))
+    let finding = |guarantee, details| Finding { guarantee, details };
+    for drain in &history.row_drains {
+        let is_excused = history.has_disturbance(drain.announced_at, drain.counted_at, |kind| {
+            matches!(kind, DisturbanceKind::Table | DisturbanceKind::Suspended(_))
         });
-        if !is_excused && left.arrived_in_the_end > left.arrived {
-            findings.push(find(Promise::LeavingLeftAlone, format!("{left:?}")));
+        if !is_excused && drain.arrived_in_total > drain.arrived_when_counted {
+            findings.push(finding(Guarantee::LeavingLeftAlone, format!("{drain:?}")));
         }
     }
-    for (body, arrivals) in &history.endings {
-        let late = late_arrivals(arrivals);
-        if late > MOST_LATE_ENDINGS {
+    for (body, arrivals) in &history.crash_arrivals {
+        let late_arrivals = count_late_arrivals(arrivals);
+        if late_arrivals > MAX_LATE_ARRIVALS {
             let body = String::from_utf8_lossy(body);
-            let what = format!("{body}: {late} later than the bound, of {arrivals:?}");
-            findings.push(find(Promise::EndingKeptAway, what));
+            let details =
+                format!("{body}: {late_arrivals} arrivals after the bound, of {arrivals:?}");
+            findings.push(finding(Guarantee::EndingKeptAway, details));
         }
     }
-    for (back_end, models) in &history.most_models {
-        if *models > MOST_MODELS {
-            let what = format!("{back_end} held {models} models at once");
-            findings.push(find(Promise::Memory, what));
+    for (back_end, models) in &history.max_models {
+        if *models > MAX_MODELS {
+            let details = format!("{back_end} was ordered to hold {models} models at once");
+            findings.push(finding(Guarantee::Memory, details));
         }
     }
-    for limited in &history.limits {
-        findings.extend(check_limit(history, limited));
+    for back_end in &history.limited_back_ends {
+        findings.extend(check_limit(history, back_end));
     }
-    for departed in &history.departed {
-        findings.extend(statements::check_departure(history, departed));
+    for drain in &history.response_drains {
+        findings.extend(statements::check_response_drain(history, drain));
     }
-    for wanted in &history.pauses {
-        findings.extend(statements::check_pauses(history, wanted));
+    for pauses in &history.requested_pauses {
+        findings.extend(statements::check_requested_pauses(history, pauses));
     }
-    let any_paused = history
-        .done
+    let any_suspended = history
+        .disturbances
         .iter()
-        .any(|done| matches!(done.what, What::Paused(_)));
+        .any(|disturbance| matches!(disturbance.kind, DisturbanceKind::Suspended(_)));
     for (back_end, fences) in &history.fences {
-        // A process that stood still may send what it had checked before.
-        if !any_paused && !fences.is_sorted() {
-            findings.push(find(Promise::OneHolder, format!("{back_end}: {fences:?}")));
+        // A process that was suspended may send orders that it checked before the suspension.
+        if !any_suspended && !fences.is_sorted() {
+            findings.push(finding(
+                Guarantee::OneHolder,
+                format!("{back_end}: {fences:?}"),
+            ));
         }
     }
-    let missed = |promise| move |name: &String| find(promise, name.clone());
-    findings.extend(history.not_recovered.iter().map(missed(Promise::Recovery)));
-    findings.extend(history.behind.iter().map(missed(Promise::Configuration)));
+    let finding_for = |guarantee| move |name: &String| finding(guarantee, name.clone());
+    findings.extend(
+        history
+            .unrecovered_gateways
+            .iter()
+            .map(finding_for(Guarantee::Recovery)),
+    );
+    findings.extend(
+        history
+            .outdated_gateways
+            .iter()
+            .map(finding_for(Guarantee::Configuration)),
+    );
     findings
 }
 
-/// Requests of processes that were killed or stood still not long before do not count.
-fn check_limit(history: &History, limited: &Limited) -> Option<Finding> {
-    let since = limited.from + KNOWN_BOUND;
-    let counts = |(at, process): &&(Duration, usize)| {
-        let excuses = |what| match what {
-            What::Killed(struck) | What::Stopped(struck) | What::Paused(struck) => {
-                struck == *process
-            }
-            What::Table | What::BackEndCutOff | What::BackEndEnded => false,
+/// Checks the stated limit of a back end. Requests of processes that were killed, stopped or
+/// suspended around that time are not counted.
+fn check_limit(history: &History, limited: &LimitedBackEnd) -> Option<Finding> {
+    let since = limited.from + NOTICE_BOUND;
+    let is_counted = |(at, process): &&(Duration, usize)| {
+        let excuses = |kind| match kind {
+            DisturbanceKind::Killed(affected)
+            | DisturbanceKind::Stopped(affected)
+            | DisturbanceKind::Suspended(affected) => affected == *process,
+            DisturbanceKind::Table
+            | DisturbanceKind::BackEndCutOff
+            | DisturbanceKind::BackEndExited => false,
         };
         let until = limited.until + LIMIT_SPAN;
-        *at >= since && *at <= limited.until && !history.overlaps(limited.from, until, excuses)
+        *at >= since
+            && *at <= limited.until
+            && !history.has_disturbance(limited.from, until, excuses)
     };
-    let arrivals = limited.arrivals.iter().filter(counts);
+    let arrivals = limited.arrivals.iter().filter(is_counted);
     let arrivals: Vec<Duration> = arrivals.map(|(at, _)| *at).collect();
     let in_span = |(index, begin): (usize, &Duration)| {
         let within = |at: &&Duration| **at - *begin < LIMIT_SPAN;
         arrivals[index..].iter().filter(within).count()
     };
-    let most = arrivals.iter().enumerate().map(in_span).max()?;
-    let allowed = limited.rate * LIMIT_SPAN.as_secs_f64() * LIMIT_EXCESS + LIMIT_ON_TOP;
-    (most as f64 > allowed).then(|| {
+    let max_in_span = arrivals.iter().enumerate().map(in_span).max()?;
+    let allowed =
+        limited.rate * LIMIT_SPAN.as_secs_f64() * LIMIT_EXCESS_FACTOR + LIMIT_EXTRA_REQUESTS;
+    (max_in_span as f64 > allowed).then(|| {
         let (back_end, rate) = (&limited.back_end, limited.rate);
-        let what = format!("{back_end} takes {rate} a second and got {most} in four");
+        let details = format!(
+            "{back_end} states {rate} requests/s and received {max_in_span} in four seconds"
+        );
         Finding {
-            promise: Promise::LimitKept,
-            what,
+            guarantee: Guarantee::LimitKept,
+            details,
         }
     })
 }
 
-/// Arrivals later than the bound on news after the third.
-fn late_arrivals(arrivals: &[Duration]) -> usize {
-    let Some(third) = arrivals.get(ENDS_TO_BLAME - 1) else {
+/// Counts the arrivals that are later than the bound after the third one.
+fn count_late_arrivals(arrivals: &[Duration]) -> usize {
+    let Some(third) = arrivals.get(CRASHES_TO_QUARANTINE - 1) else {
         return 0;
     };
-    let late = arrivals.iter().filter(|at| **at > *third + KNOWN_BOUND);
-    late.count()
+    let late_arrivals = arrivals.iter().filter(|at| **at > *third + NOTICE_BOUND);
+    late_arrivals.count()
 }
 
-fn check_try(history: &History, one: &Try) -> Option<Finding> {
-    let none = Vec::new();
-    let runs = history.runs.get(&one.id).unwrap_or(&none);
-    let promise = if !is_whole(one, runs) {
-        Promise::Whole
-    } else if matches!(one.kind, Kind::Mutating | Kind::Stream) && runs.len() > 1 {
-        Promise::Once
-    } else if !is_truthful(one, runs) {
-        Promise::Truthful
-    } else if is_cut_by_a_stop(history, one, runs) {
-        Promise::StopCutsNothing
+fn check_request(history: &History, request: &CallerRequest) -> Option<Finding> {
+    let no_executions = Vec::new();
+    let executions = history
+        .executions
+        .get(&request.id)
+        .unwrap_or(&no_executions);
+    let guarantee = if !is_correct_success(request, executions) {
+        Guarantee::Whole
+    } else if matches!(request.kind, RequestKind::Mutating | RequestKind::Stream)
+        && executions.len() > 1
+    {
+        Guarantee::Once
+    } else if !is_truthful(request, executions) {
+        Guarantee::Truthful
+    } else if is_cut_by_planned_stop(history, request, executions) {
+        Guarantee::StopCutsNothing
     } else {
         return None;
     };
-    let what = format!("{one:?}, runs {runs:?}");
-    Some(Finding { promise, what })
+    let details = format!("{request:?}, executed at {executions:?}");
+    Some(Finding { guarantee, details })
 }
 
-/// Whether a success is what the back end that ran it said.
-fn is_whole(one: &Try, runs: &[String]) -> bool {
-    let End::Answer {
+/// Returns whether a successful response is what the back end that ran the request sent.
+fn is_correct_success(request: &CallerRequest, executions: &[String]) -> bool {
+    let Outcome::Response {
         status: 200,
-        whole,
+        is_complete,
         seal,
         body,
-    } = &one.end
+    } = &request.outcome
     else {
         return true;
     };
-    if !whole {
-        // It broke off visibly.
+    if !is_complete {
+        // The caller can see that the response was truncated.
         return true;
     }
-    let sealed_by =
-        |back_end: &String| seal.as_deref() == Some(format!("seal-{back_end}-{}", one.id).as_str());
-    runs.iter().any(sealed_by) && *body == expected_body(one.kind)
+    let is_sealed_by = |back_end: &String| {
+        seal.as_deref() == Some(format!("seal-{back_end}-{}", request.id).as_str())
+    };
+    executions.iter().any(is_sealed_by) && *body == expected_body(request.kind)
 }
 
-fn expected_body(kind: Kind) -> String {
+fn expected_body(kind: RequestKind) -> String {
     match kind {
-        Kind::Idempotent | Kind::Mutating => PLAIN.to_owned(),
-        Kind::Stream | Kind::Resumable => (1..=EVENTS).map(event).collect(),
+        RequestKind::Idempotent | RequestKind::Mutating => PLAIN_BODY.to_owned(),
+        RequestKind::Stream | RequestKind::Resumable => {
+            (1..=EVENTS_PER_STREAM).map(stream_event).collect()
+        }
     }
 }
 
-/// One event of a stream.
-pub fn event(number: u64) -> String {
+/// Returns one event of a stream.
+pub fn stream_event(number: u64) -> String {
     format!("id: {number}\ndata: t{number}\n\n")
 }
 
-fn is_truthful(one: &Try, runs: &[String]) -> bool {
-    match one.end {
-        End::Answer { status, .. } if NOT_RUN.contains(&status) => runs.is_empty(),
+fn is_truthful(request: &CallerRequest, executions: &[String]) -> bool {
+    match request.outcome {
+        Outcome::Response { status, .. } if NOT_RUN_STATUSES.contains(&status) => {
+            executions.is_empty()
+        }
         _ => true,
     }
 }
 
-/// Whether a back end had it, its process was asked to stop, nothing else happened to
-/// either, and the caller has no whole answer.
-fn is_cut_by_a_stop(history: &History, one: &Try, runs: &[String]) -> bool {
-    let has_answer = matches!(&one.end, End::Answer { whole: true, .. });
-    let stops = |what| what == What::Stopped(one.process);
-    let excuses = |what| match what {
-        What::Killed(process) | What::Paused(process) => process == one.process,
-        What::BackEndCutOff | What::BackEndEnded => true,
-        What::Stopped(_) | What::Table => false,
+/// Returns whether a planned stop interrupted a request: a back end received it, its process was
+/// asked to stop, no other fault affected the process or a back end, and the caller has no complete
+/// response.
+fn is_cut_by_planned_stop(
+    history: &History,
+    request: &CallerRequest,
+    executions: &[String],
+) -> bool {
+    let has_response = matches!(
+        &request.outcome,
+        Outcome::Response {
+            is_complete: true,
+            ..
+        }
+    );
+    let is_own_stop = |kind| kind == DisturbanceKind::Stopped(request.process);
+    let excuses = |kind| match kind {
+        DisturbanceKind::Killed(process) | DisturbanceKind::Suspended(process) => {
+            process == request.process
+        }
+        DisturbanceKind::BackEndCutOff | DisturbanceKind::BackEndExited => true,
+        DisturbanceKind::Stopped(_) | DisturbanceKind::Table => false,
     };
-    !has_answer
-        && !runs.is_empty()
-        && history.overlaps(one.sent, one.ended, stops)
-        && !history.overlaps(one.sent.saturating_sub(GRACE), one.ended, excuses)
+    !has_response
+        && !executions.is_empty()
+        && history.has_disturbance(request.sent_at, request.ended_at, is_own_stop)
+        && !history.has_disturbance(
+            request.sent_at.saturating_sub(STOP_TIMEOUT),
+            request.ended_at,
+            excuses,
+        )
 }
--- a/crates/gorsebank/tests/soak/run.rs
+++ b/crates/gorsebank/tests/soak/run.rs
@@ -1,4 +1,4 @@
-//! One run: gateways as processes, stand-ins of the table and of back ends, callers, faults.
+//! One soak run: gateway processes, stand-ins for the table and for back ends, callers and faults.
 
 mod behaviour;
 mod strikes;
@@ -16,257 +16,276 @@
 use tokio::time::{sleep, sleep_until};
 
 use super::callers::Caller;
-use super::gateways::Slot;
-use super::history::{Departed, Done, History, Left, Limited, What};
-use super::plan::{limits, plan, row_strikes, statement_strikes};
+use super::gateways::GatewaySlot;
+use super::history::{
+    Disturbance, DisturbanceKind, History, LimitedBackEnd, ResponseDrain, RowDrain,
+};
+use super::plan::{draw_faults, draw_limits, draw_row_faults, draw_statements};
 use super::platform::client::{request, send};
 use super::platform::runner::{Reply, Runner, Seen};
 use super::platform::store::Store;
 use super::platform::wire::Wire;
 use super::platform::{configuration, configuration_with_prefix, server_row};
-use behaviour::{Mood, behave};
+use behaviour::{Conditions, reply_to};
 
-/// Back ends of each service.
-const BACK_ENDS: usize = 3;
-/// Callers for each gateway.
-const CALLERS: usize = 2;
-/// Gateways have this time to become ready at first.
-const START: Duration = Duration::from_secs(10);
-/// Everything works again in this time after the last fault.
-const RECOVERY: Duration = Duration::from_secs(12);
-/// A configuration is in force everywhere in this time, and a leaving back end known.
-const NEWS: Duration = Duration::from_millis(2_000);
-/// What a stand-in is late with on a busy machine.
-const SLACK: Duration = Duration::from_millis(500);
-/// A back end whose process ended has a row for so long, and another one comes then.
-const RESTART: Duration = Duration::from_secs(2);
-/// Models beside those of the tests' configuration; with these an engine cannot hold all.
-pub const MORE_MODELS: [&str; 2] = ["rare", "rarer"];
-/// How bodies begin under which back ends end.
-const ENDING: &[u8] = b"ends whoever runs it ";
-/// When the first back ends start, in milliseconds since the epoch.
-const FIRST_START: u64 = 1_700_000_000_000;
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Number of back ends of each service.
+const BACK_ENDS_PER_SERVICE: usize = 3;
+/// Number of callers per gateway.
+const CALLERS_PER_GATEWAY: usize = 2;
+/// Time within which gateways become ready at the start.
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time within which gateways serve all request kinds after the last fault.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
+/// Time within which a configuration is applied everywhere and a drain is known.
+const PROPAGATION_BOUND: Duration = Duration::from_millis(2_000);
+/// Allowance for stand-ins that run late on a busy machine.
+const STANDIN_SLACK: Duration = Duration::from_millis(500);
+/// Time between the exit of a back end's process and the removal of its row or the start of its
+/// replacement.
+const RESTART_DELAY: Duration = Duration::from_secs(2);
+/// Models that are added to the tests' configuration, so that an engine cannot hold all models.
+pub const EXTRA_MODELS: [&str; 2] = ["rare", "rarer"];
+/// Prefix of request bodies that crash back ends.
+const CRASHING_BODY_PREFIX: &[u8] = b"ends whoever runs it ";
+/// Start time of the first back ends, in milliseconds since the Unix epoch.
+const FIRST_START_MS: u64 = 1_700_000_000_000;
+/// Interval at which gateways are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A back end with its row and the way to it.
+/// A back end with its service and the link to it.
 #[derive(Clone)]
 struct BackEnd {
     runner: Runner,
     service: &'static str,
     wire: Arc<Wire>,
-    mood: Arc<Mood>,
-    /// When it started, in milliseconds since the epoch, if it tells.
-    born: Option<u64>,
+    conditions: Arc<Conditions>,
+    /// Start time in milliseconds since the Unix epoch, if the row of the back end states it.
+    start_time_ms: Option<u64>,
 }
 
-/// All that a run consists of.
+/// State of a run.
 pub struct Run {
     store: Store,
-    slots: Arc<Vec<Mutex<Slot>>>,
-    /// Those that are listed now.
+    slots: Arc<Vec<Mutex<GatewaySlot>>>,
+    /// Back ends that are listed in the table and may be struck by faults.
     listed: Mutex<Vec<BackEnd>>,
-    /// All that ever were.
-    all: Mutex<Vec<BackEnd>>,
-    /// Arrivals of requests under which back ends end.
-    endings: Arc<Mutex<BTreeMap<Vec<u8>, Vec<Duration>>>>,
-    /// When callers stop.
-    over: Duration,
-    done: Mutex<Vec<Done>>,
-    left: Mutex<Vec<Left>>,
-    limits: Mutex<Vec<Limited>>,
-    departed: Mutex<Vec<Departed>>,
-    /// Whether back ends tell their starts, as those do that start again under their names.
-    tells_starts: bool,
-    /// Names of back ends that ended and are to start again under them.
-    starting_again: Mutex<BTreeSet<String>>,
-    began: Instant,
-    processes: AtomicUsize,
-    version: Mutex<u64>,
+    /// All back ends of the run, including those that drained or exited.
+    all_back_ends: Mutex<Vec<BackEnd>>,
+    /// Arrivals of requests that crash back ends, by request body.
+    crash_arrivals: Arc<Mutex<BTreeMap<Vec<u8>, Vec<Duration>>>>,
+    /// Time at which callers stop.
+    callers_until: Duration,
+    disturbances: Mutex<Vec<Disturbance>>,
+    row_drains: Mutex<Vec<RowDrain>>,
+    limited_back_ends: Mutex<Vec<LimitedBackEnd>>,
+    response_drains: Mutex<Vec<ResponseDrain>>,
+    /// Whether rows state start times, as required for back ends that restart under their names.
+    announces_start_times: bool,
+    /// Names of back ends that exited and are to restart under the same name.
+    restarting: Mutex<BTreeSet<String>>,
+    started_at: Instant,
+    process_count: AtomicUsize,
+    configuration_version: Mutex<u64>,
 }
 
-/// What happens beside the faults, drawn apart from them.
+/// Faults that are injected in addition to the schedule, drawn from separate random streams.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Beside {
-    /// Nothing.
+pub enum ExtraFaults {
+    /// No additional faults.
     Nothing,
-    /// Back ends state limits.
+    /// Back ends state rate limits.
     Limits,
-    /// Rows of back ends are spoiled, and back ends start again under their names.
+    /// Rows of back ends are corrupted, and back ends restart under their names.
     Rows,
-    /// Back ends say in their answers that they leave, or turn requests away and want pauses.
+    /// Back ends announce their drain in their responses, or reject requests and request pauses.
     Statements,
 }
 
-/// What a run plays.
+/// Options of a run.
 #[derive(Clone, Debug)]
-pub struct Play {
-    /// What it draws from.
+pub struct RunOptions {
+    /// Seed from which all choices are drawn.
     pub seed: u64,
-    /// Length of its faults.
+    /// Period in which faults are injected.
     pub length: Duration,
-    /// Gateways.
+    /// Number of gateways.
     pub gateways: usize,
-    /// What happens beside the faults.
-    pub beside: Beside,
-    /// Where gateways write their lines.
-    pub logs: Option<PathBuf>,
+    /// Faults in addition to the schedule.
+    pub extra_faults: ExtraFaults,
+    /// Folder for the logs of the gateways.
+    pub log_folder: Option<PathBuf>,
 }
 
-/// Plays the faults of a seed, and tells what was seen.
-pub async fn play(play: Play) -> History {
-    let Play {
+/// Runs the faults of a seed and returns what was observed.
+pub async fn execute_run(options: RunOptions) -> History {
+    let RunOptions {
         seed,
         length,
         gateways,
         ..
-    } = play;
-    let run = Arc::new(Run::start(&play).await);
-    let tries = Arc::default();
-    let mut tasks = JoinSet::new();
-    for number in 0..CALLERS * gateways {
+    } = options;
+    let run = Arc::new(Run::start(&options).await);
+    let requests = Arc::default();
+    let mut callers = JoinSet::new();
+    for number in 0..CALLERS_PER_GATEWAY * gateways {
         let slots = run.slots.clone();
-        let caller = Caller::new(seed, number, slots, Arc::clone(&tries), run.began);
-        tasks.spawn(caller.run(run.over));
+        let caller = Caller::new(seed, number, slots, Arc::clone(&requests), run.started_at);
+        callers.spawn(caller.run(run.callers_until));
     }
     let base = tokio::time::Instant::now();
-    let mut strikes = JoinSet::new();
-    // What waits for the end of a back end holds the run, and ends with this value.
-    let mut keepers = JoinSet::new();
+    let mut faults = JoinSet::new();
+    // Tasks that replace exited back ends hold a reference to the run; dropping this set aborts
+    // them.
+    let mut replacements = JoinSet::new();
     for back_end in run.listed.lock().iter() {
-        keepers.spawn(run.clone().replace_when_ended(back_end.clone()));
+        replacements.spawn(run.clone().replace_when_exited(back_end.clone()));
     }
-    match play.beside {
-        Beside::Nothing => {}
-        Beside::Limits => {
-            for limit in limits(seed, length) {
-                strikes.spawn(run.clone().state_limit(limit));
+    match options.extra_faults {
+        ExtraFaults::Nothing => {}
+        ExtraFaults::Limits => {
+            for limit in draw_limits(seed, length) {
+                faults.spawn(run.clone().state_limit(limit));
             }
         }
-        Beside::Rows => {
-            for strike in row_strikes(seed, length) {
-                strikes.spawn(run.clone().strike_row(strike));
+        ExtraFaults::Rows => {
+            for fault in draw_row_faults(seed, length) {
+                faults.spawn(run.clone().inject_row_fault(fault));
             }
         }
-        Beside::Statements => {
-            for strike in statement_strikes(seed, length) {
-                strikes.spawn(run.clone().make_statement(strike));
+        ExtraFaults::Statements => {
+            for statement in draw_statements(seed, length) {
+                faults.spawn(run.clone().make_statement(statement));
             }
         }
     }
-    for strike in plan(seed, length) {
-        sleep_until(base + strike.at).await;
-        strikes.spawn(run.clone().strike(strike));
+    for fault in draw_faults(seed, length) {
+        sleep_until(base + fault.at).await;
+        faults.spawn(run.clone().inject_fault(fault));
     }
-    strikes.join_all().await;
-    tasks.join_all().await;
+    faults.join_all().await;
+    callers.join_all().await;
     let mut history = History::default();
-    run.recover(&mut history).await;
-    run.last_configuration(&mut history).await;
-    history.tries = std::mem::take(&mut *tries.lock());
-    run.tell(&mut history);
+    run.check_recovery(&mut history).await;
+    run.check_last_configuration(&mut history).await;
+    history.requests = std::mem::take(&mut *requests.lock());
+    run.collect_observations(&mut history);
     run.slots.iter().for_each(|slot| slot.lock().kill());
     history
 }
 
 impl Run {
-    async fn start(play: &Play) -> Self {
-        let gateways = play.gateways;
+    async fn start(options: &RunOptions) -> Self {
+        let gateways = options.gateways;
         let store = Store::start().await;
-        store.put("op", "config", with_more_models(configuration(1)));
+        store.put("op", "config", with_extra_models(configuration(1)));
         let mut slots = Vec::new();
         for number in 0..gateways {
             let wire = Wire::to(store.address).await;
-            let slot = Slot::start(&format!("node-{number}"), wire, number, play.logs.clone());
+            let slot = GatewaySlot::start(
+                &format!("node-{number}"),
+                wire,
+                number,
+                options.log_folder.clone(),
+            );
             slots.push(Mutex::new(slot));
         }
         let mut run = Run {
             store,
             slots: Arc::new(slots),
             listed: Mutex::default(),
-            all: Mutex::default(),
-            endings: Arc::default(),
-            over: Duration::ZERO,
-            done: Mutex::default(),
-            left: Mutex::default(),
-            limits: Mutex::default(),
-            departed: Mutex::default(),
-            tells_starts: play.beside == Beside::Rows,
-            starting_again: Mutex::default(),
-            began: Instant::now(),
-            processes: AtomicUsize::new(gateways),
-            version: Mutex::new(1),
+            all_back_ends: Mutex::default(),
+            crash_arrivals: Arc::default(),
+            callers_until: Duration::ZERO,
+            disturbances: Mutex::default(),
+            row_drains: Mutex::default(),
+            limited_back_ends: Mutex::default(),
+            response_drains: Mutex::default(),
+            announces_start_times: options.extra_faults == ExtraFaults::Rows,
+            restarting: Mutex::default(),
+            started_at: Instant::now(),
+            process_count: AtomicUsize::new(gateways),
+            configuration_version: Mutex::new(1),
         };
-        for _ in 0..BACK_ENDS {
+        for _ in 0..BACK_ENDS_PER_SERVICE {
             run.add_back_end("app").await;
             run.add_back_end("llm").await;
         }
-        let is_up = run.all_serve(START).await;
-        assert!(is_up.is_empty(), "gateways do not start: {is_up:?}");
-        run.over = run.began.elapsed() + play.length;
+        let not_serving = run.find_gateways_not_serving(STARTUP_TIMEOUT).await;
+        assert!(
+            not_serving.is_empty(),
+            "gateways do not become ready: {not_serving:?}"
+        );
+        run.callers_until = run.started_at.elapsed() + options.length;
         run
     }
 
     async fn add_back_end(&self, service: &'static str) -> BackEnd {
-        let id = format!("i-{}", self.all.lock().len());
+        let id = format!("i-{}", self.all_back_ends.lock().len());
         self.add_back_end_as(&id, service).await
     }
 
-    /// A back end under this name, which it may have had before.
+    /// Adds a back end under a name that another back end may have had before.
     async fn add_back_end_as(&self, id: &str, service: &'static str) -> BackEnd {
-        let mood = Arc::new(Mood::default());
-        let (present, endings, began) = (mood.clone(), self.endings.clone(), self.began);
+        let conditions = Arc::new(Conditions::default());
+        let (runner_conditions, crash_arrivals, started_at) = (
+            conditions.clone(),
+            self.crash_arrivals.clone(),
+            self.started_at,
+        );
         let behaviour = move |seen: &Seen| {
-            if seen.body.starts_with(ENDING) {
-                let mut endings = endings.lock();
-                let arrivals = endings.entry(seen.body.clone()).or_default();
-                arrivals.push(began.elapsed());
+            if seen.body.starts_with(CRASHING_BODY_PREFIX) {
+                let mut crash_arrivals = crash_arrivals.lock();
+                let arrivals = crash_arrivals.entry(seen.body.clone()).or_default();
+                arrivals.push(started_at.elapsed());
                 return Reply::End;
             }
-            behave(seen, &present)
+            reply_to(seen, &runner_conditions)
         };
         let runner = Runner::start(id, behaviour).await;
         let wire = Arc::new(Wire::to(runner.address).await);
-        let start = FIRST_START + self.began.elapsed().as_millis() as u64;
+        let start = FIRST_START_MS + self.started_at.elapsed().as_millis() as u64;
         let back_end = BackEnd {
             runner,
             service,
             wire,
-            mood,
-            born: self.tells_starts.then_some(start),
+            conditions,
+            start_time_ms: self.announces_start_times.then_some(start),
         };
         self.put_row(&back_end, "ready");
         self.listed.lock().push(back_end.clone());
-        self.all.lock().push(back_end.clone());
+        self.all_back_ends.lock().push(back_end.clone());
         back_end
     }
 
-    /// A process that ended says nothing: its row goes some time later, and another one comes.
-    async fn replace_when_ended(self: Arc<Self>, mut back_end: BackEnd) {
+    /// Replaces a back end whenever its process exits. The process gives no notice: its row is
+    /// removed, or reused by the replacement, after `RESTART_DELAY`.
+    async fn replace_when_exited(self: Arc<Self>, mut back_end: BackEnd) {
         loop {
             back_end.runner.until_ended().await;
             back_end.wire.end();
-            let from = self.began.elapsed();
-            sleep(RESTART).await;
-            let starts_again = self.starting_again.lock().remove(&back_end.runner.id);
-            if !starts_again {
+            let from = self.started_at.elapsed();
+            sleep(RESTART_DELAY).await;
+            let restarts = self.restarting.lock().remove(&back_end.runner.id);
+            if !restarts {
                 self.store.remove("servers", &back_end.runner.id);
             }
-            let until = self.began.elapsed();
-            let what = What::BackEndEnded;
-            self.done.lock().push(Done { from, until, what });
+            let until = self.started_at.elapsed();
+            let kind = DisturbanceKind::BackEndExited;
+            self.disturbances
+                .lock()
+                .push(Disturbance { from, until, kind });
             let id = &back_end.runner.id;
             let was_listed = {
                 let mut listed = self.listed.lock();
-                let former = listed.len();
-                listed.retain(|one| one.runner.id != *id);
-                listed.len() < former
+                let count_before = listed.len();
+                listed.retain(|other| other.runner.id != *id);
+                listed.len() < count_before
             };
             if !was_listed {
-                // It was about to leave, and another one has come already.
+                // The back end was draining, and its replacement exists already.
                 return;
             }
-            back_end = if starts_again {
+            back_end = if restarts {
                 let id = back_end.runner.id.clone();
                 self.add_back_end_as(&id, back_end.service).await
             } else {
@@ -277,55 +296,59 @@
 
     fn put_row(&self, back_end: &BackEnd, state: &str) {
         let id = &back_end.runner.id;
-        self.store.put("servers", id, row_of(back_end, state));
+        self.store.put("servers", id, back_end_row(back_end, state));
     }
 
-    fn next_process(&self) -> usize {
-        self.processes.fetch_add(1, Ordering::Relaxed)
+    fn next_process_number(&self) -> usize {
+        self.process_count.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// A new configuration, with this prefix for what may be repeated.
+    /// Writes a new configuration with this path prefix for idempotent requests.
     fn configure(&self, prefix: &str) {
-        let mut version = self.version.lock();
+        let mut version = self.configuration_version.lock();
         *version += 1;
         let newer = configuration_with_prefix(*version, prefix);
-        self.store.put("op", "config", with_more_models(newer));
+        self.store.put("op", "config", with_extra_models(newer));
     }
 
-    /// Gateways that do not serve every kind within this time.
-    async fn all_serve(&self, limit: Duration) -> Vec<String> {
-        let began = Instant::now();
+    /// Polls until every gateway serves all request kinds, and returns the names of those that do
+    /// not within the time limit.
+    async fn find_gateways_not_serving(&self, timeout: Duration) -> Vec<String> {
+        let started_at = Instant::now();
         let mut missing: Vec<usize> = (0..self.slots.len()).collect();
-        while !missing.is_empty() && began.elapsed() < limit {
-            let mut still = Vec::new();
+        while !missing.is_empty() && started_at.elapsed() < timeout {
+            let mut still_missing = Vec::new();
             for index in missing {
                 if !self
                     .serves(index, &["/read/", "/top-up/", "/stream/"])
                     .await
                 {
-                    still.push(index);
+                    still_missing.push(index);
                 }
             }
-            missing = still;
-            sleep(LOOK).await;
+            missing = still_missing;
+            sleep(POLL_INTERVAL).await;
         }
-        self.names(&missing)
+        self.gateway_names(&missing)
     }
 
-    fn names(&self, indices: &[usize]) -> Vec<String> {
+    fn gateway_names(&self, indices: &[usize]) -> Vec<String> {
         let name = |index: &usize| self.slots[*index].lock().name().to_owned();
         indices.iter().map(name).collect()
     }
 
     async fn serves(&self, index: usize, paths: &[&str]) -> bool {
-        let Some(door) = self.slots[index].lock().door() else {
+        let Some(endpoint) = self.slots[index].lock().endpoint() else {
             return false;
         };
-        if tokio::net::TcpStream::connect(door.callers).await.is_err() {
+        if tokio::net::TcpStream::connect(endpoint.caller_address)
+            .await
+            .is_err()
+        {
             return false;
         }
         for path in paths {
-            let got = send(door.callers, request("probe", path)).await;
+            let got = send(endpoint.caller_address, request("probe", path)).await;
             if got.is_none_or(|got| got.status != 200) {
                 return false;
             }
@@ -333,38 +356,42 @@
         true
     }
 
-    async fn recover(&self, history: &mut History) {
-        history.not_recovered = self.all_serve(RECOVERY).await;
+    async fn check_recovery(&self, history: &mut History) {
+        history.unrecovered_gateways = self.find_gateways_not_serving(RECOVERY_TIMEOUT).await;
     }
 
-    async fn last_configuration(&self, history: &mut History) {
+    async fn check_last_configuration(&self, history: &mut History) {
         self.configure("/last/");
-        sleep(NEWS + SLACK).await;
+        sleep(PROPAGATION_BOUND + STANDIN_SLACK).await;
         for index in 0..self.slots.len() {
             if !self.serves(index, &["/last/"]).await {
-                history.behind.extend(self.names(&[index]));
+                history
+                    .outdated_gateways
+                    .extend(self.gateway_names(&[index]));
             }
         }
     }
 }
 
-/// The row of a back end.
-fn row_of(back_end: &BackEnd, state: &str) -> Value {
+/// Returns the table row of a back end.
+fn back_end_row(back_end: &BackEnd, state: &str) -> Value {
     let mut row = server_row(&back_end.runner, back_end.service, state);
     row["addr"] = json!(back_end.wire.address.to_string());
-    if let Some(born) = back_end.born {
-        row["born"] = json!(born);
+    if let Some(start_time_ms) = back_end.start_time_ms {
+        row["born"] = json!(start_time_ms);
     }
     row
 }
 
-/// The same with more models than an engine has memory for.
-fn with_more_models(mut configuration: Value) -> Value {
+/// Returns the configuration with more models than an engine has memory for.
+fn with_extra_models(mut configuration: Value) -> Value {
     let models = &mut configuration["services"][1]["engine"]["models"];
-    let models = models.as_array_mut().expect("models");
-    let another = models[1].clone();
-    for name in MORE_MODELS {
-        let mut model = another.clone();
+    let models = models
+        .as_array_mut()
+        .expect("the engine has a list of models");
+    let template = models[1].clone();
+    for name in EXTRA_MODELS {
+        let mut model = template.clone();
         model["name"] = json!(name);
         models.push(model);
     }
--- a/crates/gorsebank/tests/soak/run/behaviour.rs
+++ b/crates/gorsebank/tests/soak/run/behaviour.rs
@@ -1,4 +1,4 @@
-//! What back ends do with requests.
+//! How the back ends of a soak run respond to requests, depending on the injected conditions.
 
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
@@ -6,51 +6,52 @@
 use parking_lot::Mutex;
 
 use crate::platform::runner::{End, Reply, Seen};
-use crate::promises::{EVENTS, PLAIN, event};
-use crate::statements::PAUSE_TEXT;
+use crate::promises::{EVENTS_PER_STREAM, PLAIN_BODY, stream_event};
+use crate::statements::REQUESTED_PAUSE_SECONDS_TEXT;
 
-/// Pause between two events, and before the first.
-const PAUSE: Duration = Duration::from_millis(20);
-/// The same, and before a plain answer, at a slow back end.
-const SLOW: Duration = Duration::from_millis(200);
-/// How a back end is.
+/// Time between two events of a stream, and before the first event.
+const EVENT_GAP: Duration = Duration::from_millis(20);
+/// Time between two events at a slow back end, and delay of its other responses.
+const SLOW_DELAY: Duration = Duration::from_millis(200);
+
+/// Injected conditions of a back end.
 #[derive(Debug, Default)]
-pub(super) struct Mood {
-    /// Answers slowly.
+pub(super) struct Conditions {
+    /// The back end responds slowly.
     pub(super) slow: AtomicBool,
-    /// Fails every second request.
-    pub(super) grey: AtomicBool,
-    /// Turns requests away and wants a pause after each.
-    pub(super) busy: AtomicBool,
-    /// Requests that it turned away, by their ids, and when.
-    pub(super) turned_away: Mutex<Vec<(Instant, String)>>,
-    requests: AtomicUsize,
+    /// The back end fails every second request.
+    pub(super) failing: AtomicBool,
+    /// The back end rejects requests and requests a pause after each rejection.
+    pub(super) rejecting: AtomicBool,
+    /// Time and request id of each rejection.
+    pub(super) rejections: Mutex<Vec<(Instant, String)>>,
+    request_count: AtomicUsize,
 }
 
-/// What a back end does with a request.
-pub(super) fn behave(seen: &Seen, mood: &Mood) -> Reply {
-    if mood.busy.load(Ordering::Relaxed) {
-        let turned_away = (seen.at, seen.id().to_owned());
-        mood.turned_away.lock().push(turned_away);
-        return Reply::Pause(PAUSE_TEXT);
+/// Returns the reply of a back end to a request.
+pub(super) fn reply_to(seen: &Seen, conditions: &Conditions) -> Reply {
+    if conditions.rejecting.load(Ordering::Relaxed) {
+        let rejection = (seen.at, seen.id().to_owned());
+        conditions.rejections.lock().push(rejection);
+        return Reply::Pause(REQUESTED_PAUSE_SECONDS_TEXT);
     }
-    let number = mood.requests.fetch_add(1, Ordering::Relaxed);
-    if mood.grey.load(Ordering::Relaxed) && number.is_multiple_of(2) {
+    let number = conditions.request_count.fetch_add(1, Ordering::Relaxed);
+    if conditions.failing.load(Ordering::Relaxed) && number.is_multiple_of(2) {
         return Reply::Answer(500, "failed");
     }
-    let is_slow = mood.slow.load(Ordering::Relaxed);
+    let is_slow = conditions.slow.load(Ordering::Relaxed);
     let is_stream = seen.line.contains("/stream/") || seen.line.contains("/resumable/");
     if !is_stream && is_slow {
-        return Reply::Late(SLOW, 200, PLAIN);
+        return Reply::Late(SLOW_DELAY, 200, PLAIN_BODY);
     }
     if !is_stream {
-        return Reply::Answer(200, PLAIN);
+        return Reply::Answer(200, PLAIN_BODY);
     }
-    let last = seen
+    let last_event = seen
         .header("last-event-id")
         .and_then(|id| id.parse::<u64>().ok());
-    let first = last.unwrap_or(0) + 1;
-    let pause = if is_slow { SLOW } else { PAUSE };
-    let events = (first..=EVENTS).map(|number| (pause, event(number)));
+    let first = last_event.unwrap_or(0) + 1;
+    let gap = if is_slow { SLOW_DELAY } else { EVENT_GAP };
+    let events = (first..=EVENTS_PER_STREAM).map(|number| (gap, stream_event(number)));
     Reply::Events(events.collect(), End::Whole)
 }
--- a/crates/gorsebank/tests/soak/run/strikes.rs
+++ b/crates/gorsebank/tests/soak/run/strikes.rs
@@ -1,4 +1,4 @@
-//! What each fault does to a run.
+//! Injection of the faults of a soak run.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -8,101 +8,117 @@
 use serde_json::json;
 use tokio::time::sleep;
 
-use super::{BackEnd, ENDING, Mood, NEWS, Run, SLACK, row_of};
-use crate::gateways::Slot;
-use crate::history::{Departed, Done, Left, Limited, What};
-use crate::plan::{Fault, RowFault, RowStrike, StatedLimit, Statement, StatementStrike, Strike};
+use super::{
+    BackEnd, CRASHING_BODY_PREFIX, Conditions, PROPAGATION_BOUND, Run, STANDIN_SLACK, back_end_row,
+};
+use crate::gateways::GatewaySlot;
+use crate::history::{Disturbance, DisturbanceKind, LimitedBackEnd, ResponseDrain, RowDrain};
+use crate::plan::{
+    Fault, ResponseStatement, RowFault, ScheduledFault, ScheduledLimit, ScheduledRowFault,
+    ScheduledStatement,
+};
 use crate::platform::client::{Client, request_with};
 use crate::platform::store::Inner;
 use crate::platform::wire::Wire;
 
-/// A leaving back end keeps its row for so long.
-const LEAVING: Duration = Duration::from_millis(3_000);
-/// What a slow way to the table adds to each piece that it carries.
-const FAR: Duration = Duration::from_millis(120);
-/// Pause between two tries of a request under which back ends end.
-const ENDING_PAUSE: Duration = Duration::from_millis(150);
-/// Orders that an engine loses in a row.
-const ORDERS_LOST: usize = 3;
+/// Time for which a draining back end keeps its row.
+const DRAIN_DURATION: Duration = Duration::from_millis(3_000);
+/// Delay that a slow link to the table adds to each chunk of data.
+const SLOW_LINK_DELAY: Duration = Duration::from_millis(120);
+/// Interval between two sends of a request that crashes back ends.
+const CRASHING_REQUEST_INTERVAL: Duration = Duration::from_millis(150);
+/// Number of consecutive orders that an engine loses.
+const LOST_ORDERS: usize = 3;
 
 impl Run {
-    /// Does what a strike says.
-    pub(super) async fn strike(self: Arc<Self>, strike: Strike) {
-        let from = self.began.elapsed();
-        let index = strike.target % self.slots.len();
-        let what = match strike.fault {
-            Fault::Kill => vec![self.kill(index)],
+    /// Injects a fault and records the disturbances that it causes.
+    pub(super) async fn inject_fault(self: Arc<Self>, scheduled: ScheduledFault) {
+        let from = self.started_at.elapsed();
+        let index = scheduled.target % self.slots.len();
+        let kinds = match scheduled.fault {
+            Fault::Kill => vec![self.kill_gateway(index)],
             Fault::KillAll => (0..self.slots.len())
-                .map(|index| self.kill(index))
+                .map(|index| self.kill_gateway(index))
                 .collect(),
-            Fault::Stop => vec![self.stop(index).await],
-            Fault::Pause => vec![self.pause(index, strike.lasts).await],
-            Fault::TableDown => vec![self.table(|table| &table.down, strike.lasts).await],
+            Fault::Stop => vec![self.stop_gateway(index).await],
+            Fault::Pause => vec![self.suspend_gateway(index, scheduled.duration).await],
+            Fault::TableDown => vec![
+                self.set_table_fault(|table| &table.down, scheduled.duration)
+                    .await,
+            ],
             Fault::TableThrottles => {
-                vec![self.table(|table| &table.throttled, strike.lasts).await]
+                vec![
+                    self.set_table_fault(|table| &table.throttled, scheduled.duration)
+                        .await,
+                ]
             }
             Fault::TableLosesAnswers => {
-                vec![self.table(|table| &table.lose_answers, strike.lasts).await]
+                vec![
+                    self.set_table_fault(|table| &table.lose_answers, scheduled.duration)
+                        .await,
+                ]
             }
             Fault::TableForgets => {
                 self.store.compact();
-                vec![Some(What::Table)]
+                vec![Some(DisturbanceKind::Table)]
             }
             Fault::TableSilent => {
                 self.slots[index].lock().wire.silence();
-                vec![Some(What::Table)]
+                vec![Some(DisturbanceKind::Table)]
             }
-            Fault::BackEndSilent => vec![self.cut_off(strike.target, Wire::silence)],
+            Fault::BackEndSilent => vec![self.disturb_connections(scheduled.target, Wire::silence)],
             Fault::BackEndLeaves => {
-                self.clone().replace_back_end(strike.target).await;
+                self.clone().drain_by_row(scheduled.target).await;
                 Vec::new()
             }
             Fault::BackEndEnds => {
-                if let Some(back_end) = self.back_end(strike.target) {
+                if let Some(back_end) = self.select_back_end(scheduled.target) {
                     back_end.runner.end();
                 }
                 Vec::new()
             }
             Fault::BackEndSlow => {
-                self.change_mood(strike, |mood| &mood.slow).await;
+                self.set_condition(scheduled, |conditions| &conditions.slow)
+                    .await;
                 Vec::new()
             }
             Fault::BackEndGrey => {
-                self.change_mood(strike, |mood| &mood.grey).await;
+                self.set_condition(scheduled, |conditions| &conditions.failing)
+                    .await;
                 Vec::new()
             }
             Fault::EndingRequest => {
-                self.come_again(strike).await;
+                self.repeat_crashing_request(scheduled).await;
                 Vec::new()
             }
             Fault::TableFar => {
-                let wire = self.slots[index].lock().wire.clone();
-                wire.delay(FAR);
-                sleep(strike.lasts).await;
-                wire.delay(Duration::ZERO);
-                vec![Some(What::Table)]
+                let link = self.slots[index].lock().wire.clone();
+                link.delay(SLOW_LINK_DELAY);
+                sleep(scheduled.duration).await;
+                link.delay(Duration::ZERO);
+                vec![Some(DisturbanceKind::Table)]
             }
             Fault::TableRefusesOne => {
-                let wire = self.slots[index].lock().wire.clone();
-                wire.refuse(true);
-                sleep(strike.lasts).await;
-                wire.refuse(false);
-                vec![Some(What::Table)]
+                let link = self.slots[index].lock().wire.clone();
+                link.refuse(true);
+                sleep(scheduled.duration).await;
+                link.refuse(false);
+                vec![Some(DisturbanceKind::Table)]
             }
-            Fault::BackEndReset => vec![self.cut_off(strike.target, Wire::reset)],
+            Fault::BackEndReset => vec![self.disturb_connections(scheduled.target, Wire::reset)],
             Fault::BackEndDark => {
-                let wire = self.back_end(strike.target).map(|it| it.wire);
-                if let Some(wire) = wire {
-                    wire.darken(true);
-                    sleep(strike.lasts).await;
-                    wire.darken(false);
+                let link = self.select_back_end(scheduled.target).map(|it| it.wire);
+                if let Some(link) = link {
+                    link.darken(true);
+                    sleep(scheduled.duration).await;
+                    link.darken(false);
                 }
-                vec![Some(What::BackEndCutOff)]
+                vec![Some(DisturbanceKind::BackEndCutOff)]
             }
             Fault::OrdersLost => {
-                if let Some(back_end) = self.back_end(strike.target) {
-                    let lost = &back_end.runner.lose_orders;
-                    lost.store(ORDERS_LOST, Ordering::Relaxed);
+                if let Some(back_end) = self.select_back_end(scheduled.target) {
+                    let lost_orders = &back_end.runner.lose_orders;
+                    lost_orders.store(LOST_ORDERS, Ordering::Relaxed);
                 }
                 Vec::new()
             }
@@ -111,213 +127,241 @@
                 Vec::new()
             }
             Fault::TableOneWay => {
-                let wire = self.slots[index].lock().wire.clone();
-                wire.hold_answers(true);
-                sleep(strike.lasts).await;
-                wire.hold_answers(false);
-                vec![Some(What::Table)]
+                let link = self.slots[index].lock().wire.clone();
+                link.hold_answers(true);
+                sleep(scheduled.duration).await;
+                link.hold_answers(false);
+                vec![Some(DisturbanceKind::Table)]
             }
             Fault::Configuration => {
                 self.configure("/read/");
                 Vec::new()
             }
         };
-        let until = self.began.elapsed() + NEWS;
-        let done = what.into_iter().flatten();
-        let done = done.map(|what| Done { from, until, what });
-        self.done.lock().extend(done);
+        let until = self.started_at.elapsed() + PROPAGATION_BOUND;
+        let disturbances = kinds.into_iter().flatten();
+        let disturbances = disturbances.map(|kind| Disturbance { from, until, kind });
+        self.disturbances.lock().extend(disturbances);
     }
 
-    fn kill(&self, index: usize) -> Option<What> {
-        let number = self.next_process();
+    fn kill_gateway(&self, index: usize) -> Option<DisturbanceKind> {
+        let number = self.next_process_number();
         let mut slot = self.slots[index].lock();
-        let killed = slot.door()?.process;
+        let killed = slot.endpoint()?.process;
         slot.kill();
-        slot.start_again(number);
-        Some(What::Killed(killed))
+        slot.restart(number);
+        Some(DisturbanceKind::Killed(killed))
     }
 
-    async fn stop(&self, index: usize) -> Option<What> {
+    async fn stop_gateway(&self, index: usize) -> Option<DisturbanceKind> {
         let stopped = self.slots[index].lock().signal(Signal::SIGTERM)?;
-        Slot::wait_for_end(&self.slots[index]).await;
-        let number = self.next_process();
+        GatewaySlot::wait_for_exit(&self.slots[index]).await;
+        let number = self.next_process_number();
         let mut slot = self.slots[index].lock();
-        // Another fault may have put another process there meanwhile.
-        if slot.door().is_none_or(|door| door.process == stopped) {
-            slot.start_again(number);
+        // Another fault may have replaced the process in the meantime.
+        if slot
+            .endpoint()
+            .is_none_or(|endpoint| endpoint.process == stopped)
+        {
+            slot.restart(number);
         }
-        Some(What::Stopped(stopped))
+        Some(DisturbanceKind::Stopped(stopped))
     }
 
-    async fn pause(&self, index: usize, lasts: Duration) -> Option<What> {
-        let paused = self.slots[index].lock().signal(Signal::SIGSTOP)?;
-        sleep(lasts).await;
+    async fn suspend_gateway(&self, index: usize, duration: Duration) -> Option<DisturbanceKind> {
+        let suspended = self.slots[index].lock().signal(Signal::SIGSTOP)?;
+        sleep(duration).await;
         self.slots[index].lock().signal(Signal::SIGCONT);
-        Some(What::Paused(paused))
+        Some(DisturbanceKind::Suspended(suspended))
     }
 
-    async fn table(&self, flag: impl Fn(&Inner) -> &AtomicBool, lasts: Duration) -> Option<What> {
+    async fn set_table_fault(
+        &self,
+        flag: impl Fn(&Inner) -> &AtomicBool,
+        duration: Duration,
+    ) -> Option<DisturbanceKind> {
         flag(&self.store.inner).store(true, Ordering::Relaxed);
-        sleep(lasts).await;
+        sleep(duration).await;
         flag(&self.store.inner).store(false, Ordering::Relaxed);
-        Some(What::Table)
+        Some(DisturbanceKind::Table)
     }
 
-    fn back_end(&self, target: usize) -> Option<BackEnd> {
+    fn select_back_end(&self, target: usize) -> Option<BackEnd> {
         let listed = self.listed.lock();
         let count = listed.len().max(1);
         listed.get(target % count).cloned()
     }
 
-    async fn change_mood(&self, strike: Strike, mood: impl Fn(&Mood) -> &AtomicBool) {
-        let Some(back_end) = self.back_end(strike.target) else {
+    async fn set_condition(
+        &self,
+        scheduled: ScheduledFault,
+        condition: impl Fn(&Conditions) -> &AtomicBool,
+    ) {
+        let Some(back_end) = self.select_back_end(scheduled.target) else {
             return;
         };
-        mood(&back_end.mood).store(true, Ordering::Relaxed);
-        sleep(strike.lasts).await;
-        mood(&back_end.mood).store(false, Ordering::Relaxed);
+        condition(&back_end.conditions).store(true, Ordering::Relaxed);
+        sleep(scheduled.duration).await;
+        condition(&back_end.conditions).store(false, Ordering::Relaxed);
     }
 
-    /// A request under which back ends end comes again, at one gateway after the other.
-    async fn come_again(&self, strike: Strike) {
-        let body = [ENDING, &strike.at.as_millis().to_le_bytes()].concat();
-        let path = ["/stream/", "/resumable/"][strike.target % 2];
-        let mut index = strike.target;
-        while self.began.elapsed() < self.over {
+    /// Repeats a request that crashes back ends, at one gateway after the other.
+    async fn repeat_crashing_request(&self, scheduled: ScheduledFault) {
+        let body = [
+            CRASHING_BODY_PREFIX,
+            &scheduled.at.as_millis().to_le_bytes(),
+        ]
+        .concat();
+        let path = ["/stream/", "/resumable/"][scheduled.target % 2];
+        let mut index = scheduled.target;
+        while self.started_at.elapsed() < self.callers_until {
             index += 1;
-            let door = self.slots[index % self.slots.len()].lock().door();
-            if let Some(door) = door
-                && let Some(mut client) = Client::try_connect(door.callers).await
+            let endpoint = self.slots[index % self.slots.len()].lock().endpoint();
+            if let Some(endpoint) = endpoint
+                && let Some(mut client) = Client::try_connect(endpoint.caller_address).await
             {
-                // What its caller gets is no matter here; back ends tell what arrived.
+                // The response is ignored, since the back ends record the arrivals.
                 let _ = client
                     .send(request_with("ending", path, "warm", &body))
                     .await;
             }
-            sleep(ENDING_PAUSE).await;
+            sleep(CRASHING_REQUEST_INTERVAL).await;
         }
     }
 
-    /// A back end says for a while how many requests it takes.
-    pub(super) async fn state_limit(self: Arc<Self>, limit: StatedLimit) {
+    /// Lets a back end state a rate limit for some time.
+    pub(super) async fn state_limit(self: Arc<Self>, limit: ScheduledLimit) {
         sleep(limit.at).await;
-        let Some(back_end) = self.back_end(limit.target) else {
+        let Some(back_end) = self.select_back_end(limit.target) else {
             return;
         };
         let runner = &back_end.runner;
         if runner.states_limit() {
             return;
         }
-        let from = self.began.elapsed();
+        let from = self.started_at.elapsed();
         runner.state_limit(Some(&limit.rate.to_string()));
-        sleep(limit.lasts).await;
+        sleep(limit.duration).await;
         runner.state_limit(None);
-        self.limits.lock().push(Limited {
+        self.limited_back_ends.lock().push(LimitedBackEnd {
             back_end: runner.id.clone(),
             rate: limit.rate,
             from,
-            until: self.began.elapsed(),
+            until: self.started_at.elapsed(),
             arrivals: Vec::new(),
         });
     }
 
-    /// A back end says something of itself in its answers.
-    pub(super) async fn make_statement(self: Arc<Self>, strike: StatementStrike) {
-        sleep(strike.at).await;
-        match strike.statement {
-            Statement::Leaves => self.leave_by_answers(strike).await,
-            Statement::WantsPause => {
-                let Some(back_end) = self.back_end(strike.target) else {
+    /// Lets a back end make a statement about itself in its responses.
+    pub(super) async fn make_statement(self: Arc<Self>, scheduled: ScheduledStatement) {
+        sleep(scheduled.at).await;
+        match scheduled.statement {
+            ResponseStatement::Draining => self.drain_by_responses(scheduled).await,
+            ResponseStatement::RequestsPause => {
+                let Some(back_end) = self.select_back_end(scheduled.target) else {
                     return;
                 };
-                back_end.mood.busy.store(true, Ordering::Relaxed);
-                sleep(strike.lasts).await;
-                back_end.mood.busy.store(false, Ordering::Relaxed);
+                back_end.conditions.rejecting.store(true, Ordering::Relaxed);
+                sleep(scheduled.duration).await;
+                back_end
+                    .conditions
+                    .rejecting
+                    .store(false, Ordering::Relaxed);
             }
         }
     }
 
-    /// A back end leaves and says so in its answers alone; another one comes.
-    async fn leave_by_answers(self: Arc<Self>, strike: StatementStrike) {
-        let Some(leaving) = self.take_off_the_list(strike.target) else {
+    /// Lets a back end announce its drain in its responses alone, and adds a replacement.
+    async fn drain_by_responses(self: Arc<Self>, scheduled: ScheduledStatement) {
+        let Some(draining) = self.unlist_back_end(scheduled.target) else {
             return;
         };
-        let next = self.add_back_end(leaving.service).await;
-        tokio::spawn(self.clone().replace_when_ended(next));
-        leaving.runner.say_leaving(true);
-        self.departed.lock().push(Departed {
-            back_end: leaving.runner.id.clone(),
-            said: self.began.elapsed(),
+        let replacement = self.add_back_end(draining.service).await;
+        tokio::spawn(self.clone().replace_when_exited(replacement));
+        draining.runner.say_leaving(true);
+        self.response_drains.lock().push(ResponseDrain {
+            back_end: draining.runner.id.clone(),
+            announced_at: self.started_at.elapsed(),
         });
-        sleep(strike.lasts).await;
-        self.store.remove("servers", &leaving.runner.id);
+        sleep(scheduled.duration).await;
+        self.store.remove("servers", &draining.runner.id);
     }
 
-    /// A back end that faults strike no more, since it leaves.
-    fn take_off_the_list(&self, target: usize) -> Option<BackEnd> {
+    /// Removes a back end that drains from the targets of faults.
+    fn unlist_back_end(&self, target: usize) -> Option<BackEnd> {
         let mut listed = self.listed.lock();
         let count = listed.len();
         (count > 0).then(|| listed.remove(target % count))
     }
 
-    /// Something happens to the row of a back end.
-    pub(super) async fn strike_row(self: Arc<Self>, strike: RowStrike) {
-        sleep(strike.at).await;
-        let Some(back_end) = self.back_end(strike.target) else {
+    /// Corrupts the row of a back end for some time, or restarts the back end under its name.
+    pub(super) async fn inject_row_fault(self: Arc<Self>, scheduled: ScheduledRowFault) {
+        sleep(scheduled.at).await;
+        let Some(back_end) = self.select_back_end(scheduled.target) else {
             return;
         };
         let id = back_end.runner.id.clone();
-        let mut row = row_of(&back_end, "ready");
-        match strike.fault {
-            RowFault::StartsAgain => {
-                self.starting_again.lock().insert(id);
+        let mut row = back_end_row(&back_end, "ready");
+        match scheduled.fault {
+            RowFault::Restart => {
+                self.restarting.lock().insert(id);
                 back_end.runner.end();
                 return;
             }
-            RowFault::LacksField => {
-                row.as_object_mut().expect("a row").remove("addr");
+            RowFault::MissingField => {
+                row.as_object_mut()
+                    .expect("a row is a JSON object")
+                    .remove("addr");
             }
-            RowFault::OtherType => row["slots"] = json!("eight"),
+            RowFault::WrongType => row["slots"] = json!("eight"),
             RowFault::UnknownWord => row["state"] = json!("dreaming"),
         }
-        let from = self.began.elapsed();
+        let from = self.started_at.elapsed();
         self.store.put("servers", &id, row);
-        sleep(strike.lasts).await;
-        // It may have ended, or begun to leave, meanwhile.
-        let is_listed = |one: &BackEnd| one.runner.id == id && one.born == back_end.born;
+        sleep(scheduled.duration).await;
+        // The back end may have exited or begun to drain in the meantime.
+        let is_listed = |other: &BackEnd| {
+            other.runner.id == id && other.start_time_ms == back_end.start_time_ms
+        };
         if self.listed.lock().iter().any(is_listed) {
             self.put_row(&back_end, "ready");
         }
-        let until = self.began.elapsed() + NEWS;
-        let what = What::BackEndCutOff;
-        self.done.lock().push(Done { from, until, what });
+        let until = self.started_at.elapsed() + PROPAGATION_BOUND;
+        let kind = DisturbanceKind::BackEndCutOff;
+        self.disturbances
+            .lock()
+            .push(Disturbance { from, until, kind });
     }
 
-    /// Something happens to the connections of a back end that are open.
-    fn cut_off(&self, target: usize, how: impl Fn(&Wire)) -> Option<What> {
-        how(&self.back_end(target)?.wire);
-        Some(What::BackEndCutOff)
+    /// Disturbs the open connections of a back end.
+    fn disturb_connections(
+        &self,
+        target: usize,
+        disturb: impl Fn(&Wire),
+    ) -> Option<DisturbanceKind> {
+        disturb(&self.select_back_end(target)?.wire);
+        Some(DisturbanceKind::BackEndCutOff)
     }
 
-    /// A back end says that it leaves, and another one comes.
-    async fn replace_back_end(self: Arc<Self>, target: usize) {
-        let Some(leaving) = self.take_off_the_list(target) else {
+    /// Lets a back end announce its drain in its row, and adds a replacement.
+    async fn drain_by_row(self: Arc<Self>, target: usize) {
+        let Some(draining) = self.unlist_back_end(target) else {
             return;
         };
-        let next = self.add_back_end(leaving.service).await;
-        tokio::spawn(self.clone().replace_when_ended(next));
-        self.put_row(&leaving, "draining");
-        let said = self.began.elapsed();
-        sleep(NEWS + SLACK).await;
-        let left = Left {
-            back_end: leaving.runner.id.clone(),
-            said,
-            counted: self.began.elapsed(),
-            arrived: leaving.runner.seen().len(),
-            arrived_in_the_end: 0,
+        let replacement = self.add_back_end(draining.service).await;
+        tokio::spawn(self.clone().replace_when_exited(replacement));
+        self.put_row(&draining, "draining");
+        let announced_at = self.started_at.elapsed();
+        sleep(PROPAGATION_BOUND + STANDIN_SLACK).await;
+        let drain = RowDrain {
+            back_end: draining.runner.id.clone(),
+            announced_at,
+            counted_at: self.started_at.elapsed(),
+            arrived_when_counted: draining.runner.seen().len(),
+            arrived_in_total: 0,
         };
-        self.left.lock().push(left);
-        sleep(LEAVING - NEWS).await;
-        self.store.remove("servers", &leaving.runner.id);
+        self.row_drains.lock().push(drain);
+        sleep(DRAIN_DURATION - PROPAGATION_BOUND).await;
+        self.store.remove("servers", &draining.runner.id);
     }
 }
--- a/crates/gorsebank/tests/soak/run/tell.rs
+++ b/crates/gorsebank/tests/soak/run/tell.rs
@@ -1,81 +1,87 @@
-//! What back ends saw in a run.
+//! Collection of what back ends observed in a soak run.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
 use super::{BackEnd, Run};
-use crate::history::{History, PauseWanted};
+use crate::history::{History, RequestedPauses};
 
 impl Run {
-    /// What back ends saw.
-    pub(super) fn tell(&self, history: &mut History) {
-        let mut runs: BTreeMap<String, Vec<String>> = BTreeMap::new();
-        for back_end in self.all.lock().iter() {
+    /// Moves the observations of the run and of its back ends into the history.
+    pub(super) fn collect_observations(&self, history: &mut History) {
+        let mut executions: BTreeMap<String, Vec<String>> = BTreeMap::new();
+        for back_end in self.all_back_ends.lock().iter() {
             let runner = &back_end.runner;
-            // Each life of it for itself.
-            let life = format!("{} of {:?}", runner.id, back_end.born);
+            // Each incarnation of a back end is recorded separately.
+            let incarnation = format!("{} of {:?}", runner.id, back_end.start_time_ms);
             for seen in runner.seen() {
-                let at = runs.entry(seen.id().to_owned()).or_default();
+                let at = executions.entry(seen.id().to_owned()).or_default();
                 at.push(runner.id.clone());
             }
-            // What it turned away did not run there.
-            for (_, id) in back_end.mood.turned_away.lock().iter() {
-                if let Some(at) = runs.get_mut(id)
+            // A request that the back end rejected did not run there.
+            for (_, id) in back_end.conditions.rejections.lock().iter() {
+                if let Some(at) = executions.get_mut(id)
                     && let Some(index) = at.iter().position(|name| *name == runner.id)
                 {
                     at.remove(index);
                 }
             }
             let models = runner.most_models();
-            history.most_models.insert(life.clone(), models);
+            history.max_models.insert(incarnation.clone(), models);
             let orders = runner.orders();
             let fences = orders.iter().filter_map(|order| order["fence"].as_u64());
-            history.fences.insert(life, fences.collect());
+            history.fences.insert(incarnation, fences.collect());
         }
-        // What asks whether gateways serve bears one id.
-        runs.remove("probe");
-        runs.remove("ending");
-        history.endings = std::mem::take(&mut *self.endings.lock());
-        history.runs = runs;
-        history.done = std::mem::take(&mut *self.done.lock());
-        history.left = std::mem::take(&mut *self.left.lock());
-        history.limits = std::mem::take(&mut *self.limits.lock());
-        let tries = history.tries.iter();
-        let process_of: BTreeMap<&str, usize> =
-            tries.map(|one| (one.id.as_str(), one.process)).collect();
-        let all = self.all.lock();
-        for left in &mut history.left {
-            let back_end = all.iter().find(|one| one.runner.id == left.back_end);
-            left.arrived_in_the_end = back_end.map_or(0, |one| one.runner.seen().len());
+        // Probes of the gateways and crashing requests share one id each, so they are no executions
+        // of a single request.
+        executions.remove("probe");
+        executions.remove("ending");
+        history.crash_arrivals = std::mem::take(&mut *self.crash_arrivals.lock());
+        history.executions = executions;
+        history.disturbances = std::mem::take(&mut *self.disturbances.lock());
+        history.row_drains = std::mem::take(&mut *self.row_drains.lock());
+        history.limited_back_ends = std::mem::take(&mut *self.limited_back_ends.lock());
+        let requests = history.requests.iter();
+        let process_of: BTreeMap<&str, usize> = requests
+            .map(|request| (request.id.as_str(), request.process))
+            .collect();
+        let all = self.all_back_ends.lock();
+        for drain in &mut history.row_drains {
+            let back_end = all
+                .iter()
+                .find(|back_end| back_end.runner.id == drain.back_end);
+            drain.arrived_in_total = back_end.map_or(0, |back_end| back_end.runner.seen().len());
         }
-        let of_process = |at: Instant, id: &str| {
+        let with_process = |at: Instant, id: &str| {
             let process = process_of.get(id)?;
-            Some((at.checked_duration_since(self.began)?, *process))
+            Some((at.checked_duration_since(self.started_at)?, *process))
         };
         let arrivals = |back_end: &BackEnd| -> Vec<(Duration, usize)> {
             let seen = back_end.runner.seen().into_iter();
-            seen.filter_map(|seen| of_process(seen.at, seen.id()))
+            seen.filter_map(|seen| with_process(seen.at, seen.id()))
                 .collect()
         };
-        for limited in &mut history.limits {
-            let back_end = all.iter().find(|one| one.runner.id == limited.back_end);
+        for limited in &mut history.limited_back_ends {
+            let back_end = all
+                .iter()
+                .find(|back_end| back_end.runner.id == limited.back_end);
             limited.arrivals = back_end.map(arrivals).unwrap_or_default();
         }
-        history.departed = std::mem::take(&mut *self.departed.lock());
-        let busy = all
+        history.response_drains = std::mem::take(&mut *self.response_drains.lock());
+        let rejecting = all
             .iter()
-            .filter(|one| !one.mood.turned_away.lock().is_empty());
-        let pauses = busy.map(|back_end| PauseWanted {
+            .filter(|back_end| !back_end.conditions.rejections.lock().is_empty());
+        let pauses = rejecting.map(|back_end| RequestedPauses {
             back_end: back_end.runner.id.clone(),
-            turned_away: back_end
-                .mood
-                .turned_away
+            rejections: back_end
+                .conditions
+                .rejections
                 .lock()
                 .iter()
-                .filter_map(|(at, id)| of_process(*at, id))
+                .filter_map(|(at, id)| with_process(*at, id))
                 .collect(),
             arrivals: arrivals(back_end),
         });
-        history.pauses = pauses.collect();
+        history.requested_pauses = pauses.collect();
     }
 }
--- a/crates/gorsebank/tests/soak/statements.rs
+++ b/crates/gorsebank/tests/soak/statements.rs
@@ -1,80 +1,94 @@
-//! Promises on what back ends say of themselves in their answers.
+//! Checks that gateways respect the statements that back ends make in their responses.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::history::{Departed, End, History, PauseWanted, Try, What};
-use super::promises::{Finding, Promise};
+use super::history::{
+    CallerRequest, DisturbanceKind, History, Outcome, RequestedPauses, ResponseDrain,
+};
+use super::promises::{Finding, Guarantee};
 
-/// The pause that back ends want, and as it stands in their answers.
-pub const PAUSE: Duration = Duration::from_millis(1_500);
-pub const PAUSE_TEXT: &str = "1.5";
-/// A process sends nothing new to a back end later than this after it has passed on an answer
-/// that says that it leaves.
+/// Pause that back ends request.
+pub const REQUESTED_PAUSE: Duration = Duration::from_millis(1_500);
+/// The requested pause as it is written in responses, in seconds.
+pub const REQUESTED_PAUSE_SECONDS_TEXT: &str = "1.5";
+/// A process sends a back end nothing new later than this after the process has forwarded a
+/// response that announces the drain.
 const DRAIN_BOUND: Duration = Duration::from_secs(2);
-/// What is under way when a pause is asked for arrives within this time.
-const UNDER_WAY: Duration = Duration::from_millis(500);
-/// So many requests may come in the rest of a pause.
-const MOST_IN_A_PAUSE: usize = 2;
+/// Requests that were in flight when a pause was requested arrive within this time.
+const IN_FLIGHT_BOUND: Duration = Duration::from_millis(500);
+/// Number of requests that are allowed in the remainder of a pause.
+const MAX_REQUESTS_IN_PAUSE: usize = 2;
 
-/// The table is no excuse: the answer has told the process.
-pub fn check_departure(history: &History, departed: &Departed) -> Option<Finding> {
-    let seal = format!("seal-{}-", departed.back_end);
-    let tells = |one: &&Try| {
-        let sealed = |seal_of: &String| seal_of.starts_with(&seal);
-        let by_it = matches!(&one.end, End::Answer { seal: Some(seal), .. } if sealed(seal));
-        by_it && one.sent >= departed.said
+/// Checks a drain that was announced in responses. Faults of the table are no excuse, since the
+/// process learned of the drain from a response.
+pub fn check_response_drain(history: &History, drain: &ResponseDrain) -> Option<Finding> {
+    let seal = format!("seal-{}-", drain.back_end);
+    let reports_drain = |request: &&CallerRequest| {
+        let is_own = |received_seal: &String| received_seal.starts_with(&seal);
+        let is_from_back_end =
+            matches!(&request.outcome, Outcome::Response { seal: Some(seal), .. } if is_own(seal));
+        is_from_back_end && request.sent_at >= drain.announced_at
     };
-    let mut told: BTreeMap<usize, Duration> = BTreeMap::new();
-    for one in history.tries.iter().filter(tells) {
-        let known = told.entry(one.process).or_insert(one.ended);
-        *known = one.ended.min(*known);
+    let mut informed_at: BTreeMap<usize, Duration> = BTreeMap::new();
+    for request in history.requests.iter().filter(reports_drain) {
+        let first = informed_at
+            .entry(request.process)
+            .or_insert(request.ended_at);
+        *first = request.ended_at.min(*first);
     }
-    let is_late = |one: &&Try| {
-        let arrived = history.runs.get(&one.id);
-        let arrived = arrived.is_some_and(|at| at.contains(&departed.back_end));
-        let told = told.get(&one.process);
-        let is_late = told.is_some_and(|told| one.sent > *told + DRAIN_BOUND);
-        let stood_still = |what| what == What::Paused(one.process);
-        arrived && is_late && !history.overlaps(departed.said, one.ended, stood_still)
+    let is_late = |request: &&CallerRequest| {
+        let has_arrived = history.executions.get(&request.id);
+        let has_arrived = has_arrived.is_some_and(|at| at.contains(&drain.back_end));
+        let informed_at = informed_at.get(&request.process);
+        let is_late =
+            informed_at.is_some_and(|informed_at| request.sent_at > *informed_at + DRAIN_BOUND);
+        let is_own_suspension = |kind| kind == DisturbanceKind::Suspended(request.process);
+        has_arrived
+            && is_late
+            && !history.has_disturbance(drain.announced_at, request.ended_at, is_own_suspension)
     };
-    let late = history.tries.iter().find(is_late)?;
-    let what = format!("{departed:?}, told {told:?}: {late:?}");
+    let late = history.requests.iter().find(is_late)?;
+    let details = format!("{drain:?}, processes informed at {informed_at:?}: {late:?}");
     Some(Finding {
-        promise: Promise::DepartureKept,
-        what,
+        guarantee: Guarantee::DepartureKept,
+        details,
     })
 }
 
-/// A process that stood still or was cut off from the back end may not have its answer.
-pub fn check_pauses(history: &History, wanted: &PauseWanted) -> Option<Finding> {
-    let in_pause = |(asked, process): &(Duration, usize)| {
+/// Checks requested pauses. A process that was suspended or cut off from the back end may not have
+/// received the response.
+pub fn check_requested_pauses(history: &History, pauses: &RequestedPauses) -> Option<Finding> {
+    let count_in_pause = |(requested_at, process): &(Duration, usize)| {
         let within = |(at, by): &&(Duration, usize)| {
-            by == process && *at > *asked + UNDER_WAY && *at < *asked + PAUSE
+            by == process
+                && *at > *requested_at + IN_FLIGHT_BOUND
+                && *at < *requested_at + REQUESTED_PAUSE
         };
-        wanted.arrivals.iter().filter(within).count()
+        pauses.arrivals.iter().filter(within).count()
     };
-    let is_broken = |turned_away: &&(Duration, usize)| {
-        let (asked, process) = **turned_away;
-        let excuses = |what| match what {
-            What::Paused(struck) | What::Killed(struck) | What::Stopped(struck) => {
-                struck == process
-            }
-            What::BackEndCutOff | What::BackEndEnded => true,
-            What::Table => false,
+    let is_violated = |rejection: &&(Duration, usize)| {
+        let (requested_at, process) = **rejection;
+        let excuses = |kind| match kind {
+            DisturbanceKind::Suspended(affected)
+            | DisturbanceKind::Killed(affected)
+            | DisturbanceKind::Stopped(affected) => affected == process,
+            DisturbanceKind::BackEndCutOff | DisturbanceKind::BackEndExited => true,
+            DisturbanceKind::Table => false,
         };
-        in_pause(turned_away) > MOST_IN_A_PAUSE && !history.overlaps(asked, asked + PAUSE, excuses)
+        count_in_pause(rejection) > MAX_REQUESTS_IN_PAUSE
+            && !history.has_disturbance(requested_at, requested_at + REQUESTED_PAUSE, excuses)
     };
-    let broken = wanted.turned_away.iter().find(is_broken)?;
-    let what = format!(
-        "{} asked process {} at {:?} and got {} in the rest of its pause",
-        wanted.back_end,
-        broken.1,
-        broken.0,
-        in_pause(broken)
+    let violated = pauses.rejections.iter().find(is_violated)?;
+    let details = format!(
+        "{} requested a pause of process {} at {:?} and received {} requests in the rest of it",
+        pauses.back_end,
+        violated.1,
+        violated.0,
+        count_in_pause(violated)
     );
     Some(Finding {
-        promise: Promise::PauseKept,
-        what,
+        guarantee: Guarantee::PauseKept,
+        details,
     })
 }
--- a/crates/gorsebank/tests/support/mod.rs
+++ b/crates/gorsebank/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small deployment of real processes on loopback, and a caller.
+//! A small deployment of real processes on loopback, and a client for it.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use http_body_util::{BodyExt, Full};
 use serde_json::{Value, json};
 
-/// Nothing that is waited for may take longer.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Upper bound on every wait of a test.
+pub const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-/// Table, store, machine lists, two engines, two application back ends, nodes.
+/// A deployment: table, store, machine lists, two engines, two application back ends, and nodes.
 pub struct Deployment {
     pub live: LiveDeployment,
     http: HttpClient,
@@ -43,16 +43,16 @@
         "store": {"starts_per_second": 10.0, "concurrency": 8, "bandwidth": "40GB"},
         "machine_list_lag": "0s",
     });
-    serde_json::from_value(header).expect("a header")
+    serde_json::from_value(header).expect("a trace header")
 }
 
 impl Deployment {
-    /// Starts everything; `name` keeps files of different tests apart.
+    /// Starts all processes over relayed links; `name` separates the files of different tests.
     pub async fn start(name: &str, nodes: usize) -> Self {
         Deployment::start_over(name, nodes, LinkKind::Relayed).await
     }
 
-    /// The same over links of a kind.
+    /// Starts all processes over links of the given kind.
     pub async fn start_over(name: &str, nodes: usize, links: LinkKind) -> Self {
         let binaries = Binaries {
             gorsebank: PathBuf::from(env!("CARGO_BIN_EXE_gorsebank")),
@@ -67,21 +67,21 @@
         }
     }
 
-    /// A node's address for callers.
+    /// Returns the address of a node for callers.
     pub fn callers(&self, node: &str) -> SocketAddr {
         self.live.addresses(node).expect("the node exists").callers
     }
 
-    /// A node's address for operators.
+    /// Returns the address of a node for operators.
     pub fn admin(&self, node: &str) -> SocketAddr {
         self.live.addresses(node).expect("the node exists").admin
     }
 
-    pub async fn post(&self, address: SocketAddr, path: &str, body: &str) -> Answer {
+    pub async fn post(&self, address: SocketAddr, path: &str, body: &str) -> Response {
         self.send(Method::POST, address, path, &[], body).await
     }
 
-    pub async fn get(&self, address: SocketAddr, path: &str) -> Answer {
+    pub async fn get(&self, address: SocketAddr, path: &str) -> Response {
         self.send(Method::GET, address, path, &[], "").await
     }
 
@@ -92,7 +92,7 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Answer {
+    ) -> Response {
         let mut request = Request::builder()
             .method(method)
             .uri(format!("http://{address}{path}"))
@@ -102,27 +102,27 @@
         }
         let request = request
             .body(Full::new(Bytes::from(body.to_owned())))
-            .expect("a request");
-        let answer = self.http.send(request).await.expect("an answer");
-        let (head, body) = answer.into_parts();
-        let (text, is_whole) = match body.collect().await {
+            .expect("a valid request");
+        let response = self.http.send(request).await.expect("a response");
+        let (head, body) = response.into_parts();
+        let (text, is_complete) = match body.collect().await {
             Ok(body) => (body.to_bytes(), true),
             Err(_) => (Bytes::new(), false),
         };
-        Answer {
+        Response {
             status: head.status,
             headers: head.headers,
             text: String::from_utf8_lossy(&text).into_owned(),
-            is_whole,
+            is_complete,
         }
     }
 
-    /// What the application back ends ran.
+    /// Returns the executions that the application back ends recorded.
     pub fn executions(&self) -> Vec<Value> {
         self.records(&["a1", "a2"])
     }
 
-    /// What the engines did.
+    /// Returns the events that the engines recorded.
     pub fn engine_events(&self) -> Vec<Value> {
         self.records(&["e1", "e2"])
     }
@@ -143,25 +143,25 @@
     }
 
     pub async fn wait_until(&self, what: &str, mut holds: impl AsyncFnMut() -> bool) {
-        let until = Instant::now() + PATIENCE;
+        let deadline = Instant::now() + WAIT_LIMIT;
         while !holds().await {
-            assert!(Instant::now() < until, "waited in vain until {what}");
+            assert!(Instant::now() < deadline, "timed out waiting until {what}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 }
 
-/// A caller's answer.
-pub struct Answer {
+/// A response as a caller receives it.
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub text: String,
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.text).expect("the answer is JSON")
+        serde_json::from_str(&self.text).expect("the response is JSON")
     }
 
     pub fn code(&self) -> String {
@@ -171,18 +171,18 @@
             .to_owned()
     }
 
-    /// Numbers of the stream's events, in order.
+    /// Returns the numbers of the events of a stream, in order.
     pub fn event_numbers(&self) -> Vec<u64> {
         self.text
             .lines()
             .filter_map(|line| line.strip_prefix("id: "))
             .filter_map(|id| id.rsplit_once(':'))
-            .map(|(_, number)| number.parse().expect("a number"))
+            .map(|(_, number)| number.parse().expect("an event number"))
             .collect()
     }
 }
 
-/// The body of a completion.
+/// Returns the body of a completion request.
 pub fn completion(model: &str, stream: bool, tokens: u64) -> String {
     json!({"model": model, "prompt": "x", "stream": stream, "max_tokens": tokens}).to_string()
 }
--- a/crates/gorsebank/tests/unread_output.rs
+++ b/crates/gorsebank/tests/unread_output.rs
@@ -1,4 +1,4 @@
-//! A gateway whose output nobody reads.
+//! A gateway whose output nobody reads must not delay requests.
 
 #[path = "../../../platform/tests/support/mod.rs"]
 mod platform;
@@ -13,56 +13,59 @@
 use platform::runner::{Reply, Runner};
 use platform::{store_with, until};
 
-/// For so long the output is not read.
-const UNREAD: Duration = Duration::from_secs(10);
-/// No request may take longer: one that waits for the reader would take for ever.
-const LONGEST: Duration = Duration::from_secs(2);
-/// Refused requests in a round; each leaves a line.
-const REFUSED: usize = 4;
-/// Rounds at least, however slow the machine is: their lines are more than the queue of lines
-/// (2,048) and a pipe (some 400) hold together, or nothing would have to be left out.
-const LEAST_ROUNDS: usize = 1_000;
+/// Time for which the output is not read.
+const UNREAD_TIME: Duration = Duration::from_secs(10);
+/// Upper bound on a round of requests; a request that waited for the reader would never end.
+const MAX_ROUND_TIME: Duration = Duration::from_secs(2);
+/// Number of rejected requests in a round; each writes a log line.
+const REJECTED_PER_ROUND: usize = 4;
+/// Minimum number of rounds on a machine of any speed. Their log lines exceed what the log queue
+/// (2,048) and a pipe (some 400) hold together; with fewer, no line would have to be dropped.
+const MIN_ROUNDS: usize = 1_000;
 /// Pause between two rounds of requests.
 const PAUSE: Duration = Duration::from_millis(4);
 
 #[tokio::test]
-async fn output_that_nobody_reads_holds_no_request_up() {
+async fn unread_output_does_not_delay_requests() {
     let runner = Runner::start("i-1", |_| Reply::Answer(200, "done")).await;
     let store = store_with("app", &[&runner]).await;
-    let addresses = [0, 1].map(|_| free_address().expect("a port"));
+    let addresses = [0, 1].map(|_| free_address().expect("a free port"));
     let program = Path::new(env!("CARGO_BIN_EXE_gorsebank"));
     let mut gateway = GatewayProcess::start(program, &store, addresses);
     until(async || gateway.is_ready().await).await;
 
     let mut client = Client::connect(gateway.callers).await;
-    let began = Instant::now();
+    let started_at = Instant::now();
     let mut longest = Duration::ZERO;
     let mut rounds = 0;
-    while began.elapsed() < UNREAD || rounds < LEAST_ROUNDS {
-        let asked = Instant::now();
+    while started_at.elapsed() < UNREAD_TIME || rounds < MIN_ROUNDS {
+        let round_start = Instant::now();
         let served = client.send(request(&format!("s{rounds}"), "/read/")).await;
-        assert_eq!(served.expect("an answer").status, 200);
-        for number in 0..REFUSED {
+        assert_eq!(served.expect("a response").status, 200);
+        for number in 0..REJECTED_PER_ROUND {
             let id = format!("f{rounds}-{number}");
-            let refused = client.send(request(&id, "/nowhere/")).await;
-            assert_eq!(refused.expect("an answer").status, 404);
+            let rejected = client.send(request(&id, "/nowhere/")).await;
+            assert_eq!(rejected.expect("a response").status, 404);
         }
-        longest = longest.max(asked.elapsed());
+        longest = longest.max(round_start.elapsed());
         rounds += 1;
         tokio::time::sleep(PAUSE).await;
     }
     println!("{rounds} rounds, the longest took {longest:?}");
-    assert!(longest < LONGEST, "{longest:?}");
+    assert!(longest < MAX_ROUND_TIME, "{longest:?}");
 
     let lines = gateway.read_lines();
-    let about_refused = lines
+    let rejection_lines = lines
         .iter()
         .filter(|line| line.contains(" request=f"))
         .count();
     let left_out = lines.iter().map(|line| count_left_out(line)).max();
-    println!("{about_refused} lines on refused requests, {left_out:?} left out");
-    assert!(about_refused < rounds * REFUSED, "the writer was held up");
-    assert!(left_out > Some(0), "what was left out is counted");
+    println!("{rejection_lines} log lines of rejected requests, {left_out:?} lines dropped");
+    assert!(
+        rejection_lines < rounds * REJECTED_PER_ROUND,
+        "no log line was dropped although nobody read the output"
+    );
+    assert!(left_out > Some(0), "dropped lines are counted");
 }
 
 fn count_left_out(line: &str) -> u64 {
