--- a/crates/gorsebank/tests/whole_path.rs
+++ b/crates/gorsebank/tests/whole_path.rs
@@ -1,5 +1,5 @@
-//! The whole path over separate processes: callers, three nodes, the platform
-//! and four back ends.
+//! The whole request path over separate processes: callers, three nodes, the platform and four back
+//! ends.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::{Deployment, completion};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cold_model_answers_at_every_node_and_is_loaded_once() {
+async fn cold_model_is_loaded_once_for_requests_at_all_nodes() {
     let deployment = Deployment::start("whole-path", 3).await;
     let body = json!({
         "model": "llama", "stream": true, "max_tokens": 5,
@@ -20,20 +20,23 @@
         let address = deployment.callers(node);
         deployment.post(address, "/v1/chat/completions", &body)
     });
-    for answer in futures_util::future::join_all(calls).await {
-        assert_eq!(answer.status, 200, "{}", answer.text);
-        assert_eq!(answer.event_numbers(), [0, 1, 2, 3, 4, 5, 6]);
-        assert!(answer.text.trim_end().ends_with("data: [DONE]"));
+    for response in futures_util::future::join_all(calls).await {
+        assert_eq!(response.status, 200, "{}", response.text);
+        assert_eq!(response.event_numbers(), [0, 1, 2, 3, 4, 5, 6]);
+        assert!(response.text.trim_end().ends_with("data: [DONE]"));
     }
     let loads = deployment.count_events("loaded");
-    assert_eq!(loads, 1, "a burst at three routers is one cold start");
+    assert_eq!(
+        loads, 1,
+        "concurrent requests at three nodes cause one load"
+    );
 }
 
-/// Headers, body, expected status and error code.
+/// Headers, body, expected status and expected error code.
 type Case<'a> = (&'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_input_gets_a_typed_error_and_other_requests_go_on() {
+async fn invalid_request_gets_typed_error_and_others_succeed() {
     let deployment = Deployment::start("bad-input", 1).await;
     let address = deployment.callers("n1");
     let large = json!({"model": "llama", "prompt": "x".repeat(5 << 20)}).to_string();
@@ -60,67 +63,74 @@
         (&[("idempotency-key", "")], &body, 400, "invalid_header"),
     ];
     for (headers, body, status, code) in cases {
-        let answer = deployment
+        let response = deployment
             .send(Method::POST, address, "/v1/completions", headers, body)
             .await;
-        assert_eq!(answer.status, status, "{code}: {}", answer.text);
-        assert_eq!(answer.code(), code);
-        assert_eq!(answer.headers["gorsebank-ran"], "no");
-        // The next request goes on a new connection where this one ends.
-        let ends = answer.headers.get("connection").is_some();
-        assert_eq!(ends, code == "body_too_large", "{code}");
+        assert_eq!(response.status, status, "{code}: {}", response.text);
+        assert_eq!(response.code(), code);
+        assert_eq!(response.headers["gorsebank-ran"], "no");
+        // The client opens a new connection for the next request if this one is closed.
+        let is_closed = response.headers.get("connection").is_some();
+        assert_eq!(is_closed, code == "body_too_large", "{code}");
     }
     let unknown = deployment.post(address, "/services/none/x", "").await;
     assert_eq!(unknown.code(), "service_not_found");
     let wrong_method = deployment.get(address, "/v1/completions").await;
     assert_eq!(wrong_method.code(), "method_not_allowed");
-    let good = deployment.post(address, "/v1/completions", &body).await;
-    assert_eq!(good.status, 200, "{}", good.text);
+    let valid = deployment.post(address, "/v1/completions", &body).await;
+    assert_eq!(valid.status, 200, "{}", valid.text);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_cut_body_loses_only_its_own_request() {
+async fn truncated_body_fails_only_its_request() {
     use tokio::io::AsyncWriteExt;
 
     let deployment = Deployment::start("cut-body", 1).await;
     let address = deployment.callers("n1");
     let mut stream = tokio::net::TcpStream::connect(address)
         .await
-        .expect("it accepts");
+        .expect("the node accepts connections");
     let head = "POST /v1/completions HTTP/1.1\r\nhost: x\r\ncontent-length: 100\r\n\r\n{\"mod";
-    stream.write_all(head.as_bytes()).await.expect("it is sent");
+    stream
+        .write_all(head.as_bytes())
+        .await
+        .expect("the partial request is sent");
     drop(stream);
-    let good = deployment
+    let valid = deployment
         .post(address, "/v1/completions", &completion("llama", false, 2))
         .await;
-    assert_eq!(good.status, 200, "{}", good.text);
+    assert_eq!(valid.status, 200, "{}", valid.text);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn garbage_between_nodes_closes_only_its_own_connection() {
+async fn malformed_frame_closes_only_its_connection() {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     let deployment = Deployment::start("garbage", 2).await;
-    let nodes = deployment.live.addresses("n1").expect("it exists").nodes;
+    let nodes = deployment
+        .live
+        .addresses("n1")
+        .expect("the node exists")
+        .nodes;
     let too_long = u32::MAX.to_be_bytes();
     let not_cbor = [0, 0, 0, 4, 0xff, 0xff, 0xff, 0xff];
     for garbage in [&too_long[..], &not_cbor[..]] {
         let mut stream = tokio::net::TcpStream::connect(nodes)
             .await
-            .expect("it accepts");
+            .expect("the node accepts connections");
         stream.write_all(garbage).await.expect("garbage is sent");
         let mut rest = Vec::new();
         stream
             .read_to_end(&mut rest)
             .await
-            .expect("the node closes");
+            .expect("the node closes the connection");
         assert!(rest.is_empty());
     }
     for node in ["n1", "n2"] {
         let address = deployment.callers(node);
-        let answer = deployment
+        let response = deployment
             .post(address, "/v1/completions", &completion("llama", false, 2))
             .await;
-        assert_eq!(answer.status, 200, "{}", answer.text);
+        assert_eq!(response.status, 200, "{}", response.text);
     }
 }
--- a/crates/gorsebank/tests/wire_names.rs
+++ b/crates/gorsebank/tests/wire_names.rs
@@ -1,12 +1,12 @@
-//! The users' platform's names stand in `platform/` alone.
+//! Names of the wire formats of the users' platform may occur in `platform/` only.
 //!
-//! Its headers, paths and distinctive fields are listed here once; a source
-//! file elsewhere that holds one as a whole word fails the test. Words that are
-//! plain English, or that a library of the field uses as well, are not listed.
+//! This file lists the headers, paths and distinctive fields of that platform. The test fails if a
+//! source file elsewhere contains one of them as a whole word. Words of plain English, and words
+//! that a library of the field also uses, are not listed.
 
 use std::path::{Path, PathBuf};
 
-/// Names that only the platform's wire uses.
+/// Names that only the wire formats of the platform use.
 const WIRE_NAMES: [&str; 68] = [
     "request-id",
     "deadline-ms",
@@ -78,30 +78,30 @@
     "quotaSlack",
 ];
 
-fn root() -> PathBuf {
+fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-fn sources(folder: &Path, found: &mut Vec<PathBuf>) {
-    for entry in std::fs::read_dir(folder).expect("a folder") {
-        let path = entry.expect("an entry").path();
+fn collect_sources(folder: &Path, files: &mut Vec<PathBuf>) {
+    for entry in std::fs::read_dir(folder).expect("the folder can be read") {
+        let path = entry.expect("the entry can be read").path();
         if path.is_dir() {
-            sources(&path, found);
+            collect_sources(&path, files);
         } else if path
             .extension()
             .is_some_and(|extension| extension == "rs" || extension == "toml")
         {
-            found.push(path);
+            files.push(path);
         }
     }
 }
 
-fn holds_word(text: &str, word: &str) -> bool {
-    let is_part = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'-';
+fn contains_word(text: &str, word: &str) -> bool {
+    let is_word_byte = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'-';
     text.match_indices(word).any(|(at, _)| {
         let before = at.checked_sub(1).map(|index| text.as_bytes()[index]);
         let after = text.as_bytes().get(at + word.len()).copied();
-        !before.is_some_and(is_part) && !after.is_some_and(is_part)
+        !before.is_some_and(is_word_byte) && !after.is_some_and(is_word_byte)
     })
 }
 
@@ -109,53 +109,56 @@
     let lower = text.to_ascii_lowercase();
     WIRE_NAMES
         .into_iter()
-        .filter(|name| holds_word(text, name) || holds_word(&lower, name))
+        .filter(|name| contains_word(text, name) || contains_word(&lower, name))
         .collect()
 }
 
 #[test]
-fn no_wire_name_stands_outside_the_platform_folder() {
-    let this_file = Path::new(file!()).file_name().expect("a name").to_owned();
+fn wire_names_appear_only_in_platform() {
+    let this_file = Path::new(file!())
+        .file_name()
+        .expect("the path has a file name")
+        .to_owned();
     let mut files = Vec::new();
     for folder in ["crates", "examples"] {
-        sources(&root().join(folder), &mut files);
+        collect_sources(&repository_root().join(folder), &mut files);
     }
-    assert!(files.len() > 100, "the sources were found");
-    let mut wrong = Vec::new();
+    assert!(files.len() > 100, "the sources are found");
+    let mut violations = Vec::new();
     for file in files
         .iter()
         .filter(|file| file.file_name() != Some(&this_file))
     {
-        let text = std::fs::read_to_string(file).expect("a text");
+        let text = std::fs::read_to_string(file).expect("the file is UTF-8 text");
         for name in wire_names_in(&text) {
-            wrong.push(format!("{}: {name}", file.display()));
+            violations.push(format!("{}: {name}", file.display()));
         }
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(violations.is_empty(), "{}", violations.join("\n"));
 }
 
 #[test]
-fn the_check_finds_names_in_any_case_and_only_whole_words() {
+fn check_matches_whole_words_in_any_case() {
     assert_eq!(wire_names_in("insert(\"Server-Seal\", x)"), ["server-seal"]);
     assert_eq!(wire_names_in("route.timeoutMs"), ["timeoutMs"]);
     assert!(wire_names_in("x-request-id-like my_loadS").is_empty());
 }
 
 #[test]
-fn the_platform_folder_is_small() {
+fn platform_sources_stay_below_line_limit() {
     let mut files = Vec::new();
-    sources(&root().join("platform/src"), &mut files);
+    collect_sources(&repository_root().join("platform/src"), &mut files);
     let lines: usize = files
         .iter()
         .map(|file| {
             std::fs::read_to_string(file)
-                .expect("a text")
+                .expect("the file is UTF-8 text")
                 .lines()
                 .count()
         })
         .sum();
     assert!(
         lines < 1_500,
-        "platform/ translates and does nothing else: {lines} lines"
+        "platform/ may only translate wire formats, but has {lines} lines"
     );
 }
