--- a/crates/gorsebank/tests/callers_gone.rs
+++ b/crates/gorsebank/tests/callers_gone.rs
@@ -50,8 +50,8 @@
         .expect("the request is sent");
 }
 
-/// Guards against forwarding requests nobody waits for: a gateway that was suspended finds requests
-/// whose callers closed their connections in the meantime.
+/// Guards against forwarding requests for which no caller waits: a gateway that was suspended finds
+/// requests whose callers closed their connections in the meantime.
 #[tokio::test]
 async fn requests_of_disconnected_callers_are_not_forwarded() {
     let (gateway, runner) = gateway_with_runner().await;
--- a/crates/gorsebank/tests/soak/callers.rs
+++ b/crates/gorsebank/tests/soak/callers.rs
@@ -15,7 +15,7 @@
 use super::platform::client::{Client, Got, request_within};
 use super::run::EXTRA_MODELS;
 
-/// Longest pause between two requests of one caller, in milliseconds.
+/// Upper bound on the pause between two requests of one caller, in milliseconds.
 const MAX_PAUSE_MS: u64 = 40;
 /// Time that a caller waits for a response, in milliseconds.
 const TIMEOUT_MS: u32 = 1_500;
@@ -72,8 +72,10 @@
     pub async fn run(mut self, until: Duration) {
         while self.started_at.elapsed() < until {
             let (kind, path) = ROUTES[self.random.random_range(0..ROUTES.len())];
-            let got = self.send(kind, path).await;
-            let retry_after = got.as_ref().and_then(|got| got.header("retry-after"));
+            let response = self.send(kind, path).await;
+            let retry_after = response
+                .as_ref()
+                .and_then(|response| response.header("retry-after"));
             let retry_after = retry_after.and_then(|pause| pause.parse::<f64>().ok());
             if let Some(pause) = retry_after {
                 sleep(Duration::from_secs_f64(pause.min(MAX_RETRY_AFTER_SECONDS))).await;
@@ -91,7 +93,7 @@
         let cold_model = COLD_MODELS[self.random.random_range(0..COLD_MODELS.len())];
         let model = if is_cold { cold_model } else { "warm" };
         let sent_at = self.started_at.elapsed();
-        let got = client
+        let response = client
             .send(request_within(&id, path, model, TIMEOUT_MS))
             .await;
         let request = CallerRequest {
@@ -100,13 +102,13 @@
             process: endpoint.process,
             sent_at,
             ended_at: self.started_at.elapsed(),
-            outcome: got.as_ref().map_or(Outcome::Closed, outcome),
+            outcome: response.as_ref().map_or(Outcome::Closed, outcome),
         };
         self.requests.lock().push(request);
         if client.is_open() {
             self.kept_connection = Some((endpoint, client));
         }
-        got
+        response
     }
 
     /// Returns the open connection, or a new connection to a randomly chosen gateway.
@@ -125,11 +127,11 @@
     }
 }
 
-fn outcome(got: &Got) -> Outcome {
+fn outcome(response: &Got) -> Outcome {
     Outcome::Response {
-        status: got.status,
-        is_complete: got.whole,
-        seal: got.seal().map(str::to_owned),
-        body: got.body.clone(),
+        status: response.status,
+        is_complete: response.whole,
+        seal: response.seal().map(str::to_owned),
+        body: response.body.clone(),
     }
 }
--- a/crates/gorsebank/tests/soak/history.rs
+++ b/crates/gorsebank/tests/soak/history.rs
@@ -153,7 +153,7 @@
     pub response_drains: Vec<ResponseDrain>,
     /// Back ends that requested pauses.
     pub requested_pauses: Vec<RequestedPauses>,
-    /// Gateways that did not serve all request kinds in time after the last fault.
+    /// Gateways that did not serve requests in time after the last fault.
     pub unrecovered_gateways: Vec<String>,
     /// Gateways that did not apply the last configuration in time.
     pub outdated_gateways: Vec<String>,
--- a/crates/gorsebank/tests/soak/promises.rs
+++ b/crates/gorsebank/tests/soak/promises.rs
@@ -57,7 +57,7 @@
     DepartureKept,
     /// A process sends a back end almost nothing during a pause that the back end requested.
     PauseKept,
-    /// Every gateway serves all request kinds again in time after the last fault.
+    /// Every gateway serves requests again in time after the last fault.
     Recovery,
     /// Every gateway applies the last configuration in time.
     Configuration,
--- a/crates/gorsebank/tests/soak/run.rs
+++ b/crates/gorsebank/tests/soak/run.rs
@@ -34,7 +34,7 @@
 const CALLERS_PER_GATEWAY: usize = 2;
 /// Time within which gateways become ready at the start.
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time within which gateways serve all request kinds after the last fault.
+/// Time within which gateways serve requests again after the last fault.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(12);
 /// Time within which a configuration is applied everywhere and a drain is known.
 const PROPAGATION_BOUND: Duration = Duration::from_millis(2_000);
@@ -311,8 +311,8 @@
         self.store.put("op", "config", with_extra_models(newer));
     }
 
-    /// Polls until every gateway serves all request kinds, and returns the names of those that do
-    /// not within the time limit.
+    /// Polls until every gateway serves an idempotent, a mutating and a stream request. Returns the
+    /// names of the gateways that do not within `timeout`.
     async fn find_gateways_not_serving(&self, timeout: Duration) -> Vec<String> {
         let started_at = Instant::now();
         let mut missing: Vec<usize> = (0..self.slots.len()).collect();
@@ -348,8 +348,8 @@
             return false;
         }
         for path in paths {
-            let got = send(endpoint.caller_address, request("probe", path)).await;
-            if got.is_none_or(|got| got.status != 200) {
+            let response = send(endpoint.caller_address, request("probe", path)).await;
+            if response.is_none_or(|response| response.status != 200) {
                 return false;
             }
         }
--- a/crates/gorsebank/tests/unread_output.rs
+++ b/crates/gorsebank/tests/unread_output.rs
@@ -19,8 +19,9 @@
 const MAX_ROUND_TIME: Duration = Duration::from_secs(2);
 /// Number of rejected requests in a round; each writes a log line.
 const REJECTED_PER_ROUND: usize = 4;
-/// Minimum number of rounds on a machine of any speed. Their log lines exceed what the log queue
-/// (2,048) and a pipe (some 400) hold together; with fewer, no line would have to be dropped.
+/// Minimum number of rounds, also on a slow machine. The log lines of these rounds exceed the
+/// capacity of the log queue (2,048 lines) and a pipe (some 400 lines) together; with fewer rounds,
+/// no line would have to be dropped.
 const MIN_ROUNDS: usize = 1_000;
 /// Pause between two rounds of requests.
 const PAUSE: Duration = Duration::from_millis(4);
