--- a/crates/gorsebank/benches/warm_path.rs
+++ b/crates/gorsebank/benches/warm_path.rs
@@ -44,7 +44,7 @@
 
 /// Starts a deployment with one node and loads the model.
 async fn start_warm_deployment() -> Deployment {
-    let deployment = Deployment::start_over("bench", 1, LinkKind::Direct).await;
+    let deployment = Deployment::start_with_links("bench", 1, LinkKind::Direct).await;
     let address = deployment.callers("n1");
     let response = deployment
         .post(address, PATH, &completion("llama", false, 1))
--- a/crates/gorsebank/src/commands/explain/mod.rs
+++ b/crates/gorsebank/src/commands/explain/mod.rs
@@ -5,11 +5,11 @@
 //! not a log line is skipped and counted.
 
 mod cause;
-mod story;
+mod request_history;
 
 use crate::arguments::ExplainArguments;
 use crate::commands::logs::Log;
-use story::RequestHistory;
+use request_history::RequestHistory;
 
 /// Prints the log lines that concern a request, and the cause of its outcome.
 pub fn run(arguments: &ExplainArguments) -> eyre::Result<()> {
--- a/crates/gorsebank/src/commands/losses/cause.rs
+++ b/crates/gorsebank/src/commands/losses/cause.rs
@@ -5,7 +5,7 @@
 
 use std::fmt;
 
-use super::day::{LogIndex, RequestLines};
+use super::log_index::{LogIndex, RequestLines};
 use crate::commands::logs::LogLine;
 
 /// Number of prompt tokens around a gap of a stream from which the gap is attributed to prefill. An
--- a/crates/gorsebank/src/commands/losses/mod.rs
+++ b/crates/gorsebank/src/commands/losses/mod.rs
@@ -6,12 +6,12 @@
 //! for `gorsebank explain`. Each retry by a caller counts as another request.
 
 mod cause;
-mod day;
+mod log_index;
 mod table;
 
 use crate::arguments::LossesArguments;
 use crate::commands::logs::Log;
-use day::LogIndex;
+use log_index::LogIndex;
 use table::LossTable;
 
 /// Prints the summary.
--- a/crates/gorsebank/src/commands/losses/table.rs
+++ b/crates/gorsebank/src/commands/losses/table.rs
@@ -6,7 +6,7 @@
 use std::fmt;
 
 use super::cause::{Cause, Ending, RequestResult};
-use super::day::LogIndex;
+use super::log_index::LogIndex;
 
 /// Length of the intervals by which requests with one cause are counted over time.
 const INTERVAL_MS: u64 = 2_000;
--- a/crates/gorsebank/tests/callers_gone.rs
+++ b/crates/gorsebank/tests/callers_gone.rs
@@ -14,8 +14,8 @@
 
 use platform::client::{request, send, stream_bytes};
 use platform::process::GatewayProcess;
-use platform::runner::{End, Reply, Runner, Seen, events};
-use platform::{store_with, until};
+use platform::runner::{ReceivedRequest, Reply, Runner, StreamEnd, events};
+use platform::{start_store_with, wait_until};
 
 /// Number of callers that disconnect.
 const DISCONNECTING_CALLERS: usize = 20;
@@ -23,19 +23,22 @@
 /// forwarded.
 const MAX_FORWARDED: usize = 3;
 
-fn stream(_: &Seen) -> Reply {
-    Reply::Events(events(1, 20, Duration::from_millis(50)), End::Whole)
+fn stream(_: &ReceivedRequest) -> Reply {
+    Reply::Events(
+        events(1, 20, Duration::from_millis(50)),
+        StreamEnd::Complete,
+    )
 }
 
 /// Starts a gateway process and a back end that responds with streams, and waits until the gateway
 /// is ready.
 async fn gateway_with_runner() -> (GatewayProcess, Runner) {
     let runner = Runner::start("i-1", stream).await;
-    let store = store_with("llm", &[&runner]).await;
+    let store = start_store_with("llm", &[&runner]).await;
     let addresses = [0, 1].map(|_| free_address().expect("a free port"));
     let program = Path::new(env!("CARGO_BIN_EXE_gorsebank"));
     let gateway = GatewayProcess::start(program, &store, addresses);
-    until(async || gateway.is_ready().await).await;
+    wait_until(async || gateway.is_ready().await).await;
     (gateway, runner)
 }
 
@@ -57,7 +60,7 @@
     let (gateway, runner) = gateway_with_runner().await;
     let warm_up = send(gateway.callers, request("r1", "/stream/")).await;
     assert_eq!(warm_up.expect("a response").status, 200);
-    let count_before = runner.seen().len();
+    let count_before = runner.requests().len();
 
     let process_id = Pid::from_raw(
         gateway
@@ -73,7 +76,7 @@
     tokio::time::sleep(Duration::from_millis(600)).await;
     kill(process_id, Signal::SIGCONT).expect("the gateway resumes");
     tokio::time::sleep(Duration::from_millis(800)).await;
-    let forwarded = runner.seen().len() - count_before;
+    let forwarded = runner.requests().len() - count_before;
     assert!(
         forwarded <= MAX_FORWARDED,
         "{forwarded} of {DISCONNECTING_CALLERS} were forwarded"
--- a/crates/gorsebank/tests/soak/callers.rs
+++ b/crates/gorsebank/tests/soak/callers.rs
@@ -12,7 +12,7 @@
 
 use super::gateways::{Endpoint, GatewaySlot};
 use super::history::{CallerRequest, Outcome, RequestKind};
-use super::platform::client::{Client, Got, request_within};
+use super::platform::client::{Client, ClientResponse, request_within};
 use super::run::EXTRA_MODELS;
 
 /// Upper bound on the pause between two requests of one caller, in milliseconds.
@@ -85,7 +85,7 @@
         }
     }
 
-    async fn send(&mut self, kind: RequestKind, path: &str) -> Option<Got> {
+    async fn send(&mut self, kind: RequestKind, path: &str) -> Option<ClientResponse> {
         let (endpoint, mut client) = self.connection().await?;
         let id = format!("c{}-{}", self.number, self.request_count);
         self.request_count += 1;
@@ -127,10 +127,10 @@
     }
 }
 
-fn outcome(response: &Got) -> Outcome {
+fn outcome(response: &ClientResponse) -> Outcome {
     Outcome::Response {
         status: response.status,
-        is_complete: response.whole,
+        is_complete: response.is_complete,
         seal: response.seal().map(str::to_owned),
         body: response.body.clone(),
     }
--- a/crates/gorsebank/tests/soak/gateways.rs
+++ b/crates/gorsebank/tests/soak/gateways.rs
@@ -12,8 +12,8 @@
 use nix::unistd::Pid;
 use tokio::time::sleep;
 
-use super::platform::process::{GatewayPlace, GatewayProcess};
-use super::platform::wire::Wire;
+use super::platform::process::{GatewayEndpoints, GatewayProcess};
+use super::platform::tcp_proxy::TcpProxy;
 
 /// Interval at which the exit of a process is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
@@ -27,7 +27,7 @@
 pub struct GatewaySlot {
     name: String,
     /// Link to the table, which faults can disturb.
-    pub wire: Wire,
+    pub wire: TcpProxy,
     process: Option<GatewayProcess>,
     process_number: usize,
     /// Folder for the log of each process; logs are discarded without it.
@@ -54,7 +54,7 @@
 impl GatewaySlot {
     /// Starts a gateway that reaches the table through `wire` and writes its log to a file in
     /// `log_folder`.
-    pub fn start(name: &str, wire: Wire, number: usize, log_folder: Option<PathBuf>) -> Self {
+    pub fn start(name: &str, wire: TcpProxy, number: usize, log_folder: Option<PathBuf>) -> Self {
         let mut slot = GatewaySlot {
             name: name.to_owned(),
             wire,
@@ -70,7 +70,7 @@
     pub fn restart(&mut self, number: usize) {
         self.process = None;
         let address = || free_address().expect("a free port");
-        let place = GatewayPlace {
+        let place = GatewayEndpoints {
             node: &self.name,
             table: self.wire.address,
             callers: address(),
--- a/crates/gorsebank/tests/soak/broken.rs
+++ b/crates/gorsebank/tests/soak/guarantee_tests.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
+use super::guarantees::{Guarantee, check_guarantees};
 use super::history::{
     CallerRequest, Disturbance, DisturbanceKind, History, LimitedBackEnd, Outcome, RequestKind,
     RequestedPauses, ResponseDrain, RowDrain,
 };
-use super::promises::{Guarantee, check_guarantees};
 
 const fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
--- a/crates/gorsebank/tests/soak/main.rs
+++ b/crates/gorsebank/tests/soak/main.rs
@@ -14,12 +14,12 @@
 #[path = "../../../../platform/tests/support/mod.rs"]
 mod platform;
 
-mod broken;
 mod callers;
 mod gateways;
+mod guarantee_tests;
+mod guarantees;
 mod history;
 mod plan;
-mod promises;
 mod report;
 mod run;
 mod statements;
@@ -146,7 +146,7 @@
             log_folder,
         };
         let history = run::execute_run(options).await;
-        let findings = promises::check_guarantees(&history);
+        let findings = guarantees::check_guarantees(&history);
         let schedule = draw_faults(seed, length);
         let report = Report::new(seed, &schedule, &history, &findings);
         println!("{}", summarize_run(&report, history.requests.len()));
--- a/crates/gorsebank/tests/soak/report.rs
+++ b/crates/gorsebank/tests/soak/report.rs
@@ -10,9 +10,9 @@
 
 use serde::Serialize;
 
+use super::guarantees::Finding;
 use super::history::{CallerRequest, History, Outcome};
 use super::plan::ScheduledFault;
-use super::promises::Finding;
 
 /// Width of one second in the chart, in pixels.
 const SECOND_WIDTH_PX: f64 = 60.0;
--- a/crates/gorsebank/tests/soak/run.rs
+++ b/crates/gorsebank/tests/soak/run.rs
@@ -1,8 +1,8 @@
 //! One soak run: gateway processes, stand-ins for the table and for back ends, callers and faults.
 
 mod behaviour;
-mod strikes;
-mod tell;
+mod faults;
+mod observations;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::PathBuf;
@@ -22,9 +22,9 @@
 };
 use super::plan::{draw_faults, draw_limits, draw_row_faults, draw_statements};
 use super::platform::client::{request, send};
-use super::platform::runner::{Reply, Runner, Seen};
+use super::platform::runner::{ReceivedRequest, Reply, Runner};
 use super::platform::store::Store;
-use super::platform::wire::Wire;
+use super::platform::tcp_proxy::TcpProxy;
 use super::platform::{configuration, configuration_with_prefix, server_row};
 use behaviour::{Conditions, reply_to};
 
@@ -57,7 +57,7 @@
 struct BackEnd {
     runner: Runner,
     service: &'static str,
-    wire: Arc<Wire>,
+    wire: Arc<TcpProxy>,
     conditions: Arc<Conditions>,
     /// Start time in milliseconds since the Unix epoch, if the row of the back end states it.
     start_time_ms: Option<u64>,
@@ -180,7 +180,7 @@
         store.put("op", "config", with_extra_models(configuration(1)));
         let mut slots = Vec::new();
         for number in 0..gateways {
-            let wire = Wire::to(store.address).await;
+            let wire = TcpProxy::start(store.address).await;
             let slot = GatewaySlot::start(
                 &format!("node-{number}"),
                 wire,
@@ -232,17 +232,17 @@
             self.crash_arrivals.clone(),
             self.started_at,
         );
-        let behaviour = move |seen: &Seen| {
+        let behaviour = move |seen: &ReceivedRequest| {
             if seen.body.starts_with(CRASHING_BODY_PREFIX) {
                 let mut crash_arrivals = crash_arrivals.lock();
                 let arrivals = crash_arrivals.entry(seen.body.clone()).or_default();
                 arrivals.push(started_at.elapsed());
-                return Reply::End;
+                return Reply::Crash;
             }
             reply_to(seen, &runner_conditions)
         };
         let runner = Runner::start(id, behaviour).await;
-        let wire = Arc::new(Wire::to(runner.address).await);
+        let wire = Arc::new(TcpProxy::start(runner.address).await);
         let start = FIRST_START_MS + self.started_at.elapsed().as_millis() as u64;
         let back_end = BackEnd {
             runner,
@@ -261,8 +261,8 @@
     /// removed, or reused by the replacement, after `RESTART_DELAY`.
     async fn replace_when_exited(self: Arc<Self>, mut back_end: BackEnd) {
         loop {
-            back_end.runner.until_ended().await;
-            back_end.wire.end();
+            back_end.runner.wait_for_exit().await;
+            back_end.wire.stop_listening();
             let from = self.started_at.elapsed();
             sleep(RESTART_DELAY).await;
             let restarts = self.restarting.lock().remove(&back_end.runner.id);
--- a/crates/gorsebank/tests/soak/run/behaviour.rs
+++ b/crates/gorsebank/tests/soak/run/behaviour.rs
@@ -5,8 +5,8 @@
 
 use parking_lot::Mutex;
 
-use crate::platform::runner::{End, Reply, Seen};
-use crate::promises::{EVENTS_PER_STREAM, PLAIN_BODY, stream_event};
+use crate::guarantees::{EVENTS_PER_STREAM, PLAIN_BODY, stream_event};
+use crate::platform::runner::{ReceivedRequest, Reply, StreamEnd};
 use crate::statements::REQUESTED_PAUSE_SECONDS_TEXT;
 
 /// Time between two events of a stream, and before the first event.
@@ -29,23 +29,24 @@
 }
 
 /// Returns the reply of a back end to a request.
-pub(super) fn reply_to(seen: &Seen, conditions: &Conditions) -> Reply {
+pub(super) fn reply_to(seen: &ReceivedRequest, conditions: &Conditions) -> Reply {
     if conditions.rejecting.load(Ordering::Relaxed) {
-        let rejection = (seen.at, seen.id().to_owned());
+        let rejection = (seen.received_at, seen.id().to_owned());
         conditions.rejections.lock().push(rejection);
-        return Reply::Pause(REQUESTED_PAUSE_SECONDS_TEXT);
+        return Reply::RetryAfter(REQUESTED_PAUSE_SECONDS_TEXT);
     }
     let number = conditions.request_count.fetch_add(1, Ordering::Relaxed);
     if conditions.failing.load(Ordering::Relaxed) && number.is_multiple_of(2) {
-        return Reply::Answer(500, "failed");
+        return Reply::Response(500, "failed");
     }
     let is_slow = conditions.slow.load(Ordering::Relaxed);
-    let is_stream = seen.line.contains("/stream/") || seen.line.contains("/resumable/");
+    let is_stream =
+        seen.request_line.contains("/stream/") || seen.request_line.contains("/resumable/");
     if !is_stream && is_slow {
-        return Reply::Late(SLOW_DELAY, 200, PLAIN_BODY);
+        return Reply::DelayedResponse(SLOW_DELAY, 200, PLAIN_BODY);
     }
     if !is_stream {
-        return Reply::Answer(200, PLAIN_BODY);
+        return Reply::Response(200, PLAIN_BODY);
     }
     let last_event = seen
         .header("last-event-id")
@@ -53,5 +54,5 @@
     let first = last_event.unwrap_or(0) + 1;
     let gap = if is_slow { SLOW_DELAY } else { EVENT_GAP };
     let events = (first..=EVENTS_PER_STREAM).map(|number| (gap, stream_event(number)));
-    Reply::Events(events.collect(), End::Whole)
+    Reply::Events(events.collect(), StreamEnd::Complete)
 }
--- a/crates/gorsebank/tests/soak/run/strikes.rs
+++ b/crates/gorsebank/tests/soak/run/faults.rs
@@ -18,8 +18,8 @@
     ScheduledStatement,
 };
 use crate::platform::client::{Client, request_with};
-use crate::platform::store::Inner;
-use crate::platform::wire::Wire;
+use crate::platform::store::StoreState;
+use crate::platform::tcp_proxy::TcpProxy;
 
 /// Time for which a draining back end keeps its row.
 const DRAIN_DURATION: Duration = Duration::from_millis(3_000);
@@ -43,18 +43,18 @@
             Fault::Stop => vec![self.stop_gateway(index).await],
             Fault::Pause => vec![self.suspend_gateway(index, scheduled.duration).await],
             Fault::TableDown => vec![
-                self.set_table_fault(|table| &table.down, scheduled.duration)
+                self.set_table_fault(|table| &table.is_unavailable, scheduled.duration)
                     .await,
             ],
             Fault::TableThrottles => {
                 vec![
-                    self.set_table_fault(|table| &table.throttled, scheduled.duration)
+                    self.set_table_fault(|table| &table.is_throttled, scheduled.duration)
                         .await,
                 ]
             }
             Fault::TableLosesAnswers => {
                 vec![
-                    self.set_table_fault(|table| &table.lose_answers, scheduled.duration)
+                    self.set_table_fault(|table| &table.drop_responses, scheduled.duration)
                         .await,
                 ]
             }
@@ -63,17 +63,19 @@
                 vec![Some(DisturbanceKind::Table)]
             }
             Fault::TableSilent => {
-                self.slots[index].lock().wire.silence();
+                self.slots[index].lock().wire.stall_connections();
                 vec![Some(DisturbanceKind::Table)]
             }
-            Fault::BackEndSilent => vec![self.disturb_connections(scheduled.target, Wire::silence)],
+            Fault::BackEndSilent => {
+                vec![self.disturb_connections(scheduled.target, TcpProxy::stall_connections)]
+            }
             Fault::BackEndLeaves => {
                 self.clone().drain_by_row(scheduled.target).await;
                 Vec::new()
             }
             Fault::BackEndEnds => {
                 if let Some(back_end) = self.select_back_end(scheduled.target) {
-                    back_end.runner.end();
+                    back_end.runner.exit();
                 }
                 Vec::new()
             }
@@ -93,31 +95,33 @@
             }
             Fault::TableFar => {
                 let link = self.slots[index].lock().wire.clone();
-                link.delay(SLOW_LINK_DELAY);
+                link.set_delay(SLOW_LINK_DELAY);
                 sleep(scheduled.duration).await;
-                link.delay(Duration::ZERO);
+                link.set_delay(Duration::ZERO);
                 vec![Some(DisturbanceKind::Table)]
             }
             Fault::TableRefusesOne => {
                 let link = self.slots[index].lock().wire.clone();
-                link.refuse(true);
+                link.set_closing_connections(true);
                 sleep(scheduled.duration).await;
-                link.refuse(false);
+                link.set_closing_connections(false);
                 vec![Some(DisturbanceKind::Table)]
             }
-            Fault::BackEndReset => vec![self.disturb_connections(scheduled.target, Wire::reset)],
+            Fault::BackEndReset => {
+                vec![self.disturb_connections(scheduled.target, TcpProxy::reset)]
+            }
             Fault::BackEndDark => {
                 let link = self.select_back_end(scheduled.target).map(|it| it.wire);
                 if let Some(link) = link {
-                    link.darken(true);
+                    link.set_blocked(true);
                     sleep(scheduled.duration).await;
-                    link.darken(false);
+                    link.set_blocked(false);
                 }
                 vec![Some(DisturbanceKind::BackEndCutOff)]
             }
             Fault::OrdersLost => {
                 if let Some(back_end) = self.select_back_end(scheduled.target) {
-                    let lost_orders = &back_end.runner.lose_orders;
+                    let lost_orders = &back_end.runner.orders_to_drop;
                     lost_orders.store(LOST_ORDERS, Ordering::Relaxed);
                 }
                 Vec::new()
@@ -128,9 +132,9 @@
             }
             Fault::TableOneWay => {
                 let link = self.slots[index].lock().wire.clone();
-                link.hold_answers(true);
+                link.set_holding_responses(true);
                 sleep(scheduled.duration).await;
-                link.hold_answers(false);
+                link.set_holding_responses(false);
                 vec![Some(DisturbanceKind::Table)]
             }
             Fault::Configuration => {
@@ -177,7 +181,7 @@
 
     async fn set_table_fault(
         &self,
-        flag: impl Fn(&Inner) -> &AtomicBool,
+        flag: impl Fn(&StoreState) -> &AtomicBool,
         duration: Duration,
     ) -> Option<DisturbanceKind> {
         flag(&self.store.inner).store(true, Ordering::Relaxed);
@@ -236,13 +240,13 @@
             return;
         };
         let runner = &back_end.runner;
-        if runner.states_limit() {
+        if runner.has_stated_limit() {
             return;
         }
         let from = self.started_at.elapsed();
-        runner.state_limit(Some(&limit.rate.to_string()));
+        runner.set_stated_limit(Some(&limit.rate.to_string()));
         sleep(limit.duration).await;
-        runner.state_limit(None);
+        runner.set_stated_limit(None);
         self.limited_back_ends.lock().push(LimitedBackEnd {
             back_end: runner.id.clone(),
             rate: limit.rate,
@@ -278,7 +282,7 @@
         };
         let replacement = self.add_back_end(draining.service).await;
         tokio::spawn(self.clone().replace_when_exited(replacement));
-        draining.runner.say_leaving(true);
+        draining.runner.set_draining(true);
         self.response_drains.lock().push(ResponseDrain {
             back_end: draining.runner.id.clone(),
             announced_at: self.started_at.elapsed(),
@@ -305,7 +309,7 @@
         match scheduled.fault {
             RowFault::Restart => {
                 self.restarting.lock().insert(id);
-                back_end.runner.end();
+                back_end.runner.exit();
                 return;
             }
             RowFault::MissingField => {
@@ -337,7 +341,7 @@
     fn disturb_connections(
         &self,
         target: usize,
-        disturb: impl Fn(&Wire),
+        disturb: impl Fn(&TcpProxy),
     ) -> Option<DisturbanceKind> {
         disturb(&self.select_back_end(target)?.wire);
         Some(DisturbanceKind::BackEndCutOff)
@@ -357,7 +361,7 @@
             back_end: draining.runner.id.clone(),
             announced_at,
             counted_at: self.started_at.elapsed(),
-            arrived_when_counted: draining.runner.seen().len(),
+            arrived_when_counted: draining.runner.requests().len(),
             arrived_in_total: 0,
         };
         self.row_drains.lock().push(drain);
--- a/crates/gorsebank/tests/soak/run/tell.rs
+++ b/crates/gorsebank/tests/soak/run/observations.rs
@@ -14,7 +14,7 @@
             let runner = &back_end.runner;
             // Each incarnation of a back end is recorded separately.
             let incarnation = format!("{} of {:?}", runner.id, back_end.start_time_ms);
-            for seen in runner.seen() {
+            for seen in runner.requests() {
                 let at = executions.entry(seen.id().to_owned()).or_default();
                 at.push(runner.id.clone());
             }
@@ -26,7 +26,7 @@
                     at.remove(index);
                 }
             }
-            let models = runner.most_models();
+            let models = runner.max_models();
             history.max_models.insert(incarnation.clone(), models);
             let orders = runner.orders();
             let fences = orders.iter().filter_map(|order| order["fence"].as_u64());
@@ -50,15 +50,16 @@
             let back_end = all
                 .iter()
                 .find(|back_end| back_end.runner.id == drain.back_end);
-            drain.arrived_in_total = back_end.map_or(0, |back_end| back_end.runner.seen().len());
+            drain.arrived_in_total =
+                back_end.map_or(0, |back_end| back_end.runner.requests().len());
         }
         let with_process = |at: Instant, id: &str| {
             let process = process_of.get(id)?;
             Some((at.checked_duration_since(self.started_at)?, *process))
         };
         let arrivals = |back_end: &BackEnd| -> Vec<(Duration, usize)> {
-            let seen = back_end.runner.seen().into_iter();
-            seen.filter_map(|seen| with_process(seen.at, seen.id()))
+            let seen = back_end.runner.requests().into_iter();
+            seen.filter_map(|seen| with_process(seen.received_at, seen.id()))
                 .collect()
         };
         for limited in &mut history.limited_back_ends {
--- a/crates/gorsebank/tests/soak/statements.rs
+++ b/crates/gorsebank/tests/soak/statements.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+use super::guarantees::{Finding, Guarantee};
 use super::history::{
     CallerRequest, DisturbanceKind, History, Outcome, RequestedPauses, ResponseDrain,
 };
-use super::promises::{Finding, Guarantee};
 
 /// Pause that back ends request.
 pub const REQUESTED_PAUSE: Duration = Duration::from_millis(1_500);
--- a/crates/gorsebank/tests/support/mod.rs
+++ b/crates/gorsebank/tests/support/mod.rs
@@ -49,11 +49,11 @@
 impl Deployment {
     /// Starts all processes over relayed links; `name` separates the files of different tests.
     pub async fn start(name: &str, nodes: usize) -> Self {
-        Deployment::start_over(name, nodes, LinkKind::Relayed).await
+        Deployment::start_with_links(name, nodes, LinkKind::Relayed).await
     }
 
     /// Starts all processes over links of the given kind.
-    pub async fn start_over(name: &str, nodes: usize, links: LinkKind) -> Self {
+    pub async fn start_with_links(name: &str, nodes: usize, links: LinkKind) -> Self {
         let binaries = Binaries {
             gorsebank: PathBuf::from(env!("CARGO_BIN_EXE_gorsebank")),
             standin: PathBuf::from(env!("CARGO_BIN_EXE_gorsebank-standin")),
--- a/crates/gorsebank/tests/unread_output.rs
+++ b/crates/gorsebank/tests/unread_output.rs
@@ -11,7 +11,7 @@
 use platform::client::{Client, request};
 use platform::process::GatewayProcess;
 use platform::runner::{Reply, Runner};
-use platform::{store_with, until};
+use platform::{start_store_with, wait_until};
 
 /// Time for which the output is not read.
 const UNREAD_TIME: Duration = Duration::from_secs(10);
@@ -28,12 +28,12 @@
 
 #[tokio::test]
 async fn unread_output_does_not_delay_requests() {
-    let runner = Runner::start("i-1", |_| Reply::Answer(200, "done")).await;
-    let store = store_with("app", &[&runner]).await;
+    let runner = Runner::start("i-1", |_| Reply::Response(200, "done")).await;
+    let store = start_store_with("app", &[&runner]).await;
     let addresses = [0, 1].map(|_| free_address().expect("a free port"));
     let program = Path::new(env!("CARGO_BIN_EXE_gorsebank"));
     let mut gateway = GatewayProcess::start(program, &store, addresses);
-    until(async || gateway.is_ready().await).await;
+    wait_until(async || gateway.is_ready().await).await;
 
     let mut client = Client::connect(gateway.callers).await;
     let started_at = Instant::now();
