--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -1,8 +1,8 @@
-//! Configuration rows: read, apply, label, delete.
+//! HTTP handlers that read, apply, label and delete configuration rows.
 //!
-//! `?version=N` makes a change conditional on the row's version (0: the row
-//! must not exist). A change against another version is refused with status
-//! 409 and the current version.
+//! `?version=N` makes a change conditional on the version of the row (0: the
+//! row must not exist). A change of a row that has another version is rejected
+//! with status 409 and the current version of the row.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,26 +16,26 @@
 use crate::admin::error::AdminError;
 use crate::host::Host;
 
-/// A condition on the row's version.
+/// Query parameters of a change: the version that the row must have.
 #[derive(Debug, Deserialize)]
 pub struct VersionQuery {
     version: Option<u64>,
 }
 
-/// Which rows are listed.
+/// Query parameters of a list: a label selector for the rows.
 #[derive(Debug, Deserialize)]
 pub struct ListQuery {
     selector: Option<String>,
 }
 
-/// Labels and content of a row.
+/// The body of a request that applies a row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowContent {
-    /// Labels.
+    /// The labels of the row.
     #[serde(default)]
     pub labels: Labels,
-    /// Content.
+    /// The content of the row.
     pub spec: Spec,
 }
 
@@ -49,7 +49,7 @@
     })
 }
 
-/// `GET /v1/configuration/{kind}`.
+/// `GET /v1/configuration/{kind}`: lists the rows of a kind.
 pub async fn list(
     State(host): State<Arc<Host>>,
     Path(kind): Path<String>,
@@ -71,7 +71,7 @@
     Ok(Json(rows))
 }
 
-/// `GET /v1/configuration/{kind}/{name}`.
+/// `GET /v1/configuration/{kind}/{name}`: returns one row.
 pub async fn read(
     State(host): State<Arc<Host>>,
     Path((kind, name)): Path<(String, String)>,
@@ -85,7 +85,7 @@
         .ok_or_else(|| AdminError::not_found(format!("{key} does not exist")))
 }
 
-/// `PUT /v1/configuration/{kind}/{name}`.
+/// `PUT /v1/configuration/{kind}/{name}`: creates or replaces a row.
 pub async fn apply(
     State(host): State<Arc<Host>>,
     Path((kind, name)): Path<(String, String)>,
@@ -101,7 +101,8 @@
     change(&host, key, query.version, edit).await
 }
 
-/// `PATCH /v1/configuration/{kind}/{name}`: labels to set or, with `null`, remove.
+/// `PATCH /v1/configuration/{kind}/{name}`: sets labels, and removes those
+/// whose value is `null`.
 pub async fn label(
     State(host): State<Arc<Host>>,
     Path((kind, name)): Path<(String, String)>,
@@ -113,7 +114,7 @@
     change(&host, key, query.version, Edit::Label(edits)).await
 }
 
-/// `DELETE /v1/configuration/{kind}/{name}`.
+/// `DELETE /v1/configuration/{kind}/{name}`: deletes a row.
 pub async fn delete(
     State(host): State<Arc<Host>>,
     Path((kind, name)): Path<(String, String)>,
@@ -139,6 +140,10 @@
         edit,
     };
     let row = host.change(change).await?;
-    log::info!("{} is at version {}", row.key, row.revision);
+    log::info!(
+        "configuration row {} changed to version {}",
+        row.key,
+        row.revision
+    );
     Ok(Json(row))
 }
--- a/crates/node/src/admin/error.rs
+++ b/crates/node/src/admin/error.rs
@@ -1,4 +1,4 @@
-//! Errors towards operators.
+//! Error responses of the admin API.
 
 use axum::Json;
 use axum::http::StatusCode;
@@ -6,12 +6,12 @@
 use gorsebank_coordination::ChangeError;
 use serde::{Deserialize, Serialize};
 
-/// The body of an error.
+/// An error response and its JSON body.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdminError {
-    /// What went wrong.
+    /// A description of the error for operators.
     pub message: String,
-    /// The version that the row has, where another was expected.
+    /// The present version of the row, if the change expected another version.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub current_version: Option<u64>,
     #[serde(skip)]
@@ -19,12 +19,12 @@
 }
 
 impl AdminError {
-    /// The request is wrong.
+    /// An error with status 400, for a request that is not valid.
     pub fn bad_request(message: impl Into<String>) -> Self {
         AdminError::new(StatusCode::BAD_REQUEST, message)
     }
 
-    /// There is no such thing.
+    /// An error with status 404, for a row or kind that does not exist.
     pub fn not_found(message: impl Into<String>) -> Self {
         AdminError::new(StatusCode::NOT_FOUND, message)
     }
--- a/crates/node/src/admin/mod.rs
+++ b/crates/node/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The side towards operators: configuration, metrics and probes.
+//! The HTTP API for operators: configuration, metrics, probes and node status.
 
 pub mod configuration;
 pub mod error;
@@ -11,7 +11,7 @@
 
 use crate::host::Host;
 
-/// The routes of the admin address.
+/// The routes of the admin listener.
 pub fn router(host: Arc<Host>) -> Router {
     let row = get(configuration::read)
         .put(configuration::apply)
--- a/crates/node/src/admin/probes.rs
+++ b/crates/node/src/admin/probes.rs
@@ -1,4 +1,4 @@
-//! Probes, metrics and a short account of the node's state.
+//! HTTP handlers for health probes, metrics and the status of the node.
 
 use std::sync::Arc;
 
@@ -10,25 +10,25 @@
 
 use crate::host::Host;
 
-/// `GET /healthz`: the process runs.
+/// `GET /healthz`: reports that the process is running.
 pub async fn healthy() -> &'static str {
     "ok\n"
 }
 
-/// `GET /readyz`: the node can take requests.
+/// `GET /readyz`: reports whether the node accepts requests.
 pub async fn ready(State(host): State<Arc<Host>>) -> Response {
     let status = host.node().status();
     let reason = if host.is_stopping() {
         "stopping"
     } else if !status.knows_machines {
-        "the machine list is not known yet"
+        "the machine list has not been read yet"
     } else {
         return "ready\n".into_response();
     };
     (StatusCode::SERVICE_UNAVAILABLE, format!("{reason}\n")).into_response()
 }
 
-/// `GET /metrics`.
+/// `GET /metrics`: returns the metrics in the Prometheus text format.
 pub async fn metrics(State(host): State<Arc<Host>>) -> Response {
     match host.metrics().render(&host.node().status()) {
         Ok(text) => text.into_response(),
@@ -36,28 +36,28 @@
     }
 }
 
-/// A short account of a node's state.
+/// A summary of the state of a node.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The node.
+    /// The id of the node.
     pub node: String,
-    /// Live nodes of its cell.
+    /// The live nodes in the cell of the node.
     pub live_nodes: Vec<String>,
-    /// The placement holder, as far as known.
+    /// The node that holds the placement lease, if the node knows it.
     pub holder: Option<String>,
-    /// The highest fence known.
+    /// The highest fencing token that the node has received.
     pub fence: u64,
-    /// The configuration revision in force here.
+    /// The configuration revision that the node has applied.
     pub revision: u64,
-    /// The claim epoch in force, 0 if none is known yet.
+    /// The current claim epoch, or 0 if the node knows none yet.
     pub claim_epoch: u64,
-    /// Requests without a final answer.
+    /// The number of requests without a final response.
     pub pending: usize,
-    /// Loads ordered by this node.
+    /// The number of loads that the node has ordered.
     pub loads_ordered: u64,
 }
 
-/// `GET /v1/status`.
+/// `GET /v1/status`: returns the status of the node.
 pub async fn status(State(host): State<Arc<Host>>) -> Json<StatusReport> {
     let status = host.node().status();
     Json(StatusReport {
--- a/crates/node/src/caller/answer.rs
+++ b/crates/node/src/caller/answer.rs
@@ -1,4 +1,6 @@
-//! Takes a request through its attempts to a response for the caller.
+//! Executes the attempts of a request until there is a response for the caller.
+//!
+//! In: an open request and the request to send. Out: the HTTP response.
 
 use axum::body::Body;
 use axum::http::{HeaderValue, Response, header};
@@ -13,8 +15,8 @@
 use crate::caller::stream;
 use crate::host::Command;
 
-/// Follows the decision logic's commands until there is an answer.
-pub async fn answer(mut open: OpenRequest, outgoing: OutgoingRequest) -> Response<Body> {
+/// Carries out the commands of the decision logic until there is a response.
+pub async fn respond(mut open: OpenRequest, outgoing: OutgoingRequest) -> Response<Body> {
     while let Some(command) = open.next_command().await {
         match command {
             Command::Refuse(refusal) => {
@@ -29,13 +31,13 @@
             }
             Command::Dispatch(id, machine) => {
                 let name = attempt::stream_name(id, &machine.id);
-                match attempt_at(&mut open, &outgoing, &machine, &name).await {
-                    Ok(Answer::Whole(response)) => {
-                        open.attempt_ended(AttemptOutcome::Completed);
+                match run_attempt(&mut open, &outgoing, &machine, &name).await {
+                    Ok(BackEndResponse::Complete(response)) => {
+                        open.finish_attempt(AttemptOutcome::Completed);
                         return response;
                     }
-                    Ok(Answer::Stream(source)) => return stream::respond(open, *source),
-                    Err(outcome) => open.attempt_ended(outcome),
+                    Ok(BackEndResponse::Stream(source)) => return stream::respond(open, *source),
+                    Err(outcome) => open.finish_attempt(outcome),
                 }
             }
         }
@@ -43,17 +45,17 @@
     CallerError::Overloaded.into_response()
 }
 
-enum Answer {
-    Whole(Response<Body>),
+enum BackEndResponse {
+    Complete(Response<Body>),
     Stream(Box<stream::StreamSource>),
 }
 
-async fn attempt_at(
+async fn run_attempt(
     open: &mut OpenRequest,
     outgoing: &OutgoingRequest,
     machine: &Machine,
     name: &str,
-) -> Result<Answer, AttemptOutcome> {
+) -> Result<BackEndResponse, AttemptOutcome> {
     let http = open.host().http().clone();
     let limit = open.time_left();
     let response = attempt::send(&http, machine.address, name, outgoing, limit).await?;
@@ -61,18 +63,21 @@
         let stall = open.host().settings().limits.stream_stall;
         let mut source = stream::StreamSource::new(http, machine.address, name, response, stall);
         source.fetch_first().await?;
-        open.note_first_byte();
-        return Ok(Answer::Stream(Box::new(source)));
+        open.record_first_byte();
+        return Ok(BackEndResponse::Stream(Box::new(source)));
     }
-    let largest = open.host().settings().limits.answer.as_u64();
-    let whole = attempt::whole_body(response, largest, open.time_left()).await?;
-    open.note_first_byte();
-    let (mut head, body) = whole.into_parts();
-    head.headers = attempt::passed_on(&head.headers);
+    let max_bytes = open.host().settings().limits.answer.as_u64();
+    let complete = attempt::read_complete_body(response, max_bytes, open.time_left()).await?;
+    open.record_first_byte();
+    let (mut head, body) = complete.into_parts();
+    head.headers = attempt::forwarded_headers(&head.headers);
     if let Ok(name) = HeaderValue::from_str(name) {
         head.headers.insert(REQUEST_ID_HEADER, name);
     }
-    Ok(Answer::Whole(Response::from_parts(head, Body::from(body))))
+    Ok(BackEndResponse::Complete(Response::from_parts(
+        head,
+        Body::from(body),
+    )))
 }
 
 fn is_event_stream(response: &Response<Incoming>) -> bool {
--- a/crates/node/src/caller/application.rs
+++ b/crates/node/src/caller/application.rs
@@ -1,7 +1,8 @@
 //! Calls of application services: `/services/{service}/{path}`.
 //!
-//! A call that is safe by its method may be repeated; any other is sent at
-//! most once. With an `Idempotency-Key` that holds across callers' retries.
+//! The node may retry a call whose HTTP method is safe; it sends any other call
+//! at most once. A call with an `Idempotency-Key` runs at most once even if the
+//! caller sends it again.
 
 use std::sync::Arc;
 
@@ -19,14 +20,14 @@
 use crate::caller::request::{OpenRequest, RequestTerms};
 use crate::host::Host;
 
-/// Any method on `/services/{service}/{path}`.
+/// Handles every method on `/services/{service}/{path}`.
 pub async fn call(
     State(host): State<Arc<Host>>,
     Path((service, path)): Path<(String, String)>,
     request: Request<Body>,
 ) -> Response<Body> {
     match prepare(&host, &service, &path, request).await {
-        Ok((terms, outgoing)) => answer::answer(OpenRequest::open(&host, terms), outgoing).await,
+        Ok((terms, outgoing)) => answer::respond(OpenRequest::open(&host, terms), outgoing).await,
         Err(error) => refuse_invalid(&host, error),
     }
 }
@@ -49,11 +50,11 @@
     let (head, body) = request.into_parts();
     let key = headers::idempotency_key(&head.headers)?;
     let limits = &host.settings().limits;
-    let time_allowed = headers::time_allowed(&head.headers)?.unwrap_or(limits.interactive_deadline);
+    let time_limit = headers::time_limit(&head.headers)?.unwrap_or(limits.interactive_deadline);
     let terms = RequestTerms {
         queue: QueueKey::Service(service.clone()),
         class: PriorityClass::Interactive,
-        time_allowed,
+        time_limit,
         repeatable: key.is_none() && head.method.is_safe(),
         key: key.map(|key| format!("{service} {key}")),
     };
--- a/crates/node/src/caller/attempt.rs
+++ b/crates/node/src/caller/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt of a request at a back end.
 //!
-//! In: the request as it goes to the back end. Out: its answer, or a failure
-//! that says how much of the request reached the back end.
+//! In: the request to send to the back end. Out: the response of the back end,
+//! or an outcome that states whether the request may have reached it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,13 +15,14 @@
 use hyper::body::Incoming;
 use tokio::time::timeout;
 
-/// Carries the front's name of an attempt; back ends send it back.
+/// Carries the name that the node gave to the attempt; back ends return the
+/// header in their response.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// A back end attests with it that a request did not start.
+/// A back end sets this response header if it did not start the request.
 pub const NOT_STARTED_HEADER: &str = "gorsebank-not-started";
-/// Carries the priority class to engines.
+/// Carries the priority class of the request to engines.
 pub const PRIORITY_HEADER: &str = "gorsebank-priority";
-/// Headers that concern one connection and are not passed on.
+/// Headers that concern one connection only, which the node does not forward.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -31,38 +32,40 @@
     header::HOST,
 ];
 
-/// What is sent to a back end.
+/// A request to be sent to a back end.
 #[derive(Clone, Debug)]
 pub struct OutgoingRequest {
-    /// Method.
+    /// The HTTP method.
     pub method: Method,
-    /// Path and query.
+    /// The path and the query.
     pub path: String,
-    /// The caller's headers.
+    /// The headers that the caller sent.
     pub headers: HeaderMap,
-    /// Body.
+    /// The body.
     pub body: Bytes,
-    /// Priority.
+    /// The priority class.
     pub class: PriorityClass,
 }
 
-/// The name of an attempt: it names the stream on the back end, and where that
-/// is, so that any node can resume it.
+/// The name of an attempt, which is also the name of its stream on the back
+/// end. The name contains the id of the back end, so that any node can resume
+/// the stream.
 pub fn stream_name(id: TicketId, back_end: &BackEndId) -> String {
     format!("{}-{}@{back_end}", id.request, id.attempt.0)
 }
 
-/// Headers that are passed on.
-pub fn passed_on(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = headers.clone();
+/// The headers without those that concern one connection only.
+pub fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = headers.clone();
     for name in &CONNECTION_HEADERS {
-        passed.remove(name);
+        forwarded.remove(name);
     }
-    passed.remove(header::CONTENT_LENGTH);
-    passed
+    forwarded.remove(header::CONTENT_LENGTH);
+    forwarded
 }
 
-/// Sends the request; gives the head of the answer, or how the attempt ended.
+/// Sends the request. Returns the response with its body unread, or the outcome
+/// of a failed attempt.
 pub async fn send(
     http: &HttpClient,
     address: SocketAddr,
@@ -79,11 +82,11 @@
     if response.headers().contains_key(NOT_STARTED_HEADER) {
         return Err(AttemptOutcome::NotStarted);
     }
-    let is_foreign = response
+    let is_of_other_request = response
         .headers()
         .get(REQUEST_ID_HEADER)
         .is_some_and(|value| value.as_bytes() != name.as_bytes());
-    if is_foreign {
+    if is_of_other_request {
         return Err(AttemptOutcome::LostBeforeAnswer);
     }
     Ok(response)
@@ -100,7 +103,7 @@
         .body(Full::new(outgoing.body.clone()))
         .ok()?;
     let headers = request.headers_mut();
-    *headers = passed_on(&outgoing.headers);
+    *headers = forwarded_headers(&outgoing.headers);
     headers.insert(REQUEST_ID_HEADER, HeaderValue::from_str(name).ok()?);
     let class = match outgoing.class {
         PriorityClass::Interactive => "interactive",
@@ -110,15 +113,16 @@
     Some(request)
 }
 
-/// The whole body of an answer, or how the attempt ended.
-pub async fn whole_body(
+/// Reads the complete body of a response of at most `max_bytes` bytes within
+/// `limit`. Returns the outcome of the attempt if that fails.
+pub async fn read_complete_body(
     response: Response<Incoming>,
-    largest: u64,
+    max_bytes: u64,
     limit: Duration,
 ) -> Result<Response<Bytes>, AttemptOutcome> {
     let (head, body) = response.into_parts();
-    let reading = Limited::new(body, largest as usize).collect();
-    match timeout(limit, reading).await {
+    let read = Limited::new(body, max_bytes as usize).collect();
+    match timeout(limit, read).await {
         Ok(Ok(body)) => Ok(Response::from_parts(head, body.to_bytes())),
         Ok(Err(_)) | Err(_) => Err(AttemptOutcome::LostBeforeAnswer),
     }
--- a/crates/node/src/caller/error.rs
+++ b/crates/node/src/caller/error.rs
@@ -1,4 +1,4 @@
-//! Errors towards callers, in the shape of the OpenAI API.
+//! Error responses for callers, in the format of the OpenAI API.
 
 use axum::Json;
 use axum::http::{HeaderValue, Method, StatusCode, Uri, header};
@@ -8,86 +8,86 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Says in every error whether the request ran: `no` or `unknown`.
+/// States in every error response whether the request ran: `no` or `unknown`.
 pub const RAN_HEADER: &str = "gorsebank-ran";
-/// `Retry-After` of an overloaded node, in seconds.
+/// The `Retry-After` value of an overloaded node, in seconds.
 const OVERLOADED_RETRY_SECONDS: u64 = 1;
 
-/// The body of an error.
+/// The JSON body of an error response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// The description of the error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong.
+/// The description of an error in the body of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// For people.
+    /// The error message for people.
     pub message: String,
-    /// The class of error.
+    /// The class of the error.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The field or header at fault.
+    /// The field or header that caused the error.
     pub param: Option<String>,
-    /// The error by name.
+    /// The error code.
     pub code: String,
     /// Whether the request ran: `no` or `unknown`.
     pub ran: Ran,
 }
 
-/// An error towards a caller.
+/// An error that the node returns to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallerError {
-    /// The body is no JSON, or not of the expected shape.
-    #[error("the body is not understood: {0}")]
+    /// The body is not valid JSON, or does not have the expected fields.
+    #[error("invalid request body: {0}")]
     Body(String),
-    /// The body broke off.
-    #[error("the body broke off: {0}")]
-    BodyCut(String),
-    /// The body is too large.
-    #[error("the body is larger than {0} bytes")]
+    /// The connection failed before the complete body was received.
+    #[error("the request body is incomplete: {0}")]
+    IncompleteBody(String),
+    /// The body exceeds the size limit, in bytes.
+    #[error("the request body is larger than {0} bytes")]
     BodyTooLarge(u64),
-    /// A header is wrong.
-    #[error("header `{name}` is wrong: {reason}")]
+    /// A header has an invalid value.
+    #[error("invalid header `{name}`: {reason}")]
     Header {
-        /// The header.
+        /// The name of the header.
         name: &'static str,
-        /// What is wrong.
+        /// Why the value is invalid.
         reason: String,
     },
-    /// The deadline has passed.
+    /// The deadline that the caller stated has passed.
     #[error("the deadline {0} has passed")]
     DeadlinePassed(String),
     /// The model cannot be served.
     #[error("{0}")]
     Model(ResolveError),
-    /// There is no such service.
+    /// No back end offers the service.
     #[error("service `{0}` does not exist")]
     UnknownService(String),
-    /// There is no such path.
+    /// The path has no route.
     #[error("path `{0}` does not exist")]
     UnknownPath(String),
-    /// The path takes other methods.
-    #[error("method {0} is not allowed here")]
-    WrongMethod(String),
-    /// There is no such stream.
+    /// The route of the path does not support the method.
+    #[error("method {0} is not allowed for this path")]
+    MethodNotAllowed(String),
+    /// The stream cannot be resumed, for the reason in the second field.
     #[error("stream `{0}` cannot be resumed: {1}")]
     UnknownStream(String, String),
-    /// The node has too many open requests.
-    #[error("this node has as many open requests as it takes")]
+    /// The node has reached its limit of open requests.
+    #[error("this node has reached its limit of open requests")]
     Overloaded,
-    /// The request was refused, or its outcome is unknown.
+    /// The node rejected the request, or its outcome is unknown.
     #[error("{}", describe(.0))]
     Refused(Refusal),
 }
 
 impl CallerError {
-    /// The HTTP status.
+    /// The HTTP status of the response.
     pub fn status(&self) -> StatusCode {
         match self {
             CallerError::Body(_)
-            | CallerError::BodyCut(_)
+            | CallerError::IncompleteBody(_)
             | CallerError::Header { .. }
             | CallerError::DeadlinePassed(_) => StatusCode::BAD_REQUEST,
             CallerError::BodyTooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
@@ -95,23 +95,24 @@
             | CallerError::UnknownService(_)
             | CallerError::UnknownPath(_)
             | CallerError::UnknownStream(..) => StatusCode::NOT_FOUND,
-            CallerError::WrongMethod(_) => StatusCode::METHOD_NOT_ALLOWED,
+            CallerError::MethodNotAllowed(_) => StatusCode::METHOD_NOT_ALLOWED,
             CallerError::Overloaded => StatusCode::SERVICE_UNAVAILABLE,
             CallerError::Refused(refusal) => refusal_status(refusal),
         }
     }
 
-    /// The rest of the body was not read, so the connection ends with the answer. A
-    /// caller that is not told so sends its next request on a connection that closes.
-    fn leaves_body_unread(&self) -> bool {
+    /// Whether a part of the request body was not read, so that the node closes the
+    /// connection after the response. Without `Connection: close` in the response a
+    /// caller would send its next request on the connection that is being closed.
+    fn has_unread_body(&self) -> bool {
         matches!(self, CallerError::BodyTooLarge(_))
     }
 
-    /// The error's name.
+    /// The error code.
     pub fn code(&self) -> &'static str {
         match self {
             CallerError::Body(_) => "invalid_body",
-            CallerError::BodyCut(_) => "body_cut",
+            CallerError::IncompleteBody(_) => "body_cut",
             CallerError::BodyTooLarge(_) => "body_too_large",
             CallerError::Header { .. } => "invalid_header",
             CallerError::DeadlinePassed(_) => "deadline_in_the_past",
@@ -122,7 +123,7 @@
             CallerError::Model(ResolveError::NotDeployed(_)) => "model_not_deployed",
             CallerError::UnknownService(_) => "service_not_found",
             CallerError::UnknownPath(_) => "path_not_found",
-            CallerError::WrongMethod(_) => "method_not_allowed",
+            CallerError::MethodNotAllowed(_) => "method_not_allowed",
             CallerError::UnknownStream(..) => "stream_not_found",
             CallerError::Overloaded => "overloaded",
             CallerError::Refused(refusal) => refusal_code(refusal.reason),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// The body.
+    /// The JSON body of the response.
     pub fn body(&self) -> ErrorBody {
         let kind = if self.status().is_client_error() {
             "invalid_request_error"
@@ -185,7 +186,7 @@
         if let Some(seconds) = self.retry_after_seconds() {
             headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
         }
-        if self.leaves_body_unread() {
+        if self.has_unread_body() {
             headers.insert(header::CONNECTION, HeaderValue::from_static("close"));
         }
         response
@@ -202,7 +203,7 @@
     }
 }
 
-/// A refusal's reason by name.
+/// The error code of a refusal.
 pub fn refusal_code(reason: RefusalReason) -> &'static str {
     match reason {
         RefusalReason::NoCapacity => "no_capacity",
@@ -220,12 +221,12 @@
     let reason = match refusal.reason {
         RefusalReason::NoCapacity => "no capacity is expected before the deadline",
         RefusalReason::DeadlinePassed => "the deadline passed",
-        RefusalReason::NoPlace => "the model cannot be loaded anywhere now",
-        RefusalReason::RetriesExhausted => "no back end took the request",
-        RefusalReason::KeyUsed => "the idempotency key was used before",
-        RefusalReason::KeyInDoubt => "it is not certain that the idempotency key is unused",
-        RefusalReason::ConnectionLost => "the connection to the back end broke",
-        RefusalReason::Stopping => "this node is stopping",
+        RefusalReason::NoPlace => "no engine can load the model at present",
+        RefusalReason::RetriesExhausted => "no back end accepted the request",
+        RefusalReason::KeyUsed => "the idempotency key has already been used",
+        RefusalReason::KeyInDoubt => "the idempotency key may have been used already",
+        RefusalReason::ConnectionLost => "the connection to the back end was lost",
+        RefusalReason::Stopping => "this node is shutting down",
     };
     let ran = match refusal.ran {
         Ran::No => "the request did not run",
@@ -234,17 +235,17 @@
     format!("{reason}; {ran}")
 }
 
-/// Answers a request that the layers before the routes turned away.
+/// The response to a request that the concurrency limit rejected.
 pub async fn overloaded(_error: tower::BoxError) -> Response {
     CallerError::Overloaded.into_response()
 }
 
-/// Answers a request for a path that does not exist.
+/// The response to a request for a path that does not exist.
 pub async fn unknown_path(uri: Uri) -> Response {
     CallerError::UnknownPath(uri.path().to_owned()).into_response()
 }
 
-/// Answers a request with a method that its path does not take.
-pub async fn wrong_method(method: Method) -> Response {
-    CallerError::WrongMethod(method.to_string()).into_response()
+/// The response to a request with a method that its path does not support.
+pub async fn method_not_allowed(method: Method) -> Response {
+    CallerError::MethodNotAllowed(method.to_string()).into_response()
 }
--- a/crates/node/src/caller/headers.rs
+++ b/crates/node/src/caller/headers.rs
@@ -1,7 +1,8 @@
-//! Headers by which callers say how a request shall be treated.
+//! Parses the headers in which callers state the time limit and the idempotency
+//! key of a request.
 //!
 //! - `Request-Timeout: 20s` or `Request-Deadline: 2026-01-31T08:00:00Z`
-//! - `Idempotency-Key: KEY` for requests that may not be repeated
+//! - `Idempotency-Key: KEY` for requests that may run at most once
 
 use std::time::Duration;
 
@@ -10,12 +11,12 @@
 
 use crate::caller::error::CallerError;
 
-const TIMEOUT: &str = "request-timeout";
-const DEADLINE: &str = "request-deadline";
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest idempotency key, in bytes.
+const TIMEOUT_HEADER: &str = "request-timeout";
+const DEADLINE_HEADER: &str = "request-deadline";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+/// The longest accepted idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 255;
-/// Longest time that a caller may ask to wait.
+/// The longest time limit that a caller may state; longer ones are shortened to it.
 const MAX_WAIT: Duration = Duration::from_secs(24 * 3_600);
 
 fn text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<Option<&'a str>, CallerError> {
@@ -24,24 +25,24 @@
     };
     value.to_str().map(Some).map_err(|_| CallerError::Header {
         name,
-        reason: "it is not plain text".to_owned(),
+        reason: "the value is not plain text".to_owned(),
     })
 }
 
-/// The time that the request may take, if its headers say.
-pub fn time_allowed(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
-    if let Some(value) = text(headers, TIMEOUT)? {
+/// The time limit of the request, if its headers state one.
+pub fn time_limit(headers: &HeaderMap) -> Result<Option<Duration>, CallerError> {
+    if let Some(value) = text(headers, TIMEOUT_HEADER)? {
         let wait = humantime::parse_duration(value).map_err(|error| CallerError::Header {
-            name: TIMEOUT,
+            name: TIMEOUT_HEADER,
             reason: format!("`{value}`: {error}"),
         })?;
         return Ok(Some(wait.min(MAX_WAIT)));
     }
-    let Some(value) = text(headers, DEADLINE)? else {
+    let Some(value) = text(headers, DEADLINE_HEADER)? else {
         return Ok(None);
     };
     let deadline: WallClock = value.parse().map_err(|error| CallerError::Header {
-        name: DEADLINE,
+        name: DEADLINE_HEADER,
         reason: format!("`{value}`: {error}"),
     })?;
     let remaining = deadline.duration_since(WallClock::now());
@@ -51,15 +52,15 @@
     }
 }
 
-/// The idempotency key, if there is one.
+/// The idempotency key of the request, if its headers state one.
 pub fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, CallerError> {
-    let Some(value) = text(headers, IDEMPOTENCY_KEY)? else {
+    let Some(value) = text(headers, IDEMPOTENCY_KEY_HEADER)? else {
         return Ok(None);
     };
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
         return Err(CallerError::Header {
-            name: IDEMPOTENCY_KEY,
-            reason: format!("it must have 1 to {MAX_KEY_BYTES} characters"),
+            name: IDEMPOTENCY_KEY_HEADER,
+            reason: format!("the key must have 1 to {MAX_KEY_BYTES} characters"),
         });
     }
     Ok(Some(value.to_owned()))
--- a/crates/node/src/caller/mod.rs
+++ b/crates/node/src/caller/mod.rs
@@ -1,5 +1,5 @@
-//! The side towards callers: the OpenAI-compatible API and application
-//! services, over HTTP.
+//! The HTTP API for callers: the OpenAI-compatible API and the calls of
+//! application services.
 
 pub mod answer;
 pub mod application;
@@ -22,8 +22,8 @@
 
 use crate::host::Host;
 
-/// The routes for callers. The outer layers bound what one node takes on:
-/// beyond the limit a request is refused at once, before its body is read.
+/// The routes for callers. The outer layers limit the number of open requests:
+/// a request beyond the limit is rejected at once, before its body is read.
 pub fn router(host: Arc<Host>) -> Router {
     let limit = host.settings().limits.open_requests;
     let limits = ServiceBuilder::new()
@@ -37,7 +37,7 @@
         .route("/v1/streams/{stream}", get(resume::resume))
         .route("/services/{service}/{*path}", any(application::call))
         .fallback(error::unknown_path)
-        .method_not_allowed_fallback(error::wrong_method)
+        .method_not_allowed_fallback(error::method_not_allowed)
         .layer(limits)
         .with_state(host)
 }
--- a/crates/node/src/caller/openai.rs
+++ b/crates/node/src/caller/openai.rs
@@ -22,26 +22,26 @@
 use crate::caller::request::{OpenRequest, RequestTerms};
 use crate::host::Host;
 
-/// Bytes of a body that is too large that are read and dropped at most. A caller that
-/// sends more is likely not to read the answer either.
-const MOST_DROPPED: usize = 8 << 20;
-/// Time that this may take.
-const DROPPING_TIME: Duration = Duration::from_secs(2);
+/// The number of bytes that the node reads and discards after a body exceeded its size
+/// limit. A caller that sends more is unlikely to read the response.
+const MAX_DISCARDED_BYTES: usize = 8 << 20;
+/// The longest time for which the node reads and discards the rest of a body.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// `service_tier` of requests that can wait.
+/// The `service_tier` value that marks batch requests.
 const BATCH_TIER: &str = "flex";
 
-/// `POST /v1/chat/completions`.
+/// Handles `POST /v1/chat/completions`.
 pub async fn chat(State(host): State<Arc<Host>>, request: Request<Body>) -> Response<Body> {
     run(host, request, "/v1/chat/completions").await
 }
 
-/// `POST /v1/completions`.
+/// Handles `POST /v1/completions`.
 pub async fn complete(State(host): State<Arc<Host>>, request: Request<Body>) -> Response<Body> {
     run(host, request, "/v1/completions").await
 }
 
-/// `GET /v1/models`.
+/// Handles `GET /v1/models`: lists the names of the models that are served.
 pub async fn models(State(host): State<Arc<Host>>) -> Json<Value> {
     let names = host
         .node()
@@ -55,12 +55,12 @@
 
 async fn run(host: Arc<Host>, request: Request<Body>, path: &str) -> Response<Body> {
     match prepare(&host, request, path).await {
-        Ok((terms, outgoing)) => answer::answer(OpenRequest::open(&host, terms), outgoing).await,
+        Ok((terms, outgoing)) => answer::respond(OpenRequest::open(&host, terms), outgoing).await,
         Err(error) => refuse_invalid(&host, error),
     }
 }
 
-/// Answers a request that is not valid.
+/// Counts an invalid request and returns the response to it.
 pub fn refuse_invalid(host: &Host, error: CallerError) -> Response<Body> {
     let metrics = host.metrics();
     metrics
@@ -84,53 +84,54 @@
     let key = headers::idempotency_key(&head.headers)?;
     let terms = RequestTerms {
         class,
-        time_allowed: time_allowed(host, &head.headers, class)?,
+        time_limit: time_limit(host, &head.headers, class)?,
         repeatable: key.is_none(),
         key: key.map(|key| format!("{path} {key}")),
         queue,
     };
     fields.insert("model".to_owned(), Value::from(terms.queue.to_string()));
     let body = serde_json::to_vec(&fields).map_err(|error| CallerError::Body(error.to_string()))?;
-    let mut passed = head.headers;
-    passed.insert(
+    let mut forwarded = head.headers;
+    forwarded.insert(
         header::CONTENT_TYPE,
         HeaderValue::from_static("application/json"),
     );
     let outgoing = OutgoingRequest {
         method: Method::POST,
         path: path.to_owned(),
-        headers: passed,
+        headers: forwarded,
         body: Bytes::from(body),
         class,
     };
     Ok((terms, outgoing))
 }
 
-/// The whole body, if it is not too large. The rest of one that is too large is read and
-/// dropped: closing a connection with unread bytes resets it, and the caller would lose
-/// the answer.
-pub async fn read_body(mut body: Body, largest: u64) -> Result<Bytes, CallerError> {
-    let mut whole = BytesMut::new();
+/// Reads the complete body, of at most `max_bytes` bytes. The rest of a larger body is
+/// read and discarded, because closing a connection with unread bytes resets it and the
+/// caller would lose the response.
+pub async fn read_body(mut body: Body, max_bytes: u64) -> Result<Bytes, CallerError> {
+    let mut complete = BytesMut::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|error| CallerError::BodyCut(error.to_string()))?;
+        let frame = frame.map_err(|error| CallerError::IncompleteBody(error.to_string()))?;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        if (whole.len() + data.len()) as u64 > largest {
-            let _ = timeout(DROPPING_TIME, drop_rest(body)).await;
-            return Err(CallerError::BodyTooLarge(largest));
+        if (complete.len() + data.len()) as u64 > max_bytes {
+            let _ = timeout(DISCARD_TIMEOUT, discard_rest(body)).await;
+            return Err(CallerError::BodyTooLarge(max_bytes));
         }
-        whole.extend_from_slice(&data);
+        complete.extend_from_slice(&data);
     }
-    Ok(whole.freeze())
+    Ok(complete.freeze())
 }
 
-/// Reads on for a while; what is read does not matter any more, nor how it ends.
-async fn drop_rest(mut body: Body) {
-    let mut dropped = 0;
+/// Reads and discards the rest of the body, up to `MAX_DISCARDED_BYTES`. Read errors are
+/// ignored.
+async fn discard_rest(mut body: Body) {
+    let mut discarded = 0;
     while let Some(Ok(frame)) = body.frame().await {
-        dropped += frame.data_ref().map_or(0, Bytes::len);
-        if dropped > MOST_DROPPED {
+        discarded += frame.data_ref().map_or(0, Bytes::len);
+        if discarded > MAX_DISCARDED_BYTES {
             return;
         }
     }
@@ -139,7 +140,9 @@
 fn requested_queue(host: &Host, fields: &Map<String, Value>) -> Result<QueueKey, CallerError> {
     match fields.get("model") {
         Some(Value::String(name)) => host.node().resolve(name).map_err(CallerError::Model),
-        Some(_) => Err(CallerError::Body("field `model` is no text".to_owned())),
+        Some(_) => Err(CallerError::Body(
+            "field `model` is not a string".to_owned(),
+        )),
         None => Err(CallerError::Body("field `model` is missing".to_owned())),
     }
 }
@@ -150,12 +153,12 @@
         Some(Value::String(tier)) if tier == BATCH_TIER => Ok(PriorityClass::Batch),
         Some(Value::String(_)) => Ok(PriorityClass::Interactive),
         Some(_) => Err(CallerError::Body(
-            "field `service_tier` is no text".to_owned(),
+            "field `service_tier` is not a string".to_owned(),
         )),
     }
 }
 
-fn time_allowed(
+fn time_limit(
     host: &Host,
     headers: &HeaderMap,
     class: PriorityClass,
@@ -165,5 +168,5 @@
         PriorityClass::Interactive => limits.interactive_deadline,
         PriorityClass::Batch => limits.batch_deadline,
     };
-    Ok(headers::time_allowed(headers)?.unwrap_or(default))
+    Ok(headers::time_limit(headers)?.unwrap_or(default))
 }
--- a/crates/node/src/caller/request.rs
+++ b/crates/node/src/caller/request.rs
@@ -1,9 +1,9 @@
-//! One request from arrival to final answer.
+//! One request from its arrival to the final response.
 //!
-//! In: the caller's request. Out: commands from the decision logic, and the
-//! ends of attempts back to it. Whatever happens to the caller's connection,
-//! the decision logic hears of the end exactly once, when the value is dropped
-//! at the latest.
+//! In: a request of a caller and the outcomes of its attempts, which are
+//! forwarded to the decision logic. Out: the commands of the decision logic. The
+//! decision logic is notified of the end of a request exactly once, also when the
+//! connection of the caller breaks: at the latest when the value is dropped.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -15,22 +15,22 @@
 
 use crate::host::{Command, Host};
 
-/// How a request shall be treated.
+/// The conditions under which a request runs.
 #[derive(Clone, Debug)]
 pub struct RequestTerms {
-    /// What it waits for.
+    /// The model or service that the request waits for.
     pub queue: QueueKey,
-    /// Its priority.
+    /// The priority class of the request.
     pub class: PriorityClass,
-    /// The time it may take.
-    pub time_allowed: Duration,
-    /// Whether it may run more than once.
+    /// The time limit of the request.
+    pub time_limit: Duration,
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Its idempotency key with its scope.
+    /// The idempotency key, prefixed with its scope.
     pub key: Option<String>,
 }
 
-/// A request without a final answer.
+/// A request without a final response.
 #[derive(Debug)]
 pub struct OpenRequest {
     host: Arc<Host>,
@@ -42,12 +42,12 @@
 }
 
 impl OpenRequest {
-    /// Hands the request to the decision logic.
+    /// Registers a request and passes it to the decision logic.
     pub fn open(host: &Arc<Host>, terms: RequestTerms) -> Self {
         let request = host.node().new_request();
         let commands = host.register(request);
-        let allowed = terms.time_allowed.as_millis() as u64;
-        let deadline = host.now() + allowed;
+        let limit_ms = terms.time_limit.as_millis() as u64;
+        let deadline = host.now() + limit_ms;
         host.handle(Event::RequestArrived(Arrival {
             request,
             queue: terms.queue,
@@ -66,12 +66,12 @@
         }
     }
 
-    /// Its id.
+    /// The id of the request.
     pub fn request(&self) -> RequestId {
         self.request
     }
 
-    /// The node that it was taken by.
+    /// The node that received the request.
     pub fn host(&self) -> &Arc<Host> {
         &self.host
     }
@@ -81,7 +81,7 @@
         Duration::from_millis(self.deadline.since(self.host.now()))
     }
 
-    /// What to do next.
+    /// Waits for the next command of the decision logic.
     pub async fn next_command(&mut self) -> Option<Command> {
         let command = self.commands.recv().await;
         if let Some(Command::Dispatch(id, _)) = &command {
@@ -90,14 +90,14 @@
         command
     }
 
-    /// The first byte of the answer is there.
-    pub fn note_first_byte(&self) {
+    /// Records the time to the first byte of the response.
+    pub fn record_first_byte(&self) {
         let seconds = self.arrived.elapsed().as_secs_f64();
         self.host.metrics().first_byte.observe(seconds);
     }
 
-    /// The attempt that was dispatched last ended.
-    pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
+    /// Reports the outcome of the attempt that was dispatched last.
+    pub fn finish_attempt(&mut self, outcome: AttemptOutcome) {
         if let Some(id) = self.running.take() {
             if outcome == AttemptOutcome::Completed {
                 self.host.metrics().answered.inc();
@@ -110,7 +110,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.host.unregister(self.request);
-        self.attempt_ended(AttemptOutcome::CallerGone);
+        self.finish_attempt(AttemptOutcome::CallerGone);
         self.host.handle(Event::RequestAbandoned(self.request));
     }
 }
--- a/crates/node/src/caller/resume.rs
+++ b/crates/node/src/caller/resume.rs
@@ -1,5 +1,5 @@
-//! Resumes a stream at any node: `GET /v1/streams/{stream}` with the
-//! `Last-Event-ID` that the caller saw.
+//! Resumes a stream through any node: `GET /v1/streams/{stream}` with a
+//! `Last-Event-ID` header that names the last event that the caller received.
 
 use std::sync::Arc;
 
@@ -14,36 +14,40 @@
 use crate::caller::stream::{self, StreamSource};
 use crate::host::Host;
 
-const LAST_EVENT_ID: &str = "last-event-id";
+const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
-/// `GET /v1/streams/{stream}`.
+/// Handles `GET /v1/streams/{stream}`.
 pub async fn resume(
     State(host): State<Arc<Host>>,
     Path(name): Path<String>,
     headers: HeaderMap,
 ) -> Response<Body> {
-    let mut source = match source_of(&host, &name, &headers) {
+    let mut source = match stream_source(&host, &name, &headers) {
         Ok(source) => source,
         Err(error) => return refuse_invalid(&host, error),
     };
     if source.fetch_first().await.is_err() {
-        let reason = "its back end does not have it, or nothing is left of it";
+        let reason = "the back end does not have the stream, or has no further events of it";
         let error = CallerError::UnknownStream(name, reason.to_owned());
         return refuse_invalid(&host, error);
     }
-    stream::respond_rest(host, source)
+    stream::respond_resumed(host, source)
 }
 
-fn source_of(host: &Host, name: &str, headers: &HeaderMap) -> Result<StreamSource, CallerError> {
+fn stream_source(
+    host: &Host,
+    name: &str,
+    headers: &HeaderMap,
+) -> Result<StreamSource, CallerError> {
     let unknown = |reason: &str| CallerError::UnknownStream(name.to_owned(), reason.to_owned());
     let (_, back_end) = name
         .split_once('@')
-        .ok_or_else(|| unknown("its name has no back end"))?;
+        .ok_or_else(|| unknown("the stream name contains no back end"))?;
     let machines = host.node().machines();
     let machine = machines
         .back_end(&BackEndId::from(back_end))
-        .ok_or_else(|| unknown("its back end is not there"))?;
-    let next = next_number(name, headers)?;
+        .ok_or_else(|| unknown("the back end is not in the machine list"))?;
+    let next = next_event_number(name, headers)?;
     let stall = host.settings().limits.stream_stall;
     let http = host.http().clone();
     Ok(StreamSource::resuming(
@@ -55,20 +59,20 @@
     ))
 }
 
-fn next_number(name: &str, headers: &HeaderMap) -> Result<u64, CallerError> {
-    let wrong = |reason: String| CallerError::Header {
-        name: LAST_EVENT_ID,
+fn next_event_number(name: &str, headers: &HeaderMap) -> Result<u64, CallerError> {
+    let invalid = |reason: String| CallerError::Header {
+        name: LAST_EVENT_ID_HEADER,
         reason,
     };
-    let Some(value) = headers.get(LAST_EVENT_ID) else {
+    let Some(value) = headers.get(LAST_EVENT_ID_HEADER) else {
         return Ok(0);
     };
     let text = value
         .to_str()
-        .map_err(|_| wrong("it is not plain text".to_owned()))?;
-    let id: EventId = text.parse().map_err(|error| wrong(format!("{error}")))?;
+        .map_err(|_| invalid("the value is not plain text".to_owned()))?;
+    let id: EventId = text.parse().map_err(|error| invalid(format!("{error}")))?;
     if id.stream != name {
-        return Err(wrong("it belongs to another stream".to_owned()));
+        return Err(invalid("the event id belongs to another stream".to_owned()));
     }
     Ok(id.number + 1)
 }
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -1,9 +1,10 @@
-//! Answer streams: each event is checked and passed on as it comes.
+//! Response streams: each event is checked and forwarded when it arrives.
 //!
 //! In: server-sent events of an engine, each with the id `stream:number`. Out:
-//! the same events towards the caller, in order and each once. A stream that
-//! breaks is resumed after the last event passed on; one that cannot be ends in
-//! an explicit error event, never in a clean close.
+//! the same events to the caller, in order and each once. A broken stream is
+//! resumed after the last event that was forwarded. A stream that cannot be
+//! resumed ends with an explicit error event, so that the caller never takes it
+//! for complete.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -27,16 +28,17 @@
 use crate::caller::request::OpenRequest;
 use crate::host::Host;
 
-/// The data of a stream's last event, as the OpenAI API has it.
-const LAST_EVENT: &str = "[DONE]";
-/// Times that a stream is resumed without an event in between.
+/// The data of the last event of a stream in the OpenAI API.
+const LAST_EVENT_DATA: &str = "[DONE]";
+/// The number of times that a stream is resumed without receiving an event in between.
 const MAX_RESUMES: u32 = 4;
-/// Pause before a stream is resumed; doubles each time.
-const RESUME_PAUSE: Duration = Duration::from_millis(100);
+/// The wait before the second attempt to resume a stream; it doubles with each
+/// further attempt.
+const RESUME_BACKOFF: Duration = Duration::from_millis(100);
 
 type Events = Pin<Box<dyn Stream<Item = Result<SourceEvent, ()>> + Send>>;
 
-/// An engine's stream, followed across broken connections.
+/// The event stream of an engine, which is resumed when its connection breaks.
 pub struct StreamSource {
     http: HttpClient,
     address: SocketAddr,
@@ -50,7 +52,7 @@
 }
 
 impl StreamSource {
-    /// Follows the stream that `response` begins.
+    /// A source of the events of `response` and of the connections that resume its stream.
     pub fn new(
         http: HttpClient,
         address: SocketAddr,
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Follows a stream of which the caller has everything before `next`.
+    /// A source that resumes a stream at the event number `next`.
     pub fn resuming(
         http: HttpClient,
         address: SocketAddr,
@@ -92,8 +94,8 @@
         }
     }
 
-    /// Waits for the first event, so that an attempt that fails before it can
-    /// still be repeated.
+    /// Waits for the first event. An attempt that fails before its first event can
+    /// still be retried.
     pub async fn fetch_first(&mut self) -> Result<(), AttemptOutcome> {
         self.first = self.next_event().await;
         match self.first {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// The next event for the caller; `None` if the stream broke for good, or
-    /// after the last.
+    /// The next event for the caller, or `None` after the last event and if the
+    /// stream could not be resumed.
     async fn next_event(&mut self) -> Option<SourceEvent> {
         if let Some(first) = self.first.take() {
             return Some(first);
@@ -120,15 +122,15 @@
                 return None;
             }
             if resumes > 0 {
-                tokio::time::sleep(RESUME_PAUSE * 2u32.pow(resumes - 1)).await;
+                tokio::time::sleep(RESUME_BACKOFF * 2u32.pow(resumes - 1)).await;
             }
             resumes += 1;
             self.reconnect().await;
         }
     }
 
-    /// The next event that belongs here; `None` if the connection is of no
-    /// more use.
+    /// Reads the next event in the order of the stream. Returns `None` and drops the
+    /// connection if it failed, stalled or sent an event that does not follow.
     async fn read(&mut self) -> Option<SourceEvent> {
         loop {
             let events = self.events.as_mut()?;
@@ -140,7 +142,7 @@
                 }
             };
             let verdict = event.id.parse::<EventId>().map_or(Verdict::Foreign, |id| {
-                self.guard.judge(&id, event.data == LAST_EVENT)
+                self.guard.judge(&id, event.data == LAST_EVENT_DATA)
             });
             match verdict {
                 Verdict::Forward => return Some(event),
@@ -180,8 +182,8 @@
         self.guard.is_finished()
     }
 
-    /// Moves this stream's counts to the node's.
-    fn count(&mut self, host: &Host) {
+    /// Adds the counts of this stream to the metrics of the node and resets them.
+    fn record_metrics(&mut self, host: &Host) {
         let metrics = host.metrics();
         metrics
             .streams_resumed
@@ -202,17 +204,19 @@
     Box::pin(data.eventsource().map(|event| event.map_err(|_| ())))
 }
 
-/// A stream that is passed on, with the request it answers.
-struct Passage {
+/// A stream that is forwarded, with its request.
+struct ForwardedStream {
     open: OpenRequest,
     source: StreamSource,
 }
 
-/// The response that passes a stream on.
+/// The response that forwards a stream to the caller.
 pub fn respond(open: OpenRequest, source: StreamSource) -> Response<Body> {
     let name = source.name.clone();
-    let passage = Box::new(Passage { open, source });
-    let events = stream::unfold(Some(passage), |passage| async { step(passage?).await });
+    let forwarded = Box::new(ForwardedStream { open, source });
+    let events = stream::unfold(Some(forwarded), |forwarded| async {
+        forward_next(forwarded?).await
+    });
     let mut response = Sse::new(events)
         .keep_alive(KeepAlive::default())
         .into_response();
@@ -224,39 +228,41 @@
 
 type Item = Result<SseEvent, std::convert::Infallible>;
 
-/// Passes one event on; there is no passage after the last.
-async fn step(mut passage: Box<Passage>) -> Option<(Item, Option<Box<Passage>>)> {
-    let Passage { open, source } = &mut *passage;
+/// Forwards one event. Returns no stream after the last event.
+async fn forward_next(
+    mut forwarded: Box<ForwardedStream>,
+) -> Option<(Item, Option<Box<ForwardedStream>>)> {
+    let ForwardedStream { open, source } = &mut *forwarded;
     let event = source.next_event().await;
-    source.count(open.host());
+    source.record_metrics(open.host());
     match event {
         Some(event) => {
             if source.is_finished() {
-                open.attempt_ended(AttemptOutcome::Completed);
+                open.finish_attempt(AttemptOutcome::Completed);
             }
-            Some((Ok(passed_on(event)), Some(passage)))
+            Some((Ok(to_caller_event(event)), Some(forwarded)))
         }
         None if source.is_finished() => None,
         None => {
             open.host().metrics().streams_broken.inc();
-            open.attempt_ended(AttemptOutcome::LostDuringAnswer);
-            Some((Ok(interrupted()), None))
+            open.finish_attempt(AttemptOutcome::LostDuringAnswer);
+            Some((Ok(interruption_event()), None))
         }
     }
 }
 
-/// The response that passes on the rest of a stream that another node began.
-pub fn respond_rest(host: std::sync::Arc<Host>, source: StreamSource) -> Response<Body> {
+/// The response that forwards the rest of a stream that any node may have begun.
+pub fn respond_resumed(host: std::sync::Arc<Host>, source: StreamSource) -> Response<Body> {
     let events = stream::unfold(Some((host, source)), |state| async {
         let (host, mut source) = state?;
         let event = source.next_event().await;
-        source.count(&host);
+        source.record_metrics(&host);
         let item: (Item, _) = match event {
-            Some(event) => (Ok(passed_on(event)), Some((host, source))),
+            Some(event) => (Ok(to_caller_event(event)), Some((host, source))),
             None if source.is_finished() => return None,
             None => {
                 host.metrics().streams_broken.inc();
-                (Ok(interrupted()), None)
+                (Ok(interruption_event()), None)
             }
         };
         Some(item)
@@ -266,13 +272,13 @@
         .into_response()
 }
 
-fn passed_on(event: SourceEvent) -> SseEvent {
+fn to_caller_event(event: SourceEvent) -> SseEvent {
     SseEvent::default().id(event.id).data(event.data)
 }
 
-fn interrupted() -> SseEvent {
+fn interruption_event() -> SseEvent {
     let body = json!({"error": {
-        "message": "the answer broke off; the request may have run",
+        "message": "the response was interrupted; the request may have run",
         "type": "server_error",
         "param": null,
         "code": "stream_interrupted",
