--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -98,7 +98,7 @@
         labels: content.labels,
         spec: content.spec,
     };
-    change(&host, key, query.version, edit).await
+    apply_change(&host, key, query.version, edit).await
 }
 
 /// `PATCH /v1/configuration/{kind}/{name}`: sets labels, and removes those
@@ -111,7 +111,7 @@
 ) -> Result<Json<Row>, AdminError> {
     let key = row_key(&kind, &name)?;
     let edits: BTreeMap<String, Option<String>> = parse(&key, &body)?;
-    change(&host, key, query.version, Edit::Label(edits)).await
+    apply_change(&host, key, query.version, Edit::Label(edits)).await
 }
 
 /// `DELETE /v1/configuration/{kind}/{name}`: deletes a row.
@@ -121,14 +121,14 @@
     Query(query): Query<VersionQuery>,
 ) -> Result<Json<Row>, AdminError> {
     let key = row_key(&kind, &name)?;
-    change(&host, key, query.version, Edit::Delete).await
+    apply_change(&host, key, query.version, Edit::Delete).await
 }
 
 fn parse<T: for<'de> Deserialize<'de>>(key: &RowKey, body: &str) -> Result<T, AdminError> {
     serde_json::from_str(body).map_err(|error| AdminError::bad_request(format!("{key}: {error}")))
 }
 
-async fn change(
+async fn apply_change(
     host: &Arc<Host>,
     key: RowKey,
     expected: Option<u64>,
@@ -139,7 +139,7 @@
         expected,
         edit,
     };
-    let row = host.change(change).await?;
+    let row = host.apply_change(change).await?;
     log::info!(
         "configuration row {} changed to version {}",
         row.key,
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -1,4 +1,8 @@
-//! Carries out what the decision logic wants done, and brings the results back.
+//! Connects the decision logic of a node with its I/O.
+//!
+//! In: events, such as requests, messages of other nodes and results of calls.
+//! Out: the actions that the decision logic returns for them, which this module
+//! carries out.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,29 +19,29 @@
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::links::Links;
+use crate::links::PeerConnections;
 use crate::metrics::Metrics;
 use crate::settings::{NodeSettings, PeerSection};
 
-/// Between two ticks of the decision logic.
+/// The interval between two ticks of the decision logic.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a waiting request is told.
+/// A command of the decision logic for an open request.
 #[derive(Debug)]
 pub enum Command {
-    /// Send it to this back end.
+    /// Send the request to this back end.
     Dispatch(TicketId, Machine),
-    /// This is its final answer.
+    /// Respond to the caller with this refusal.
     Refuse(Refusal),
 }
 
-/// A node's decision logic with its surroundings.
+/// The decision logic of a node with its clients, connections and metrics.
 #[derive(Debug)]
 pub struct Host {
     node: Node,
     settings: NodeSettings,
     start: Instant,
-    links: Links,
+    connections: PeerConnections,
     metrics: Arc<Metrics>,
     http: HttpClient,
     table: TableClient,
@@ -47,12 +51,13 @@
     changes: Mutex<HashMap<ChangeId, oneshot::Sender<Result<Row, ChangeError>>>>,
     change_numbers: AtomicU64,
     stopping: AtomicBool,
-    /// Whether the table answered the last transaction; `None` before any.
-    table_answers: Mutex<Option<bool>>,
+    /// Whether the table service responded to the last transaction; `None` before the
+    /// first transaction.
+    is_table_responding: Mutex<Option<bool>>,
 }
 
 impl Host {
-    /// A host for `node`, whose time starts now.
+    /// A host for `node`. The time of the decision logic starts at this call.
     pub fn new(node: Node, settings: NodeSettings, metrics: Arc<Metrics>) -> Arc<Self> {
         let http = HttpClient::default();
         let platform = &settings.platform;
@@ -69,7 +74,7 @@
             platform.table_timeout,
         );
         Arc::new(Host {
-            links: Links::new(node.identity().node.clone(), Arc::clone(&metrics)),
+            connections: PeerConnections::new(node.identity().node.clone(), Arc::clone(&metrics)),
             engines: EngineClient::new(http.clone()),
             node,
             settings,
@@ -82,21 +87,21 @@
             changes: Mutex::default(),
             change_numbers: AtomicU64::new(0),
             stopping: AtomicBool::new(false),
-            table_answers: Mutex::new(None),
+            is_table_responding: Mutex::new(None),
         })
     }
 
-    /// The decision logic.
+    /// The decision logic of the node.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// The settings.
+    /// The settings of the node.
     pub fn settings(&self) -> &NodeSettings {
         &self.settings
     }
 
-    /// The counters.
+    /// The metrics of the node.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
@@ -106,7 +111,7 @@
         &self.http
     }
 
-    /// The decision logic's time.
+    /// The present time of the decision logic.
     pub fn now(&self) -> Timestamp {
         Timestamp(self.start.elapsed().as_millis() as u64)
     }
@@ -116,13 +121,13 @@
         self.stopping.load(Ordering::Relaxed)
     }
 
-    /// Asks the node to finish its work and leave.
+    /// Asks the node to finish its work and to leave the membership.
     pub fn stop(self: &Arc<Self>) {
         self.stopping.store(true, Ordering::Relaxed);
         self.handle(Event::StopRequested);
     }
 
-    /// Ticks until the task is dropped.
+    /// Sends ticks to the decision logic until the task is dropped.
     pub async fn run_ticks(self: Arc<Self>) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -132,7 +137,7 @@
         }
     }
 
-    /// Hands an event to the decision logic and carries out what follows.
+    /// Passes an event to the decision logic and carries out the resulting actions.
     pub fn handle(self: &Arc<Self>, event: Event) {
         for action in self.node.handle(self.now(), event) {
             self.perform(action);
@@ -143,14 +148,14 @@
         match action {
             Action::Send { to, message } => {
                 if let Some(address) = self.address_of(&to) {
-                    self.links.send(&to, address, message);
+                    self.connections.send(&to, address, message);
                 }
             }
             Action::Transact { tag, transaction } => {
                 tokio::spawn(Arc::clone(self).transact(tag, transaction));
             }
             Action::Order { machine, order } => {
-                tokio::spawn(Arc::clone(self).order(machine, order));
+                tokio::spawn(Arc::clone(self).send_order(machine, order));
             }
             Action::ReadReport { machine } => {
                 tokio::spawn(Arc::clone(self).read_report(machine));
@@ -159,15 +164,15 @@
                 tokio::spawn(Arc::clone(self).read_machine_list());
             }
             Action::Dispatch { id, machine } => {
-                self.command(id.request, Command::Dispatch(id, machine));
+                self.send_command(id.request, Command::Dispatch(id, machine));
             }
             Action::Refuse { request, refusal } => {
-                self.command(request, Command::Refuse(refusal));
+                self.send_command(request, Command::Refuse(refusal));
             }
             Action::AnswerChange { id, result } => {
-                if let Some(waiting) = self.changes.lock().remove(&id) {
-                    // The operator may have gone away, which changes nothing.
-                    let _ = waiting.send(result);
+                if let Some(sender) = self.changes.lock().remove(&id) {
+                    // The operator may have disconnected; the change is made all the same.
+                    let _ = sender.send(result);
                 }
             }
         }
@@ -177,18 +182,18 @@
         if let Some(entry) = self.node.peer(node) {
             return Some(entry.address);
         }
-        let known = |peer: &&PeerSection| peer.id == *node;
+        let has_id = |peer: &&PeerSection| peer.id == *node;
         self.settings
             .peers
             .iter()
-            .find(known)
+            .find(has_id)
             .map(|peer| peer.address)
     }
 
-    fn command(&self, request: RequestId, command: Command) {
-        if let Some(waiting) = self.requests.lock().get(&request) {
-            // A request that went away has already told the decision logic.
-            let _ = waiting.send(command);
+    fn send_command(&self, request: RequestId, command: Command) {
+        if let Some(sender) = self.requests.lock().get(&request) {
+            // A dropped request has already notified the decision logic.
+            let _ = sender.send(command);
         }
     }
 
@@ -204,11 +209,11 @@
             .transactions
             .with_label_values(&[outcome])
             .inc();
-        *self.table_answers.lock() = Some(answer != TableAnswer::Unknown);
+        *self.is_table_responding.lock() = Some(answer != TableAnswer::Unknown);
         self.handle(Event::TableAnswered { tag, answer });
     }
 
-    async fn order(self: Arc<Self>, machine: Machine, order: Order) {
+    async fn send_order(self: Arc<Self>, machine: Machine, order: Order) {
         let result = self.engines.order(machine.address, &order).await;
         self.handle(Event::OrderAnswered {
             back_end: machine.id,
@@ -235,29 +240,30 @@
                 }
                 self.handle(Event::MachineListRead(list));
             }
-            Err(error) => log::debug!("machine list was not read: {error}"),
+            Err(error) => log::debug!("cannot read the machine list: {error}"),
         }
     }
 
-    /// Whether the table answered the last transaction; `None` before any.
-    pub fn table_answers(&self) -> Option<bool> {
-        *self.table_answers.lock()
+    /// Whether the table service responded to the last transaction; `None` before the
+    /// first transaction.
+    pub fn is_table_responding(&self) -> Option<bool> {
+        *self.is_table_responding.lock()
     }
 
-    /// Registers a request, so that commands for it reach the receiver.
+    /// Registers a request and returns the receiver of its commands.
     pub fn register(&self, request: RequestId) -> mpsc::UnboundedReceiver<Command> {
         let (sender, receiver) = mpsc::unbounded_channel();
         self.requests.lock().insert(request, sender);
         receiver
     }
 
-    /// Forgets a request.
+    /// Removes a request from the receivers of commands.
     pub fn unregister(&self, request: RequestId) {
         self.requests.lock().remove(&request);
     }
 
-    /// Makes an operator's change.
-    pub async fn change(self: &Arc<Self>, change: Change) -> Result<Row, ChangeError> {
+    /// Applies a change that an operator requested, and waits for its result.
+    pub async fn apply_change(self: &Arc<Self>, change: Change) -> Result<Row, ChangeError> {
         let id = ChangeId(self.change_numbers.fetch_add(1, Ordering::Relaxed));
         let (sender, receiver) = oneshot::channel();
         self.changes.lock().insert(id, sender);
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,9 @@
-//! The gorsebank node: a tokio shell around the coordination logic.
+//! The gorsebank node: the tokio process that runs the coordination logic.
 //!
-//! Callers' requests and operators' changes flow in over HTTP, messages of
-//! other nodes over TCP; requests flow out to back ends, transactions to the
-//! table service. Every decision is made by [`gorsebank_coordination::Node`].
+//! In: requests of callers and changes of operators over HTTP, and messages of
+//! other nodes over TCP. Out: requests to back ends, messages to other nodes, and
+//! transactions to the table service. [`gorsebank_coordination::Node`] makes all
+//! decisions.
 
 pub mod admin;
 pub mod caller;
--- a/crates/node/src/links.rs
+++ b/crates/node/src/links.rs
@@ -1,7 +1,8 @@
-//! Outgoing connections to other nodes, one each, kept open.
+//! Outgoing connections to other nodes: one persistent connection for each node.
 //!
-//! Messages that cannot be sent are dropped and counted: every promise holds
-//! without them, and whoever waits for an answer asks again.
+//! Messages that cannot be sent are dropped and counted. No guarantee of the
+//! system depends on their delivery, and a node that waits for a response sends
+//! its message again.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,37 +21,37 @@
 
 use crate::metrics::Metrics;
 
-/// Messages that wait for a connection at the most.
-const QUEUE_LENGTH: usize = 4_096;
-/// A connection must be established within this time.
+/// The longest queue of messages for one connection.
+const MAX_QUEUED_MESSAGES: usize = 4_096;
+/// The longest time to establish a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A message must be written within this time.
+/// The longest time to write a batch of messages.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Pause after a connection failed.
-const RECONNECT_PAUSE: Duration = Duration::from_millis(200);
-/// Messages that are written at once.
-const BATCH: usize = 64;
+/// The wait after a connection could not be established.
+const RECONNECT_DELAY: Duration = Duration::from_millis(200);
+/// The largest number of messages that are written together.
+const MAX_BATCH_MESSAGES: usize = 64;
 
 #[derive(Debug)]
-struct Link {
+struct PeerConnection {
     address: SocketAddr,
     queue: mpsc::Sender<PeerMessage>,
 }
 
-/// All outgoing connections.
+/// All outgoing connections of a node.
 #[derive(Debug)]
-pub struct Links {
+pub struct PeerConnections {
     node: NodeId,
-    links: Mutex<HashMap<NodeId, Link>>,
+    connections: Mutex<HashMap<NodeId, PeerConnection>>,
     metrics: Arc<Metrics>,
 }
 
-impl Links {
-    /// No connections.
+impl PeerConnections {
+    /// An empty set of connections.
     pub fn new(node: NodeId, metrics: Arc<Metrics>) -> Self {
-        Links {
+        PeerConnections {
             node,
-            links: Mutex::default(),
+            connections: Mutex::default(),
             metrics,
         }
     }
@@ -67,49 +68,49 @@
     }
 
     fn queue_to(&self, to: &NodeId, address: SocketAddr) -> mpsc::Sender<PeerMessage> {
-        let mut links = self.links.lock();
-        if let Some(link) = links.get(to)
-            && link.address == address
+        let mut connections = self.connections.lock();
+        if let Some(connection) = connections.get(to)
+            && connection.address == address
         {
-            return link.queue.clone();
+            return connection.queue.clone();
         }
-        let (queue, messages) = mpsc::channel(QUEUE_LENGTH);
-        let task = run(
+        let (queue, messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
+        let task = send_messages(
             self.node.clone(),
             address,
             messages,
             Arc::clone(&self.metrics),
         );
         tokio::spawn(task);
-        let link = Link {
+        let connection = PeerConnection {
             address,
             queue: queue.clone(),
         };
-        links.insert(to.clone(), link);
+        connections.insert(to.clone(), connection);
         queue
     }
 }
 
-async fn run(
+async fn send_messages(
     node: NodeId,
     address: SocketAddr,
     mut messages: mpsc::Receiver<PeerMessage>,
     metrics: Arc<Metrics>,
 ) {
     let mut connection = None;
-    let mut batch = Vec::with_capacity(BATCH);
-    while messages.recv_many(&mut batch, BATCH).await > 0 {
+    let mut batch = Vec::with_capacity(MAX_BATCH_MESSAGES);
+    while messages.recv_many(&mut batch, MAX_BATCH_MESSAGES).await > 0 {
         if connection.is_none() {
             connection = connect(address).await;
         }
         let Some(writer) = connection.as_mut() else {
             metrics.messages_dropped.inc_by(batch.len() as u64);
             batch.clear();
-            tokio::time::sleep(RECONNECT_PAUSE).await;
+            tokio::time::sleep(RECONNECT_DELAY).await;
             continue;
         };
-        let sent = write(writer, &node, &mut batch, &metrics).await;
-        if !sent {
+        let is_sent = write(writer, &node, &mut batch, &metrics).await;
+        if !is_sent {
             metrics.messages_dropped.inc();
             connection = None;
         }
--- a/crates/node/src/listener.rs
+++ b/crates/node/src/listener.rs
@@ -1,7 +1,7 @@
-//! Connections from other nodes: frames in, events for the decision logic out.
+//! Connections from other nodes. In: frames. Out: events for the decision logic.
 //!
-//! A connection that carries anything but envelopes is closed and counted; no
-//! other connection notices.
+//! A connection that carries an invalid frame is closed and counted. Other
+//! connections are not affected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,7 +22,7 @@
                 tokio::spawn(read(Arc::clone(&host), stream, from));
             }
             Err(error) => {
-                log::warn!("a connection from another node was not accepted: {error}");
+                log::warn!("cannot accept a connection from another node: {error}");
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
             }
         }
@@ -39,7 +39,7 @@
             }),
             Err(error) => {
                 host.metrics().frames_refused.inc();
-                log::warn!("connection from {from} closed: {error}");
+                log::warn!("closing the connection from {from}: {error}");
                 return;
             }
         }
--- a/crates/node/src/logging.rs
+++ b/crates/node/src/logging.rs
@@ -1,4 +1,5 @@
-//! Logs by logforth: counters tell how much, lines tell of changes of state.
+//! Sets up logging with logforth. Log lines report changes of state; metrics count
+//! frequent events.
 
 use eyre::eyre;
 use logforth::append::Stderr;
@@ -7,7 +8,7 @@
 
 use crate::settings::{LogFormat, LogSection};
 
-/// Sends log lines to standard error.
+/// Starts logging to standard error.
 pub fn start(section: &LogSection) -> eyre::Result<()> {
     let filter = RustLogFilterBuilder::from_spec(&section.filter).build();
     let append = match section.format {
@@ -17,5 +18,5 @@
     logforth::starter_log::builder()
         .dispatch(|dispatch| dispatch.filter(filter).append(append))
         .try_apply()
-        .map_err(|error| eyre!("logs cannot be started: {error}"))
+        .map_err(|error| eyre!("cannot start logging: {error}"))
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters of a node, in the Prometheus text format.
+//! Metrics of a node and their output in the Prometheus text format.
 
 use prometheus::{
     Encoder, Histogram, HistogramOpts, IntCounter, IntCounterVec, IntGauge, Opts, Registry,
@@ -7,12 +7,12 @@
 
 use gorsebank_coordination::NodeStatus;
 
-/// Bounds of the first-byte histogram, in seconds.
-const FIRST_BYTE_BUCKETS: [f64; 12] = [
+/// Upper bounds of the buckets of the first-byte histogram, in seconds.
+const FIRST_BYTE_BUCKETS_SECONDS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.2, 2.5, 5.0, 10.0, 30.0, 60.0,
 ];
 
-/// All counters.
+/// All metrics of a node.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -22,25 +22,25 @@
     pub messages_dropped: IntCounter,
     /// Bytes of frames written to other nodes.
     pub bytes_sent: IntCounter,
-    /// Connections of nodes closed over a wrong frame.
+    /// Connections of other nodes that were closed after an invalid frame.
     pub frames_refused: IntCounter,
-    /// Requests of callers that were refused as invalid, by code.
+    /// Requests of callers that were rejected as invalid, by error code.
     pub invalid_requests: IntCounterVec,
-    /// Requests answered by back ends.
+    /// Requests to which a back end returned a complete response.
     pub answered: IntCounter,
     /// Requests refused, by reason.
     pub refused: IntCounterVec,
-    /// Streams resumed after they broke.
+    /// Streams that were resumed after a broken connection.
     pub streams_resumed: IntCounter,
-    /// Streams that broke and could not be resumed.
+    /// Broken streams that could not be resumed.
     pub streams_broken: IntCounter,
-    /// Events dropped since they were not the next of their stream.
+    /// Stream events that were dropped because they were not the next of their stream.
     pub events_rejected: IntCounter,
-    /// Transactions of the table service, by outcome.
+    /// Transactions sent to the table service, by outcome.
     pub transactions: IntCounterVec,
-    /// Entries of the machine list that were left out.
+    /// Invalid entries of the machine list, which were skipped.
     pub machine_list_errors: IntCounter,
-    /// Seconds from a request's arrival to the first byte of its answer.
+    /// Seconds from the arrival of a request to the first byte of its response.
     pub first_byte: Histogram,
     state: StateGauges,
 }
@@ -60,53 +60,62 @@
 }
 
 impl Metrics {
-    /// Counters at zero.
+    /// Registers all metrics, with counters at zero.
     pub fn new() -> Result<Self, prometheus::Error> {
         let registry = Registry::new_custom(Some("gorsebank".to_owned()), None)?;
-        let maker = Maker {
+        let registrar = MetricRegistrar {
             registry: &registry,
         };
         let metrics = Metrics {
-            messages_sent: maker.counters(
+            messages_sent: registrar.counter_vec(
                 "messages_sent_total",
                 "Messages to other nodes",
                 "kind",
             )?,
-            messages_dropped: maker.counter("messages_dropped_total", "Messages not sent")?,
-            bytes_sent: maker.counter("bytes_sent_total", "Bytes sent to other nodes")?,
-            frames_refused: maker.counter("frames_refused_total", "Wrong frames received")?,
-            invalid_requests: maker.counters(
+            messages_dropped: registrar.counter("messages_dropped_total", "Messages not sent")?,
+            bytes_sent: registrar.counter("bytes_sent_total", "Bytes sent to other nodes")?,
+            frames_refused: registrar.counter("frames_refused_total", "Invalid frames received")?,
+            invalid_requests: registrar.counter_vec(
                 "invalid_requests_total",
                 "Invalid requests",
                 "code",
             )?,
-            answered: maker.counter("answered_total", "Requests answered by back ends")?,
-            refused: maker.counters("refused_total", "Requests refused", "reason")?,
-            streams_resumed: maker.counter("streams_resumed_total", "Streams resumed")?,
-            streams_broken: maker.counter("streams_broken_total", "Streams not resumed")?,
-            events_rejected: maker.counter("events_rejected_total", "Stream events dropped")?,
-            transactions: maker.counters("transactions_total", "Table transactions", "outcome")?,
-            machine_list_errors: maker
-                .counter("machine_list_errors_total", "Wrong machine list entries")?,
-            first_byte: maker.histogram("first_byte_seconds", "Time to the first byte")?,
+            answered: registrar.counter("answered_total", "Requests answered by back ends")?,
+            refused: registrar.counter_vec("refused_total", "Requests refused", "reason")?,
+            streams_resumed: registrar.counter("streams_resumed_total", "Streams resumed")?,
+            streams_broken: registrar.counter("streams_broken_total", "Streams not resumed")?,
+            events_rejected: registrar.counter("events_rejected_total", "Stream events dropped")?,
+            transactions: registrar.counter_vec(
+                "transactions_total",
+                "Table transactions",
+                "outcome",
+            )?,
+            machine_list_errors: registrar
+                .counter("machine_list_errors_total", "Invalid machine list entries")?,
+            first_byte: registrar.histogram("first_byte_seconds", "Time to the first byte")?,
             state: StateGauges {
-                pending: maker.gauge("pending_requests", "Requests without a final answer")?,
-                waiting: maker.gauge("waiting_tickets", "Tickets in queues owned here")?,
-                queues: maker.gauge("queues", "Queues owned here")?,
-                claims: maker.gauge("claims", "Claims recorded here")?,
-                live_nodes: maker.gauge("live_nodes", "Live nodes of the cell")?,
-                holder: maker.gauge("placement_holder", "1 if this node holds the lease")?,
-                revision: maker.gauge("configuration_revision", "Configuration in force")?,
-                retries: maker.gauge("retries", "Attempts repeated")?,
-                on_credit: maker.gauge("sent_on_credit", "Requests sent on a credit")?,
-                loads: maker.gauge("loads_ordered", "Loads ordered by this node")?,
+                pending: registrar
+                    .gauge("pending_requests", "Requests without a final response")?,
+                waiting: registrar.gauge("waiting_tickets", "Tickets in queues owned here")?,
+                queues: registrar.gauge("queues", "Queues owned here")?,
+                claims: registrar.gauge("claims", "Claims recorded here")?,
+                live_nodes: registrar.gauge("live_nodes", "Live nodes of the cell")?,
+                holder: registrar.gauge(
+                    "placement_holder",
+                    "1 if this node holds the placement lease",
+                )?,
+                revision: registrar
+                    .gauge("configuration_revision", "Applied configuration revision")?,
+                retries: registrar.gauge("retries", "Retried attempts")?,
+                on_credit: registrar.gauge("sent_on_credit", "Requests sent on a credit")?,
+                loads: registrar.gauge("loads_ordered", "Loads ordered by this node")?,
             },
             registry: registry.clone(),
         };
         Ok(metrics)
     }
 
-    /// All counters as text, with the state as it is now.
+    /// All metrics in the text format. The gauges are set from `status`.
     pub fn render(&self, status: &NodeStatus) -> Result<String, prometheus::Error> {
         let state = &self.state;
         state.pending.set(status.pending as i64);
@@ -125,18 +134,18 @@
     }
 }
 
-struct Maker<'a> {
+struct MetricRegistrar<'a> {
     registry: &'a Registry,
 }
 
-impl Maker<'_> {
+impl MetricRegistrar<'_> {
     fn counter(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
         let counter = IntCounter::new(name, help)?;
         self.registry.register(Box::new(counter.clone()))?;
         Ok(counter)
     }
 
-    fn counters(
+    fn counter_vec(
         &self,
         name: &str,
         help: &str,
@@ -154,7 +163,7 @@
     }
 
     fn histogram(&self, name: &str, help: &str) -> Result<Histogram, prometheus::Error> {
-        let options = HistogramOpts::new(name, help).buckets(FIRST_BYTE_BUCKETS.to_vec());
+        let options = HistogramOpts::new(name, help).buckets(FIRST_BYTE_BUCKETS_SECONDS.to_vec());
         let histogram = Histogram::with_opts(options)?;
         self.registry.register(Box::new(histogram.clone()))?;
         Ok(histogram)
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -1,8 +1,9 @@
-//! Starts a node and stops it without cutting a request.
+//! Starts a node, and stops it without interrupting open requests.
 //!
-//! A stop has four steps: say that the node is not ready and leave the
-//! membership; go on taking connections while that spreads; take no new ones
-//! and let open requests end; exit once other nodes rely on nothing here.
+//! A stop has four steps. The node reports that it is not ready and leaves the
+//! membership. It still accepts connections while this change propagates. It then
+//! accepts no new connections and lets open requests end. It exits when no other
+//! node depends on its state any longer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,26 +23,26 @@
 use crate::settings::NodeSettings;
 use crate::{admin, caller, listener, state_log};
 
-/// Between two looks at whether the node is drained.
-const DRAIN_POLL: Duration = Duration::from_millis(50);
-/// What other nodes rely on here is given up after so long once no request is
-/// open.
+/// The interval between two checks whether the node is drained.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// The longest time for which the node waits, after the last open request ended,
+/// for other nodes to take over the state that they depend on.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(10);
 
 /// Why a node could not start.
 #[derive(Debug, Error)]
 pub enum ProcessError {
-    /// An address cannot be listened on.
+    /// The node cannot listen on an address.
     #[error("{field}: cannot listen on {address}: {error}")]
     Listen {
-        /// The settings field.
+        /// The settings field that contains the address.
         field: &'static str,
-        /// The address.
+        /// The address of the listener.
         address: SocketAddr,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// Counters cannot be registered.
+    /// The metrics cannot be registered.
     #[error("metrics: {0}")]
     Metrics(#[from] prometheus::Error),
 }
@@ -59,7 +60,7 @@
 }
 
 impl NodeProcess {
-    /// Binds the addresses and starts.
+    /// Binds the addresses and starts the tasks of the node.
     pub async fn start(settings: NodeSettings) -> Result<Self, ProcessError> {
         let section = &settings.node;
         let (callers, caller_listener) =
@@ -110,7 +111,7 @@
         })
     }
 
-    /// The node with its surroundings.
+    /// The host of the decision logic.
     pub fn host(&self) -> &Arc<Host> {
         &self.host
     }
@@ -130,22 +131,22 @@
         self.admin
     }
 
-    /// Drains and stops.
+    /// Drains the node and stops its tasks.
     pub async fn stop(self) {
         let drain = self.host.settings().drain.clone();
-        log::info!("stopping: not ready any more");
+        log::info!("stopping: the node is no longer ready");
         self.host.stop();
         tokio::time::sleep(drain.linger).await;
-        // The receiver lives as long as the task that serves callers.
+        // Sending fails only if the task that serves callers has ended already.
         let _ = self.stop_callers.send(true);
         let open_until = Instant::now() + drain.limit;
         let served = tokio::time::timeout(drain.limit, self.caller_task).await;
         if served.is_err() {
-            log::warn!("stopping: requests are still open after {:?}", drain.limit);
+            log::warn!("stopping: open requests remain after {:?}", drain.limit);
         }
         let hand_over_until = open_until.min(Instant::now() + HAND_OVER_LIMIT);
         while !self.host.node().is_drained() && Instant::now() < hand_over_until {
-            tokio::time::sleep(DRAIN_POLL).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
         for task in self.tasks {
             task.abort();
@@ -158,38 +159,38 @@
     field: &'static str,
     address: SocketAddr,
 ) -> Result<(SocketAddr, TcpListener), ProcessError> {
-    let refuse = |error| ProcessError::Listen {
+    let listen_error = |error| ProcessError::Listen {
         field,
         address,
         error,
     };
-    let listener = TcpListener::bind(address).await.map_err(refuse)?;
-    let bound = listener.local_addr().map_err(refuse)?;
+    let listener = TcpListener::bind(address).await.map_err(listen_error)?;
+    let bound = listener.local_addr().map_err(listen_error)?;
     Ok((bound, listener))
 }
 
 async fn serve_callers(listener: TcpListener, router: Router, mut stopped: watch::Receiver<bool>) {
     let stop = async move {
-        // An error means that the process is gone, which is a stop as well.
+        // An error means that the sender was dropped, which also stops the server.
         let _ = stopped.wait_for(|stop| *stop).await;
     };
     let served = axum::serve(listener, router)
         .with_graceful_shutdown(stop)
         .await;
     if let Err(error) = served {
-        log::error!("callers are served no more: {error}");
+        log::error!("the listener for callers failed: {error}");
     }
 }
 
 async fn serve_admin(listener: TcpListener, router: Router) {
     if let Err(error) = axum::serve(listener, router).await {
-        log::error!("operators are served no more: {error}");
+        log::error!("the listener for operators failed: {error}");
     }
 }
 
-/// A life that is greater than that of any earlier process of the same name,
-/// as long as the machines' clocks are right to within the time that a process
-/// takes to be replaced.
+/// An incarnation that is greater than that of any earlier process of the same
+/// node, provided that the clocks of the machines differ by less than the time that the
+/// replacement of a process takes.
 fn new_incarnation() -> Incarnation {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,5 @@
-//! The settings file of a node: TOML, every field checked, with units.
+//! The settings file of a node, in TOML. In: the text of the file. Out: checked
+//! settings, or an error that names the line and the field.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,23 +13,23 @@
 use serde::{Deserialize, Deserializer};
 use thiserror::Error;
 
-/// What is wrong with a settings file.
+/// Why a settings file was rejected.
 #[derive(Debug, Error)]
 pub enum SettingsError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error("{path}: {error}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         error: std::io::Error,
     },
-    /// Its content is wrong; the text names line and field.
+    /// The content is invalid; the message names the line and the field.
     #[error("{path}: {error}")]
     Content {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Line, field and reason.
+        /// The error with the line, the field and the reason.
         error: Box<toml::de::Error>,
     },
 }
@@ -37,65 +38,65 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
-    /// Who and where the node is.
+    /// The identity and the addresses of the node.
     pub node: NodeSection,
-    /// Where the platform's services are.
+    /// The addresses of the services of the platform.
     pub platform: PlatformSection,
-    /// Nodes that are known before the machine list was read.
+    /// Nodes that the node knows before it has read the machine list.
     #[serde(default)]
     pub peers: Vec<PeerSection>,
-    /// Limits towards callers.
+    /// Limits for requests of callers.
     #[serde(default)]
     pub limits: LimitsSection,
-    /// Who is alive.
+    /// Failure detection and membership.
     #[serde(default)]
     pub membership: MembershipSection,
-    /// How requests wait and are sent.
+    /// Queueing, dispatch and retries of requests.
     #[serde(default)]
     pub routing: RoutingSection,
-    /// How models are placed.
+    /// Placement of models on engines.
     #[serde(default)]
     pub placement: PlacementSection,
-    /// How keys are claimed.
+    /// Claims of idempotency keys.
     #[serde(default)]
     pub claims: ClaimsSection,
-    /// How a stopping node drains.
+    /// Draining of a node that is shutting down.
     #[serde(default)]
     pub drain: DrainSection,
-    /// Logs.
+    /// Logging.
     #[serde(default)]
     pub log: LogSection,
 }
 
-/// Who and where the node is.
+/// The identity and the addresses of the node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSection {
-    /// Its name, unique in the deployment.
+    /// The name of the node, unique in the deployment.
     pub id: NodeId,
-    /// Its failure zone.
+    /// The failure zone of the node.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell of the node.
     pub cell: CellId,
-    /// Address for callers.
+    /// The listen address for callers.
     pub listen_callers: SocketAddr,
-    /// Address for other nodes.
+    /// The listen address for other nodes.
     pub listen_nodes: SocketAddr,
-    /// Address for operators, metrics and probes.
+    /// The listen address for operators, metrics and probes.
     pub listen_admin: SocketAddr,
 }
 
-/// Where the platform's services are.
+/// The addresses of the services of the platform.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSection {
     /// Addresses of the table service.
     #[serde(deserialize_with = "not_empty")]
     pub tables: Vec<SocketAddr>,
-    /// Prefix of all rows.
+    /// The prefix of the keys of all rows.
     #[serde(default = "default_table_prefix")]
     pub table_prefix: String,
-    /// A call to the table service may take so long.
+    /// The timeout of a call to the table service.
     #[serde(default = "default_table_timeout", deserialize_with = "positive_time")]
     pub table_timeout: Duration,
     /// Address of the machine list.
@@ -105,17 +106,17 @@
     pub machine_list_path: String,
 }
 
-/// A node that is known before the machine list was read.
+/// A node that is known before the machine list has been read.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSection {
-    /// Its name.
+    /// The name of the node.
     pub id: NodeId,
-    /// Where it listens for other nodes.
+    /// The address on which the node listens for other nodes.
     pub address: SocketAddr,
-    /// Its zone.
+    /// The failure zone of the node.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell of the node.
     pub cell: CellId,
 }
 
@@ -130,17 +131,17 @@
     }
 }
 
-/// Limits towards callers.
+/// Limits for requests of callers.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsSection {
     /// Largest request body.
     #[serde(deserialize_with = "positive_size")]
     pub body: ByteSize,
-    /// Largest answer that is not a stream.
+    /// Largest response that is not a stream.
     #[serde(deserialize_with = "positive_size")]
     pub answer: ByteSize,
-    /// Requests that wait or run at one node at the most.
+    /// The largest number of requests that wait or run at one node.
     #[serde(deserialize_with = "positive_count")]
     pub open_requests: usize,
     /// Deadline of an interactive request that states none.
@@ -149,7 +150,7 @@
     /// Deadline of a batch request that states none.
     #[serde(deserialize_with = "positive_time")]
     pub batch_deadline: Duration,
-    /// A stream without an event for so long is resumed.
+    /// The time without an event after which a stream is resumed.
     #[serde(deserialize_with = "positive_time")]
     pub stream_stall: Duration,
 }
@@ -167,17 +168,17 @@
     }
 }
 
-/// Who is alive.
+/// Failure detection and membership.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipSection {
-    /// Between two heartbeats.
+    /// The interval between two heartbeats.
     #[serde(deserialize_with = "positive_time")]
     pub heartbeat_interval: Duration,
-    /// Silence after which a node is taken for dead.
+    /// The time without a heartbeat after which a node is considered dead.
     #[serde(deserialize_with = "positive_time")]
     pub failure_timeout: Duration,
-    /// Between two readings of the machine list.
+    /// The interval between two reads of the machine list.
     #[serde(deserialize_with = "positive_time")]
     pub machine_list_interval: Duration,
 }
@@ -193,23 +194,23 @@
     }
 }
 
-/// How requests wait and are sent.
+/// Queueing, dispatch and retries of requests.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingSection {
-    /// A grant or credit may be used for so long.
+    /// The time for which a grant or credit may be used.
     #[serde(deserialize_with = "positive_time")]
     pub grant_validity: Duration,
-    /// Tickets in one queue at the most.
+    /// The largest number of tickets in one queue.
     #[serde(deserialize_with = "positive_count")]
     pub queue_limit: usize,
-    /// Attempts of one request at the most.
+    /// The largest number of attempts of one request.
     #[serde(deserialize_with = "positive_count")]
     pub attempts: usize,
-    /// Share of requests that may be attempted again.
+    /// The fraction of requests that may be retried, from 0 to 1.
     #[serde(deserialize_with = "share")]
     pub retry_ratio: f64,
-    /// Share of a replica's slots that batch requests may take.
+    /// The fraction of the slots of a replica that batch requests may use, from 0 to 1.
     #[serde(deserialize_with = "share")]
     pub batch_share: f64,
 }
@@ -227,26 +228,26 @@
     }
 }
 
-/// How models are placed.
+/// Placement of models on engines.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PlacementSection {
-    /// Loads that the weight store may start each second.
+    /// The largest number of loads that the weight store starts per second.
     #[serde(deserialize_with = "positive_rate")]
     pub store_starts_per_second: f64,
-    /// Loads that run at full speed at once.
+    /// The number of concurrent loads that the weight store serves at full speed.
     #[serde(deserialize_with = "positive_count")]
     pub store_concurrency: usize,
-    /// Bytes a second of one load from the weight store.
+    /// The bandwidth of one load from the weight store, in bytes per second.
     #[serde(deserialize_with = "positive_size")]
     pub store_bandwidth: ByteSize,
-    /// Share of an engine's memory for dormant models.
+    /// The fraction of the memory of an engine for dormant models, from 0 to 1.
     #[serde(deserialize_with = "share")]
     pub standby_share: f64,
-    /// An idle model stays loaded at least so long.
+    /// The shortest time for which an idle model stays loaded.
     #[serde(deserialize_with = "positive_time")]
     pub keep_alive_min: Duration,
-    /// An idle model stays loaded at most so long.
+    /// The longest time for which an idle model stays loaded.
     #[serde(deserialize_with = "positive_time")]
     pub keep_alive_max: Duration,
 }
@@ -265,17 +266,17 @@
     }
 }
 
-/// How keys of requests that may not be repeated are claimed.
+/// Claims of the idempotency keys of requests that may run at most once.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClaimsSection {
-    /// Nodes that keep each claim.
+    /// The number of nodes that store each claim.
     #[serde(deserialize_with = "positive_count")]
     pub members: usize,
-    /// A claim is remembered for so long.
+    /// The time for which a claim is stored.
     #[serde(deserialize_with = "positive_time")]
     pub retention: Duration,
-    /// A claim without a majority after so long is given up.
+    /// The time after which a claim without a majority is abandoned.
     #[serde(deserialize_with = "positive_time")]
     pub timeout: Duration,
 }
@@ -291,15 +292,15 @@
     }
 }
 
-/// How a stopping node drains.
+/// Draining of a node that is shutting down.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct DrainSection {
-    /// New connections are still taken for so long after the stop was asked
-    /// for, while the node says that it is not ready.
+    /// The time for which the node still accepts connections after the request to
+    /// stop, while it reports that it is not ready.
     #[serde(with = "humantime_serde")]
     pub linger: Duration,
-    /// Open requests get so long to end.
+    /// The longest time for which the node waits for open requests to end.
     #[serde(deserialize_with = "positive_time")]
     pub limit: Duration,
 }
@@ -313,22 +314,22 @@
     }
 }
 
-/// Form of log lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Plain text, for people.
     #[default]
     Text,
-    /// For programs.
+    /// JSON, for programs.
     Json,
 }
 
-/// Logs.
+/// Logging.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSection {
-    /// Form of the lines.
+    /// The format of the log lines.
     pub format: LogFormat,
     /// Filter, such as `info` or `gorsebank_node=debug`.
     pub filter: String,
@@ -361,7 +362,7 @@
         toml::from_str(text)
     }
 
-    /// Settings of the decision logic.
+    /// The settings of the decision logic.
     pub fn coordination(&self) -> CoordinationSettings {
         CoordinationSettings {
             membership: MembershipSettings {
@@ -414,14 +415,14 @@
     "/machines".to_owned()
 }
 
-fn refuse<E: serde::de::Error>(reason: &str) -> E {
+fn custom_error<E: serde::de::Error>(reason: &str) -> E {
     E::custom(reason)
 }
 
 fn not_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<SocketAddr>, D::Error> {
     let addresses = Vec::<SocketAddr>::deserialize(deserializer)?;
     if addresses.is_empty() {
-        return Err(refuse("must name at least one address"));
+        return Err(custom_error("must name at least one address"));
     }
     Ok(addresses)
 }
@@ -429,7 +430,7 @@
 fn positive_time<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     let duration: Duration = humantime_serde::deserialize(deserializer)?;
     if duration < Duration::from_millis(1) {
-        return Err(refuse("must be at least 1ms"));
+        return Err(custom_error("must be at least 1ms"));
     }
     Ok(duration)
 }
@@ -437,7 +438,7 @@
 fn positive_size<'de, D: Deserializer<'de>>(deserializer: D) -> Result<ByteSize, D::Error> {
     let size = ByteSize::deserialize(deserializer)?;
     if size.as_u64() == 0 {
-        return Err(refuse("must be more than 0"));
+        return Err(custom_error("must be more than 0"));
     }
     Ok(size)
 }
@@ -445,7 +446,7 @@
 fn positive_count<'de, D: Deserializer<'de>>(deserializer: D) -> Result<usize, D::Error> {
     let count = usize::deserialize(deserializer)?;
     if count == 0 {
-        return Err(refuse("must be at least 1"));
+        return Err(custom_error("must be at least 1"));
     }
     Ok(count)
 }
@@ -453,7 +454,7 @@
 fn positive_rate<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let rate = f64::deserialize(deserializer)?;
     if !rate.is_finite() || rate <= 0.0 {
-        return Err(refuse("must be more than 0"));
+        return Err(custom_error("must be more than 0"));
     }
     Ok(rate)
 }
@@ -461,7 +462,7 @@
 fn share<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     let share = f64::deserialize(deserializer)?;
     if !(0.0..=1.0).contains(&share) {
-        return Err(refuse("must be from 0 to 1"));
+        return Err(custom_error("must be from 0 to 1"));
     }
     Ok(share)
 }
--- a/crates/node/src/state_log.rs
+++ b/crates/node/src/state_log.rs
@@ -1,5 +1,6 @@
-//! Log lines for changes of state: who is alive, who holds the lease, whether
-//! the table answers. Whatever happens often is a counter instead.
+//! Writes log lines when the state of the cluster changes: the live nodes, the
+//! holder of the placement lease, and whether the table service responds. Frequent
+//! events are counted in metrics instead.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -10,73 +11,73 @@
 
 use crate::host::Host;
 
-/// Between two looks at the state.
-const INTERVAL: Duration = Duration::from_millis(500);
+/// The interval between two reads of the state.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The state as last logged.
+/// The state that was logged last.
 #[derive(Debug, Default)]
-struct Seen {
+struct LoggedState {
     live: BTreeSet<NodeId>,
     holder: Option<NodeId>,
     is_holder: bool,
-    table_answers: Option<bool>,
+    is_table_responding: Option<bool>,
 }
 
 /// Logs changes until the task is dropped.
 pub async fn run(host: Arc<Host>) {
-    let mut seen = Seen::default();
-    let mut ticks = tokio::time::interval(INTERVAL);
+    let mut logged = LoggedState::default();
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
     loop {
         ticks.tick().await;
         let status = host.node().status();
-        seen.note_nodes(&status);
-        seen.note_holder(&status);
-        seen.note_table(host.table_answers());
+        logged.record_nodes(&status);
+        logged.record_holder(&status);
+        logged.record_table(host.is_table_responding());
     }
 }
 
-impl Seen {
-    fn note_nodes(&mut self, status: &NodeStatus) {
+impl LoggedState {
+    fn record_nodes(&mut self, status: &NodeStatus) {
         let live: BTreeSet<NodeId> = status.view.nodes.keys().cloned().collect();
         for node in live.difference(&self.live) {
             log::info!("node {node} is alive");
         }
         for node in self.live.difference(&live) {
-            log::warn!("node {node} is gone");
+            log::warn!("node {node} is not alive any more");
         }
         self.live = live;
     }
 
-    fn note_holder(&mut self, status: &NodeStatus) {
+    fn record_holder(&mut self, status: &NodeStatus) {
         if status.is_holder != self.is_holder {
             self.is_holder = status.is_holder;
             if self.is_holder {
                 log::info!(
-                    "this node holds the placement lease, fence {}",
+                    "this node acquired the placement lease, fencing token {}",
                     status.view.fence
                 );
             } else {
-                log::info!("this node holds the placement lease no more");
+                log::info!("this node lost the placement lease");
             }
         }
         if status.view.holder != self.holder {
             self.holder = status.view.holder.clone();
             match &self.holder {
-                Some(holder) => log::info!("{holder} holds the placement lease"),
+                Some(holder) => log::info!("node {holder} holds the placement lease"),
                 None => log::warn!("no live node holds the placement lease"),
             }
         }
     }
 
-    fn note_table(&mut self, answers: Option<bool>) {
-        if answers == self.table_answers {
+    fn record_table(&mut self, answers: Option<bool>) {
+        if answers == self.is_table_responding {
             return;
         }
         match answers {
-            Some(true) => log::info!("the table service answers"),
-            Some(false) => log::warn!("the table service does not answer"),
+            Some(true) => log::info!("the table service responds"),
+            Some(false) => log::warn!("the table service does not respond"),
             None => {}
         }
-        self.table_answers = answers;
+        self.is_table_responding = answers;
     }
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,10 +1,11 @@
-//! Settings files: the examples are right, and errors name line and field.
+//! Checks that the example settings files are valid, and that errors in settings
+//! files name the line and the field.
 
 use std::path::PathBuf;
 
 use gorsebank_node::NodeSettings;
 
-const GOOD: &str = r#"[node]
+const VALID_SETTINGS: &str = r#"[node]
 id = "n1"
 zone = "a"
 cell = "c"
@@ -17,7 +18,7 @@
 "#;
 
 #[test]
-fn the_examples_are_right() {
+fn example_settings_files_are_valid() {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../examples");
     for name in ["vatuloa.toml", "terminalkarten.toml"] {
         let settings = NodeSettings::read(&directory.join(name));
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn errors_name_line_and_field() {
+fn settings_errors_name_the_line_and_the_field() {
     let cases = [
         ("[limits]\nbody = \"many\"", "body", 12),
         ("[limits]\nbody = \"0B\"", "body", 12),
@@ -46,9 +47,9 @@
         ("[log]\nformat = \"xml\"", "format", 12),
     ];
     for (text, field, line) in cases {
-        let text = format!("{GOOD}{text}\n");
+        let text = format!("{VALID_SETTINGS}{text}\n");
         let error = NodeSettings::parse(&text)
-            .expect_err("the file is refused")
+            .expect_err("the settings are rejected")
             .to_string();
         assert!(error.contains(field), "{error}");
         assert!(error.contains(&format!("line {line}")), "{error}");
@@ -56,15 +57,15 @@
 }
 
 #[test]
-fn missing_and_empty_fields_are_refused() {
-    let missing = GOOD.replace("zone = \"a\"\n", "");
+fn missing_and_empty_fields_are_rejected() {
+    let missing = VALID_SETTINGS.replace("zone = \"a\"\n", "");
     let error = NodeSettings::parse(&missing)
-        .expect_err("refused")
+        .expect_err("the settings are rejected")
         .to_string();
     assert!(error.contains("zone"), "{error}");
-    let empty = GOOD.replace("[\"127.0.0.1:4\"]", "[]");
+    let empty = VALID_SETTINGS.replace("[\"127.0.0.1:4\"]", "[]");
     let error = NodeSettings::parse(&empty)
-        .expect_err("refused")
+        .expect_err("the settings are rejected")
         .to_string();
     assert!(
         error.contains("tables") && error.contains("line 9"),
