--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for what surrounds gorsebank: engines, application services, the
-//! table service, the weight store and the machine list.
+//! Emulators of the systems that gorsebank works with: engines, application
+//! services, the table service, the weight store and the machine list.
 //!
-//! `model` holds their behaviour without I/O, as the replay tool uses it;
-//! `server` puts it behind the published protocols.
+//! [`model`] contains their behaviour without I/O, for the replay tool. [`server`]
+//! offers them over the same protocols as the real systems.
 
 pub mod model;
 pub mod server;
--- a/crates/emulator/src/model/engine.rs
+++ b/crates/emulator/src/model/engine.rs
@@ -1,4 +1,6 @@
-//! A model engine: fenced orders, accelerator memory, running requests.
+//! An emulated model engine without I/O. In: orders with fencing tokens, ends of
+//! loads, starts and ends of requests. Out: results of orders, the inventory of
+//! loaded models and a history of events.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,73 +11,74 @@
 use gorsebank_world::Artifact;
 use serde::{Deserialize, Serialize};
 
-/// Something an engine did, for those who check it from outside.
+/// An event in the history of an engine, which checkers compare with the expected
+/// behaviour.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum EngineEvent {
     /// The process started with empty memory.
     Started,
-    /// A load began: memory is taken from here on.
+    /// A load began, and its memory is in use from then on.
     LoadStarted {
-        /// The artifact.
+        /// The artifact of the event.
         artifact: Artifact,
-        /// Its bytes.
+        /// The size of the artifact in bytes.
         bytes: u64,
     },
     /// The artifact is loaded.
     Loaded {
-        /// The artifact.
+        /// The artifact of the event.
         artifact: Artifact,
     },
-    /// Its memory is free.
+    /// The artifact was unloaded and its memory is free.
     Unloaded {
-        /// The artifact.
+        /// The artifact of the event.
         artifact: Artifact,
     },
-    /// The engine took another role; any but `serve` takes all memory.
+    /// The engine changed its role. A role other than `serve` occupies all memory.
     RoleChanged {
-        /// The role.
+        /// The new role.
         role: EngineRole,
     },
-    /// An order would have taken more memory than there is.
+    /// The engine refused an order that needs more memory than is free.
     OverCommitRefused {
-        /// The artifact.
+        /// The artifact of the event.
         artifact: Artifact,
     },
-    /// A request ran.
+    /// A request was started.
     Ran {
-        /// Its id as the front gave it.
+        /// The id that the node gave to the request.
         request: String,
     },
 }
 
-/// An event with its time.
+/// An event of an engine with its time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineRecord {
-    /// Milliseconds.
+    /// The time of the event in milliseconds.
     pub at: u64,
-    /// What happened.
+    /// The event.
     #[serde(flatten)]
     pub event: EngineEvent,
 }
 
-/// What an order leads to.
+/// The state of an order after the engine received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderStart {
-    /// It is settled.
+    /// The order is finished, with this result.
     Settled(OrderResult),
-    /// A load runs; call [`EngineModel::load_ended`] when it is over.
+    /// The load is running; call [`EngineModel::load_ended`] when it ends.
     Loading {
-        /// The artifact.
+        /// The artifact of the event.
         artifact: Artifact,
-        /// Its bytes.
+        /// The size of the artifact in bytes.
         bytes: u64,
-        /// Where from.
+        /// The storage tier that the artifact is loaded from.
         tier: SourceTier,
     },
 }
 
-/// An engine's state.
+/// The state of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineModel {
     memory: u64,
@@ -86,16 +89,17 @@
     loaded: BTreeMap<Artifact, u64>,
     loading: BTreeMap<Artifact, u64>,
     cached: BTreeMap<Artifact, SourceTier>,
-    /// Checkpoints that loads left in main memory, oldest first, with their
-    /// bytes. They take as much main memory as there is accelerator memory.
+    /// Checkpoints that loads left in main memory, oldest first, with their sizes
+    /// in bytes. Their total is limited to the size of the accelerator memory.
     recent: VecDeque<(Artifact, u64)>,
     running: BTreeMap<Artifact, u32>,
     history: Vec<EngineRecord>,
-    prints: bool,
+    prints_history: bool,
 }
 
 impl EngineModel {
-    /// An engine that starts at `now` in its life `incarnation`.
+    /// An engine that starts at `now`, in milliseconds, with `memory` bytes of
+    /// accelerator memory.
     pub fn new(
         now: u64,
         memory: u64,
@@ -114,13 +118,13 @@
             recent: VecDeque::new(),
             running: BTreeMap::new(),
             history: Vec::new(),
-            prints: false,
+            prints_history: false,
         };
         engine.record(now, EngineEvent::Started);
         engine
     }
 
-    /// The engine after a restart: memory, orders and requests are gone.
+    /// The engine after a restart, which loses loaded models, orders and requests.
     pub fn restarted(&self, now: u64) -> Self {
         let mut engine = EngineModel::new(
             now,
@@ -133,13 +137,13 @@
         engine
     }
 
-    /// Takes an order.
+    /// Executes an order. A load only begins.
     pub fn order(&mut self, now: u64, order: &Order) -> OrderStart {
         if let Err(error) = self.admit(order) {
             return self.refuse(error);
         }
         match &order.action {
-            OrderAction::Inspect => self.settle(),
+            OrderAction::Inspect => self.done(),
             OrderAction::Load { artifact, bytes } => self.load(now, artifact, *bytes),
             OrderAction::ChangeRole { role } => self.change_role(now, *role),
             OrderAction::Unload { artifact } => self.unload(now, artifact),
@@ -168,12 +172,12 @@
         }
         self.role = role;
         self.record(now, EngineEvent::RoleChanged { role });
-        self.settle()
+        self.done()
     }
 
     fn load(&mut self, now: u64, artifact: &Artifact, bytes: u64) -> OrderStart {
         if self.loaded.contains_key(artifact) {
-            return self.settle();
+            return self.done();
         }
         if self.loading.contains_key(artifact) {
             return self.refuse(OrderError::Busy);
@@ -200,20 +204,21 @@
         }
     }
 
-    /// A load is over; the artifact is cached in main memory from now on.
+    /// Completes a load. The artifact is cached in main memory from then on.
     pub fn load_ended(&mut self, now: u64, artifact: &Artifact) -> OrderResult {
         let Some(bytes) = self.loading.remove(artifact) else {
             return OrderResult::Refused(OrderError::LoadFailed, self.inventory());
         };
         self.loaded.insert(artifact.clone(), bytes);
-        self.remember(artifact, bytes);
+        self.cache_in_memory(artifact, bytes);
         let artifact = artifact.clone();
         self.record(now, EngineEvent::Loaded { artifact });
         OrderResult::Done(self.inventory())
     }
 
-    /// Keeps the checkpoint in main memory; the oldest ones go to disk.
-    fn remember(&mut self, artifact: &Artifact, bytes: u64) {
+    /// Caches the checkpoint in main memory and moves the oldest ones to disk when the
+    /// memory is full.
+    fn cache_in_memory(&mut self, artifact: &Artifact, bytes: u64) {
         self.recent.retain(|(other, _)| other != artifact);
         self.recent.push_back((artifact.clone(), bytes));
         self.cached.insert(artifact.clone(), SourceTier::Memory);
@@ -242,32 +247,32 @@
         }
         let artifact = artifact.clone();
         self.record(now, EngineEvent::Unloaded { artifact });
-        self.settle()
+        self.done()
     }
 
-    /// Starts a request, if its artifact is loaded.
+    /// Starts a request. Returns `false` if its artifact is not loaded.
     pub fn start_request(&mut self, now: u64, artifact: &Artifact, request: &str) -> bool {
         if !self.loaded.contains_key(artifact) {
             return false;
         }
-        for part in artifact.required() {
-            *self.running.entry(part).or_default() += 1;
+        for required in artifact.required() {
+            *self.running.entry(required).or_default() += 1;
         }
         let request = request.to_owned();
         self.record(now, EngineEvent::Ran { request });
         true
     }
 
-    /// A request ended.
+    /// Ends a request.
     pub fn end_request(&mut self, artifact: &Artifact) {
-        for part in artifact.required() {
-            if let Some(count) = self.running.get_mut(&part) {
+        for required in artifact.required() {
+            if let Some(count) = self.running.get_mut(&required) {
                 *count = count.saturating_sub(1);
             }
         }
     }
 
-    fn settle(&self) -> OrderStart {
+    fn done(&self) -> OrderStart {
         OrderStart::Settled(OrderResult::Done(self.inventory()))
     }
 
@@ -275,7 +280,7 @@
         OrderStart::Settled(OrderResult::Refused(error, self.inventory()))
     }
 
-    /// What the engine reports.
+    /// The inventory of the engine.
     pub fn inventory(&self) -> Inventory {
         Inventory {
             incarnation: self.incarnation,
@@ -288,17 +293,17 @@
         }
     }
 
-    /// Bytes in use.
+    /// The memory in use, in bytes.
     pub fn used(&self) -> u64 {
         self.loaded.values().chain(self.loading.values()).sum()
     }
 
-    /// Everything that happened.
+    /// All events so far.
     pub fn history(&self) -> &[EngineRecord] {
         &self.history
     }
 
-    /// What the engine reports in short.
+    /// The incarnation and the version of the inventory.
     pub fn report(&self) -> EngineReport {
         EngineReport {
             incarnation: self.incarnation,
@@ -306,9 +311,10 @@
         }
     }
 
-    /// Prints every record from now on, so that it outlives the process.
+    /// Prints all records, past and future, so that they are available after the
+    /// process has exited.
     pub fn print_history(&mut self) {
-        self.prints = true;
+        self.prints_history = true;
         for record in &self.history {
             print_record(record);
         }
@@ -318,14 +324,14 @@
         let changes_inventory = !matches!(event, EngineEvent::Ran { .. });
         self.version += u64::from(changes_inventory);
         let record = EngineRecord { at, event };
-        if self.prints {
+        if self.prints_history {
             print_record(&record);
         }
         self.history.push(record);
     }
 }
 
-/// A record as a JSON line on standard output.
+/// Prints a record as a JSON line on standard output.
 fn print_record(record: &impl Serialize) {
     if let Ok(line) = serde_json::to_string(record) {
         println!("{line}");
--- a/crates/emulator/src/model/mod.rs
+++ b/crates/emulator/src/model/mod.rs
@@ -1,4 +1,5 @@
-//! Behaviour of stand-ins without I/O: time is passed in, in milliseconds.
+//! Behaviour of the emulated systems without I/O. The caller passes the time in
+//! milliseconds.
 
 pub mod engine;
 pub mod store;
--- a/crates/emulator/src/model/table.rs
+++ b/crates/emulator/src/model/table.rs
@@ -1,4 +1,5 @@
-//! A transactional key-value table with revisions.
+//! An emulated transactional key-value table with revisions. In: transactions.
+//! Out: their results.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +11,7 @@
     modified: u64,
 }
 
-/// Rows with the revision that last wrote each.
+/// The rows, each with the revision that wrote it last.
 #[derive(Clone, Debug, Default)]
 pub struct TableModel {
     revision: u64,
@@ -19,14 +20,14 @@
 }
 
 impl TableModel {
-    /// Runs a transaction.
+    /// Executes a transaction.
     pub fn transact(&mut self, transaction: &Transaction) -> TableAnswer {
         self.transactions += 1;
-        let holds = transaction
+        let compares_hold = transaction
             .compares
             .iter()
             .all(|compare| self.modified(&compare.key) == compare.modified);
-        if !holds {
+        if !compares_hold {
             return TableAnswer::Conflict {
                 rows: self.read(&transaction.reads),
             };
@@ -52,13 +53,10 @@
     }
 
     fn read(&self, reads: &[String]) -> Vec<TableRow> {
-        reads
-            .iter()
-            .flat_map(|read| self.rows_under(read))
-            .collect()
+        reads.iter().flat_map(|key| self.rows_under(key)).collect()
     }
 
-    /// The row `key`, or all rows under it if it ends in `/`.
+    /// The row `key`, or all rows whose keys begin with `key` if it ends in `/`.
     pub fn rows_under(&self, key: &str) -> Vec<TableRow> {
         let is_prefix = key.ends_with('/');
         self.rows
@@ -78,7 +76,7 @@
             .collect()
     }
 
-    /// Transactions run so far.
+    /// The number of transactions so far.
     pub fn transaction_count(&self) -> u64 {
         self.transactions
     }
--- a/crates/emulator/src/server/application.rs
+++ b/crates/emulator/src/server/application.rs
@@ -1,8 +1,9 @@
-//! An application service: answers any path and counts what ran.
+//! An emulated application service, which responds on every path and records the
+//! requests that ran.
 //!
-//! `?delay=MS` delays the answer, `?fail=after` breaks the connection after
-//! the request ran, `?fail=refuse` attests that it did not start. `GET
-//! /history` lists what ran.
+//! `?delay=MS` delays the response. `?fail=after` breaks the connection after the
+//! request ran. `?fail=refuse` returns a response which states that the request
+//! did not start. `GET /history` lists the requests that ran.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,27 +22,27 @@
 /// A request that ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Execution {
-    /// The request's id as the front gave it.
+    /// The id that the node gave to the request.
     pub request: String,
-    /// The caller's idempotency key.
+    /// The idempotency key that the caller sent.
     pub key: Option<String>,
-    /// Method and path.
+    /// The method and the path.
     pub call: String,
 }
 
-/// The stand-in's state.
+/// The state of the emulated service.
 #[derive(Debug, Default)]
 pub struct ApplicationServer {
     history: Mutex<Vec<Execution>>,
-    prints: bool,
+    prints_history: bool,
 }
 
 impl ApplicationServer {
-    /// A service that has run nothing; `prints` makes it print what runs, a
-    /// JSON line each.
-    pub fn new(prints: bool) -> Self {
+    /// A service with an empty history. With `prints_history` it prints each request
+    /// that ran as a JSON line.
+    pub fn new(prints_history: bool) -> Self {
         ApplicationServer {
-            prints,
+            prints_history,
             ..ApplicationServer::default()
         }
     }
@@ -90,7 +91,7 @@
         key: header("idempotency-key"),
         call: format!("{method} {}", uri.path()),
     };
-    if server.prints
+    if server.prints_history
         && let Ok(line) = serde_json::to_string(&execution)
     {
         println!("{line}");
@@ -98,21 +99,23 @@
     server.history.lock().push(execution);
     tokio::time::sleep(Duration::from_millis(behaviour.delay)).await;
     if behaviour.fail.as_deref() == Some("after") {
-        return broken_answer();
+        return interrupted_response();
     }
-    let answer = serde_json::json!({
+    let response = serde_json::json!({
         "path": uri.path(),
         "received_bytes": body.len(),
         "request": request,
     });
-    ([(REQUEST_ID_HEADER, request)], Json(answer)).into_response()
+    ([(REQUEST_ID_HEADER, request)], Json(response)).into_response()
 }
 
-/// An answer whose connection breaks before its end.
-fn broken_answer() -> Response {
-    let pieces = futures_util::stream::iter([
+/// A response whose connection breaks before its end.
+fn interrupted_response() -> Response {
+    let chunks = futures_util::stream::iter([
         Ok(Bytes::from_static(b"{")),
-        Err(std::io::Error::other("broken on purpose")),
+        Err(std::io::Error::other(
+            "connection failure requested by the caller",
+        )),
     ]);
-    Response::new(Body::from_stream(pieces))
+    Response::new(Body::from_stream(chunks))
 }
--- a/crates/emulator/src/server/clock.rs
+++ b/crates/emulator/src/server/clock.rs
@@ -1,10 +1,10 @@
-//! The time of a stand-in process.
+//! The clock of an emulator process.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use gorsebank_contract::Incarnation;
 
-/// Milliseconds since the stand-in started.
+/// A clock that counts the milliseconds since its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -19,13 +19,14 @@
 }
 
 impl Clock {
-    /// Milliseconds since the start.
+    /// The milliseconds since the creation of the clock.
     pub fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 }
 
-/// An incarnation that is greater than that of any earlier process.
+/// An incarnation that is greater than that of any earlier process, taken from the
+/// time of day.
 pub fn new_incarnation() -> Incarnation {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/emulator/src/server/engine.rs
+++ b/crates/emulator/src/server/engine.rs
@@ -1,9 +1,10 @@
-//! A model engine behind the OpenAI-compatible API, with fenced orders.
+//! An emulated model engine with the OpenAI-compatible API, which executes orders
+//! with fencing tokens.
 //!
-//! Requests run in batches of at most `slots`; interactive ones go before
-//! batch ones. A prompt whose prefix is cached starts faster. Every event of a
-//! stream carries the id `stream:number`, and `GET /v1/streams/{stream}` with
-//! `Last-Event-ID` resumes it.
+//! At most `slots` requests run at a time, and interactive requests start before
+//! batch requests. A cached prompt prefix shortens the prefill. Every event of a
+//! stream has the id `stream:number`, and `GET /v1/streams/{stream}` with
+//! `Last-Event-ID` resumes the stream.
 
 use std::collections::{BTreeMap, HashSet, VecDeque};
 use std::convert::Infallible;
@@ -29,46 +30,46 @@
 use crate::model::engine::{EngineModel, EngineRecord, OrderStart};
 use crate::server::clock::{Clock, new_incarnation};
 use crate::server::store::StoreServer;
-use crate::server::stream::{AnswerStream, AnswerStreams};
+use crate::server::stream::{ResponseStream, ResponseStreams};
 
-/// Carries the front's id of a request, and names its stream.
+/// Carries the id that the node gave to a request, which also names its stream.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Attests that a request did not start.
+/// States in a response that the request did not start.
 pub const NOT_STARTED_HEADER: &str = "gorsebank-not-started";
-/// Carries the priority class.
+/// Carries the priority class of a request.
 pub const PRIORITY_HEADER: &str = "gorsebank-priority";
-/// Prompt prefixes that are cached at the most.
-const PREFIX_CACHE: usize = 64;
-/// Characters of a prompt that make its prefix.
-const PREFIX_LENGTH: usize = 64;
-/// Tokens of an answer if the request does not say.
-const DEFAULT_TOKENS: u64 = 16;
-
-/// Where an engine finds weights that are not on its machine.
+/// The largest number of prompt prefixes that are cached.
+const MAX_CACHED_PREFIXES: usize = 64;
+/// The number of characters of a prompt that form its prefix.
+const PREFIX_CHARACTERS: usize = 64;
+/// The number of tokens of a response if the request states none.
+const DEFAULT_MAX_TOKENS: u64 = 16;
+
+/// The source of weights that are not on the machine of the engine.
 #[derive(Clone, Debug)]
 pub enum WeightSource {
-    /// A store in the same process.
+    /// A weight store in the same process.
     Embedded(Arc<StoreServer>),
-    /// A store process.
+    /// A weight store at this address.
     Remote(std::net::SocketAddr),
 }
 
-/// Sizes and speeds of an engine.
+/// The capacity and the speed of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Accelerator memory in bytes.
+    /// The accelerator memory in bytes.
     pub memory: u64,
-    /// Requests in a batch.
+    /// The largest number of requests that run at a time.
     pub slots: u32,
-    /// Time until the first token.
+    /// The prefill time of a prompt without a cached prefix.
     pub prefill: Duration,
-    /// Time between tokens.
+    /// The time between two tokens.
     pub token: Duration,
-    /// Bytes a second from disk.
+    /// The bandwidth of loads from disk, in bytes per second.
     pub disk_bandwidth: u64,
-    /// Bytes a second from main memory.
+    /// The bandwidth of loads from main memory, in bytes per second.
     pub memory_bandwidth: u64,
-    /// Checkpoints on the machine at the start.
+    /// The checkpoints that are on the machine at the start, with their tiers.
     pub cached: BTreeMap<Artifact, SourceTier>,
 }
 
@@ -78,14 +79,14 @@
     waiting: [u32; 2],
 }
 
-/// The stand-in's state.
+/// The state of the emulated engine.
 #[derive(Debug)]
 pub struct EngineServer {
     settings: EngineSettings,
     source: WeightSource,
     clock: Clock,
     model: Mutex<EngineModel>,
-    streams: AnswerStreams,
+    streams: ResponseStreams,
     batch: Mutex<Batch>,
     batch_changed: Notify,
     prefixes: Mutex<(HashSet<String>, VecDeque<String>)>,
@@ -107,7 +108,7 @@
             source,
             clock,
             model: Mutex::new(model),
-            streams: AnswerStreams::default(),
+            streams: ResponseStreams::default(),
             batch: Mutex::default(),
             batch_changed: Notify::new(),
             prefixes: Mutex::default(),
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Prints what happens, a JSON line a record.
+    /// Prints every event of the engine as a JSON line.
     pub fn print_history(&self) {
         self.model.lock().print_history();
     }
@@ -153,16 +154,17 @@
         }
     }
 
-    /// Waits for a slot; batch requests wait while interactive ones do.
-    async fn enter_batch(&self, is_batch: bool) {
+    /// Waits for a slot and takes it. Batch requests wait while interactive requests
+    /// are waiting.
+    async fn acquire_slot(&self, is_batch: bool) {
         let class = usize::from(is_batch);
         self.batch.lock().waiting[class] += 1;
         loop {
             let changed = self.batch_changed.notified();
             {
                 let mut batch = self.batch.lock();
-                let outranked = is_batch && batch.waiting[0] > 0;
-                if batch.running < self.settings.slots && !outranked {
+                let must_yield = is_batch && batch.waiting[0] > 0;
+                if batch.running < self.settings.slots && !must_yield {
                     batch.running += 1;
                     batch.waiting[class] -= 1;
                     return;
@@ -172,20 +174,20 @@
         }
     }
 
-    fn leave_batch(&self) {
+    fn release_slot(&self) {
         self.batch.lock().running -= 1;
         self.batch_changed.notify_waiters();
     }
 
     fn prefill_time(&self, prompt: &str) -> Duration {
-        let prefix: String = prompt.chars().take(PREFIX_LENGTH).collect();
+        let prefix: String = prompt.chars().take(PREFIX_CHARACTERS).collect();
         let mut cache = self.prefixes.lock();
         if cache.0.contains(&prefix) {
             return self.settings.prefill / 4;
         }
         cache.0.insert(prefix.clone());
         cache.1.push_back(prefix);
-        if cache.1.len() > PREFIX_CACHE
+        if cache.1.len() > MAX_CACHED_PREFIXES
             && let Some(oldest) = cache.1.pop_front()
         {
             cache.0.remove(&oldest);
@@ -234,7 +236,7 @@
             bytes,
             tier,
         } => {
-            // The load goes on even if the caller goes away.
+            // The load continues even if the sender of the order disconnects.
             let loading = tokio::spawn(run_load(Arc::clone(&server), artifact, bytes, tier));
             loading.await.unwrap_or(OrderResult::Unknown)
         }
@@ -262,10 +264,10 @@
     bytes: u64,
     tier: SourceTier,
 ) -> OrderResult {
-    let mut pause = Duration::from_millis(100);
+    let mut delay = Duration::from_millis(100);
     while !server.fetch(&artifact, bytes, tier).await {
-        tokio::time::sleep(pause).await;
-        pause = (pause * 2).min(Duration::from_secs(5));
+        tokio::time::sleep(delay).await;
+        delay = (delay * 2).min(Duration::from_secs(5));
     }
     let now = server.clock.now();
     server.model.lock().load_ended(now, &artifact)
@@ -299,7 +301,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Shape {
+enum ResponseFormat {
     Chat,
     Text,
 }
@@ -309,7 +311,7 @@
     headers: HeaderMap,
     Json(request): Json<CompletionRequest>,
 ) -> Response {
-    run(server, &headers, request, Shape::Chat).await
+    run(server, &headers, request, ResponseFormat::Chat).await
 }
 
 async fn complete(
@@ -317,55 +319,55 @@
     headers: HeaderMap,
     Json(request): Json<CompletionRequest>,
 ) -> Response {
-    run(server, &headers, request, Shape::Text).await
+    run(server, &headers, request, ResponseFormat::Text).await
 }
 
 async fn run(
     server: Arc<EngineServer>,
     headers: &HeaderMap,
     request: CompletionRequest,
-    shape: Shape,
+    format: ResponseFormat,
 ) -> Response {
     let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
     let name = header(REQUEST_ID_HEADER).unwrap_or("direct").to_owned();
     let is_batch = header(PRIORITY_HEADER) == Some("batch");
     let Ok(artifact) = request.model.parse::<Artifact>() else {
-        return refuse(StatusCode::NOT_FOUND, "no such model");
+        return refuse(StatusCode::NOT_FOUND, "the model name is not valid");
     };
     let started = server
         .model
         .lock()
         .start_request(server.clock.now(), &artifact, &name);
     if !started {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "model is not loaded");
+        return refuse(StatusCode::SERVICE_UNAVAILABLE, "the model is not loaded");
     }
-    let answer = match server.streams.create(&name) {
-        Some(answer) => answer,
-        None if name == "direct" => Arc::new(AnswerStream::default()),
+    let response = match server.streams.create(&name) {
+        Some(response) => response,
+        None if name == "direct" => Arc::new(ResponseStream::default()),
         None => {
             server.model.lock().end_request(&artifact);
-            return refuse(StatusCode::CONFLICT, "the request id was used before");
+            return refuse(StatusCode::CONFLICT, "the request id has already been used");
         }
     };
     let generator = Generator {
         server: Arc::clone(&server),
-        answer: Arc::clone(&answer),
+        response: Arc::clone(&response),
         artifact,
-        shape,
-        tokens: request.max_tokens.unwrap_or(DEFAULT_TOKENS),
+        format,
+        tokens: request.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS),
         prompt: request.prompt_text(),
         is_batch,
         name: name.clone(),
     };
     if request.stream {
         tokio::spawn(generator.run());
-        return stream_from(answer, name, 0);
+        return stream_from(response, name, 0);
     }
     let text = match tokio::spawn(generator.run()).await {
         Ok(text) => text,
         Err(_) => return StatusCode::INTERNAL_SERVER_ERROR.into_response(),
     };
-    let body = whole_answer(&name, &request.model, shape, &text);
+    let body = complete_response(&name, &request.model, format, &text);
     ([(REQUEST_ID_HEADER, name)], Json(body)).into_response()
 }
 
@@ -376,9 +378,9 @@
 
 struct Generator {
     server: Arc<EngineServer>,
-    answer: Arc<AnswerStream>,
+    response: Arc<ResponseStream>,
     artifact: Artifact,
-    shape: Shape,
+    format: ResponseFormat,
     tokens: u64,
     prompt: String,
     is_batch: bool,
@@ -386,39 +388,39 @@
 }
 
 impl Generator {
-    /// Produces the answer token by token; gives its text.
+    /// Generates the response token by token and returns its text.
     async fn run(self) -> String {
-        self.server.enter_batch(self.is_batch).await;
+        self.server.acquire_slot(self.is_batch).await;
         let prefill = self.server.prefill_time(&self.prompt);
         tokio::time::sleep(prefill).await;
         let mut words = Vec::new();
         for number in 0..self.tokens {
-            if self.answer.is_cancelled() {
+            if self.response.is_cancelled() {
                 break;
             }
             if number > 0 {
                 tokio::time::sleep(self.server.settings.token).await;
             }
             let word = format!("{}-{number} ", self.artifact.model);
-            self.answer.push(self.chunk(&word, None));
+            self.response.push(self.chunk(&word, None));
             words.push(word);
         }
-        self.answer.push(self.chunk("", Some("stop")));
-        self.answer.push("[DONE]".to_owned());
-        self.answer.finish();
-        self.server.leave_batch();
+        self.response.push(self.chunk("", Some("stop")));
+        self.response.push("[DONE]".to_owned());
+        self.response.finish();
+        self.server.release_slot();
         self.server.model.lock().end_request(&self.artifact);
         words.concat()
     }
 
     fn chunk(&self, text: &str, finish: Option<&str>) -> String {
         let model = self.artifact.to_string();
-        let chunk = match self.shape {
-            Shape::Chat => json!({
+        let chunk = match self.format {
+            ResponseFormat::Chat => json!({
                 "id": self.name, "object": "chat.completion.chunk", "model": model,
                 "choices": [{"index": 0, "delta": {"content": text}, "finish_reason": finish}],
             }),
-            Shape::Text => json!({
+            ResponseFormat::Text => json!({
                 "id": self.name, "object": "text_completion", "model": model,
                 "choices": [{"index": 0, "text": text, "finish_reason": finish}],
             }),
@@ -427,16 +429,16 @@
     }
 }
 
-fn whole_answer(name: &str, model: &str, shape: Shape, text: &str) -> Value {
-    match shape {
-        Shape::Chat => json!({
+fn complete_response(name: &str, model: &str, format: ResponseFormat, text: &str) -> Value {
+    match format {
+        ResponseFormat::Chat => json!({
             "id": name, "object": "chat.completion", "model": model,
             "choices": [{
                 "index": 0, "finish_reason": "stop",
                 "message": {"role": "assistant", "content": text},
             }],
         }),
-        Shape::Text => json!({
+        ResponseFormat::Text => json!({
             "id": name, "object": "text_completion", "model": model,
             "choices": [{"index": 0, "text": text, "finish_reason": "stop"}],
         }),
@@ -448,8 +450,8 @@
     Path(name): Path<String>,
     headers: HeaderMap,
 ) -> Response {
-    let Some(answer) = server.streams.get(&name) else {
-        return refuse(StatusCode::NOT_FOUND, "no such stream");
+    let Some(response) = server.streams.get(&name) else {
+        return refuse(StatusCode::NOT_FOUND, "the stream does not exist");
     };
     let next = headers
         .get("last-event-id")
@@ -457,25 +459,28 @@
         .and_then(|id| id.rsplit_once(':'))
         .and_then(|(_, number)| number.parse::<usize>().ok())
         .map_or(0, |number| number + 1);
-    stream_from(answer, name, next)
+    stream_from(response, name, next)
 }
 
 async fn cancel(State(server): State<Arc<EngineServer>>, Path(name): Path<String>) -> StatusCode {
     match server.streams.get(&name) {
-        Some(answer) => {
-            answer.cancel();
+        Some(response) => {
+            response.cancel();
             StatusCode::NO_CONTENT
         }
         None => StatusCode::NOT_FOUND,
     }
 }
 
-fn stream_from(answer: Arc<AnswerStream>, name: String, next: usize) -> Response {
+fn stream_from(response: Arc<ResponseStream>, name: String, next: usize) -> Response {
     let header = [(REQUEST_ID_HEADER, name.clone())];
-    let events = stream::unfold((answer, name, next), |(answer, name, number)| async move {
-        let data = answer.event(number).await?;
-        let event = Event::default().id(format!("{name}:{number}")).data(data);
-        Some((Ok::<_, Infallible>(event), (answer, name, number + 1)))
-    });
+    let events = stream::unfold(
+        (response, name, next),
+        |(response, name, number)| async move {
+            let data = response.event(number).await?;
+            let event = Event::default().id(format!("{name}:{number}")).data(data);
+            Some((Ok::<_, Infallible>(event), (response, name, number + 1)))
+        },
+    );
     (header, Sse::new(events)).into_response()
 }
--- a/crates/emulator/src/server/machine_list.rs
+++ b/crates/emulator/src/server/machine_list.rs
@@ -1,6 +1,8 @@
-//! The machine list: Prometheus HTTP service discovery, with a lag.
+//! An emulated machine list, in the format of the HTTP service discovery of
+//! Prometheus.
 //!
-//! `PUT /machines` replaces the list; readers see it after the lag.
+//! `PUT /machines` replaces the list. Readers see the new list after a configured
+//! lag.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,7 +16,7 @@
 
 use crate::server::clock::Clock;
 
-/// The stand-in's state.
+/// The state of the emulated machine list.
 #[derive(Debug)]
 pub struct MachineListServer {
     clock: Clock,
@@ -23,7 +25,7 @@
 }
 
 impl MachineListServer {
-    /// A list that is seen at once; later ones are seen after `lag`.
+    /// A machine list that shows `groups` at once, and later lists after `lag`.
     pub fn new(groups: Vec<TargetGroup>, lag: Duration) -> Self {
         MachineListServer {
             clock: Clock::default(),
@@ -32,16 +34,19 @@
         }
     }
 
-    /// Replaces the list.
+    /// Replaces the list, with effect after the lag.
     pub fn replace(&self, groups: Vec<TargetGroup>) {
-        let visible = self.clock.now() + self.lag.as_millis() as u64;
-        self.lists.lock().push_back((visible, groups));
+        let visible_from_ms = self.clock.now() + self.lag.as_millis() as u64;
+        self.lists.lock().push_back((visible_from_ms, groups));
     }
 
-    fn visible(&self) -> Vec<TargetGroup> {
+    fn visible_groups(&self) -> Vec<TargetGroup> {
         let now = self.clock.now();
         let mut lists = self.lists.lock();
-        while lists.get(1).is_some_and(|(visible, _)| *visible <= now) {
+        while lists
+            .get(1)
+            .is_some_and(|(visible_from_ms, _)| *visible_from_ms <= now)
+        {
             lists.pop_front();
         }
         lists
@@ -60,7 +65,7 @@
 }
 
 async fn read(State(server): State<Arc<MachineListServer>>) -> Json<Vec<TargetGroup>> {
-    Json(server.visible())
+    Json(server.visible_groups())
 }
 
 async fn write(State(server): State<Arc<MachineListServer>>, Json(groups): Json<Vec<TargetGroup>>) {
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-ins behind the published protocols.
+//! HTTP servers of the emulated systems, which speak the protocols of the real ones.
 
 pub mod application;
 pub mod clock;
--- a/crates/emulator/src/server/serve.rs
+++ b/crates/emulator/src/server/serve.rs
@@ -6,7 +6,8 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinHandle;
 
-/// Binds `address`; gives the bound address and the task that serves.
+/// Binds `address` and serves `router` on it. Returns the bound address and the task
+/// that serves.
 pub async fn serve(
     address: SocketAddr,
     router: Router,
@@ -16,16 +17,16 @@
     Ok((bound, start(listener, router)))
 }
 
-/// Binds `address`.
+/// Binds a listener to `address`.
 pub async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     TcpListener::bind(address).await
 }
 
-/// Starts to serve.
+/// Starts a task that serves `router` on `listener`.
 pub fn start(listener: TcpListener, router: Router) -> JoinHandle<()> {
     tokio::spawn(async move {
         if let Err(error) = axum::serve(listener, router).await {
-            log::error!("stand-in stopped: {error}");
+            log::error!("the emulated server failed: {error}");
         }
     })
 }
--- a/crates/emulator/src/server/store.rs
+++ b/crates/emulator/src/server/store.rs
@@ -1,5 +1,5 @@
-//! The weight store: `GET /weights/{artifact}?bytes=N` answers when the load
-//! is over; `PUT /slowdown` with a number makes every load take longer.
+//! An emulated weight store. `GET /weights/{artifact}?bytes=N` responds when the
+//! load has ended. `PUT /slowdown` with a factor makes every load take longer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::model::store::{StoreModel, StoreSettings};
 use crate::server::clock::Clock;
 
-/// The stand-in's state.
+/// The state of the emulated weight store.
 #[derive(Debug)]
 pub struct StoreServer {
     clock: Clock,
@@ -21,7 +21,7 @@
 }
 
 impl StoreServer {
-    /// An idle store.
+    /// A store without running loads.
     pub fn new(settings: StoreSettings) -> Self {
         StoreServer {
             clock: Clock::default(),
@@ -29,10 +29,10 @@
         }
     }
 
-    /// Waits as long as a load takes.
+    /// Runs a load of `bytes` bytes and returns when it has ended.
     pub async fn load(&self, bytes: u64) {
-        let time = self.store.lock().start(self.clock.now(), bytes);
-        tokio::time::sleep(Duration::from_millis(time)).await;
+        let duration_ms = self.store.lock().start(self.clock.now(), bytes);
+        tokio::time::sleep(Duration::from_millis(duration_ms)).await;
         self.store.lock().end();
     }
 }
@@ -41,7 +41,7 @@
 pub fn router(server: Arc<StoreServer>) -> Router {
     Router::new()
         .route("/weights/{artifact}", get(load))
-        .route("/slowdown", put(slow_down))
+        .route("/slowdown", put(set_slowdown))
         .with_state(server)
 }
 
@@ -59,6 +59,6 @@
     Json(artifact)
 }
 
-async fn slow_down(State(server): State<Arc<StoreServer>>, Json(factor): Json<f64>) {
+async fn set_slowdown(State(server): State<Arc<StoreServer>>, Json(factor): Json<f64>) {
     server.store.lock().slowdown = factor;
 }
--- a/crates/emulator/src/server/stream.rs
+++ b/crates/emulator/src/server/stream.rs
@@ -1,4 +1,5 @@
-//! Answer streams that can be resumed: events stay for a while after the end.
+//! Response streams that can be resumed. Their events are kept after the end of the
+//! stream, until the number of streams reaches a limit.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,47 +8,48 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Streams that are remembered at the most.
+/// The number of streams from which finished streams are removed to store a new one.
 const MAX_STREAMS: usize = 4_096;
 
 #[derive(Debug, Default)]
 struct Events {
     data: Vec<String>,
-    finished: bool,
+    is_finished: bool,
 }
 
-/// The events of one answer.
+/// The events of one response.
 #[derive(Debug, Default)]
-pub struct AnswerStream {
+pub struct ResponseStream {
     events: Mutex<Events>,
     changed: Notify,
-    cancelled: AtomicBool,
+    is_cancelled: AtomicBool,
 }
 
-impl AnswerStream {
-    /// Adds an event.
+impl ResponseStream {
+    /// Appends an event.
     pub fn push(&self, data: String) {
         self.events.lock().data.push(data);
         self.changed.notify_waiters();
     }
 
-    /// No event follows.
+    /// Marks the stream as finished; no event follows.
     pub fn finish(&self) {
-        self.events.lock().finished = true;
+        self.events.lock().is_finished = true;
         self.changed.notify_waiters();
     }
 
     /// Asks the generator to stop.
     pub fn cancel(&self) {
-        self.cancelled.store(true, Ordering::Relaxed);
+        self.is_cancelled.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the generator shall stop.
+    /// Whether the generator was asked to stop.
     pub fn is_cancelled(&self) -> bool {
-        self.cancelled.load(Ordering::Relaxed)
+        self.is_cancelled.load(Ordering::Relaxed)
     }
 
-    /// Event number `number`, once it is there; `None` after the last.
+    /// Waits for the event with the number `number`. Returns `None` after the last
+    /// event.
     pub async fn event(&self, number: usize) -> Option<String> {
         loop {
             let changed = self.changed.notified();
@@ -56,7 +58,7 @@
                 if let Some(data) = events.data.get(number) {
                     return Some(data.clone());
                 }
-                if events.finished {
+                if events.is_finished {
                     return None;
                 }
             }
@@ -65,29 +67,29 @@
     }
 }
 
-/// All streams of an engine, by name.
+/// The streams of an engine, by name.
 #[derive(Debug, Default)]
-pub struct AnswerStreams {
-    streams: Mutex<HashMap<String, Arc<AnswerStream>>>,
+pub struct ResponseStreams {
+    streams: Mutex<HashMap<String, Arc<ResponseStream>>>,
 }
 
-impl AnswerStreams {
-    /// A new stream, or `None` if the name is taken.
-    pub fn create(&self, name: &str) -> Option<Arc<AnswerStream>> {
+impl ResponseStreams {
+    /// Creates a stream. Returns `None` if the name is already in use.
+    pub fn create(&self, name: &str) -> Option<Arc<ResponseStream>> {
         let mut streams = self.streams.lock();
         if streams.contains_key(name) {
             return None;
         }
         if streams.len() >= MAX_STREAMS {
-            streams.retain(|_, stream| !stream.events.lock().finished);
+            streams.retain(|_, stream| !stream.events.lock().is_finished);
         }
-        let stream = Arc::new(AnswerStream::default());
+        let stream = Arc::new(ResponseStream::default());
         streams.insert(name.to_owned(), Arc::clone(&stream));
         Some(stream)
     }
 
-    /// The stream of that name.
-    pub fn get(&self, name: &str) -> Option<Arc<AnswerStream>> {
+    /// The stream with this name.
+    pub fn get(&self, name: &str) -> Option<Arc<ResponseStream>> {
         self.streams.lock().get(name).cloned()
     }
 }
--- a/crates/emulator/src/server/table.rs
+++ b/crates/emulator/src/server/table.rs
@@ -1,8 +1,8 @@
-//! The table service: transactions of etcd's v3 JSON gateway.
+//! An emulated table service with the transactions of the v3 JSON gateway of etcd.
 //!
-//! `PUT /fault` with `"none"`, `"down"` (nothing is carried out, no answer),
-//! `"silent"` (everything is carried out, no answer) or `"slow"` brings about
-//! outages.
+//! `PUT /fault` injects a fault: `"down"` (calls are not executed and get no
+//! response in time), `"silent"` (calls are executed and get no response in time) or
+//! `"slow"` (responses are delayed). `"none"` ends the fault.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,27 +21,27 @@
 
 use crate::model::table::TableModel;
 
-/// How long a slow table takes.
-const SLOW: Duration = Duration::from_millis(400);
-/// A call without an answer is held for so long.
-const HANG: Duration = Duration::from_secs(3);
+/// The delay of each response while the table is slow.
+const SLOW_RESPONSE_DELAY: Duration = Duration::from_millis(400);
+/// The time after which a call that gets no response ends with an error.
+const HANG_DURATION: Duration = Duration::from_secs(3);
 
-/// How the table fails.
+/// A fault of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableFault {
-    /// It works.
+    /// No fault.
     #[default]
     None,
-    /// Nothing is carried out and nothing answered.
+    /// Calls are not executed and get no response in time.
     Down,
-    /// Everything is carried out and nothing answered.
+    /// Calls are executed but get no response in time.
     Silent,
-    /// Answers take long.
+    /// Responses are delayed.
     Slow,
 }
 
-/// The stand-in's state.
+/// The state of the emulated table service.
 #[derive(Debug, Default)]
 pub struct TableServer {
     table: Mutex<TableModel>,
@@ -67,17 +67,17 @@
 ) -> Result<Json<TxnResponse>, StatusCode> {
     let fault = *server.fault.lock();
     if fault == TableFault::Down {
-        tokio::time::sleep(HANG).await;
+        tokio::time::sleep(HANG_DURATION).await;
         return Err(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let response = carry_out(&server, &request);
+    let response = execute(&server, &request);
     match fault {
         TableFault::Silent => {
-            tokio::time::sleep(HANG).await;
+            tokio::time::sleep(HANG_DURATION).await;
             Err(StatusCode::GATEWAY_TIMEOUT)
         }
         TableFault::Slow => {
-            tokio::time::sleep(SLOW).await;
+            tokio::time::sleep(SLOW_RESPONSE_DELAY).await;
             Ok(Json(response))
         }
         TableFault::None | TableFault::Down => Ok(Json(response)),
@@ -98,7 +98,7 @@
     Json(RangeResponse { kvs })
 }
 
-fn carry_out(server: &TableServer, request: &TxnRequest) -> TxnResponse {
+fn execute(server: &TableServer, request: &TxnRequest) -> TxnResponse {
     let transaction = transaction(request);
     let answer = server.table.lock().transact(&transaction);
     let put_count = transaction.puts.len();
@@ -145,8 +145,8 @@
     }
 }
 
-/// The model reads one key, or a prefix that ends in `/`; that is all that
-/// gorsebank asks for.
+/// The key of a range request. The emulated table supports one key, or a prefix that
+/// ends in `/`; gorsebank uses no other ranges.
 fn read_key(range: &RangeRequest) -> String {
     text(&range.key)
 }
