--- a/crates/node/src/admin/probes.rs
+++ b/crates/node/src/admin/probes.rs
@@ -11,12 +11,12 @@
 use crate::host::Host;
 
 /// `GET /healthz`: reports that the process is running.
-pub async fn healthy() -> &'static str {
+pub async fn get_health() -> &'static str {
     "ok\n"
 }
 
 /// `GET /readyz`: reports whether the node accepts requests.
-pub async fn ready(State(host): State<Arc<Host>>) -> Response {
+pub async fn get_readiness(State(host): State<Arc<Host>>) -> Response {
     let status = host.node().status();
     let reason = if host.is_stopping() {
         "stopping"
@@ -29,7 +29,7 @@
 }
 
 /// `GET /metrics`: returns the metrics in the Prometheus text format.
-pub async fn metrics(State(host): State<Arc<Host>>) -> Response {
+pub async fn get_metrics(State(host): State<Arc<Host>>) -> Response {
     match host.metrics().render(&host.node().status()) {
         Ok(text) => text.into_response(),
         Err(error) => (StatusCode::INTERNAL_SERVER_ERROR, error.to_string()).into_response(),
@@ -58,7 +58,7 @@
 }
 
 /// `GET /v1/status`: returns the status of the node.
-pub async fn status(State(host): State<Arc<Host>>) -> Json<StatusReport> {
+pub async fn get_status(State(host): State<Arc<Host>>) -> Json<StatusReport> {
     let status = host.node().status();
     Json(StatusReport {
         node: host.node().identity().node.to_string(),
--- a/crates/node/src/caller/answer.rs
+++ b/crates/node/src/caller/answer.rs
@@ -66,7 +66,7 @@
         open.record_first_byte();
         return Ok(BackEndResponse::Stream(Box::new(source)));
     }
-    let max_bytes = open.host().settings().limits.answer.as_u64();
+    let max_bytes = open.host().settings().limits.response.as_u64();
     let complete = attempt::read_complete_body(response, max_bytes, open.time_left()).await?;
     open.record_first_byte();
     let (mut head, body) = complete.into_parts();
--- a/crates/node/src/caller/application.rs
+++ b/crates/node/src/caller/application.rs
@@ -21,7 +21,7 @@
 use crate::host::Host;
 
 /// Handles every method on `/services/{service}/{path}`.
-pub async fn call(
+pub async fn forward_call(
     State(host): State<Arc<Host>>,
     Path((service, path)): Path<(String, String)>,
     request: Request<Body>,
--- a/crates/node/src/caller/error.rs
+++ b/crates/node/src/caller/error.rs
@@ -235,17 +235,17 @@
     format!("{reason}; {ran}")
 }
 
-/// The response to a request that the concurrency limit rejected.
-pub async fn overloaded(_error: tower::BoxError) -> Response {
+/// Responds to a request that the concurrency limit rejected.
+pub async fn respond_overloaded(_error: tower::BoxError) -> Response {
     CallerError::Overloaded.into_response()
 }
 
-/// The response to a request for a path that does not exist.
-pub async fn unknown_path(uri: Uri) -> Response {
+/// Responds to a request for a path that does not exist.
+pub async fn respond_unknown_path(uri: Uri) -> Response {
     CallerError::UnknownPath(uri.path().to_owned()).into_response()
 }
 
-/// The response to a request with a method that its path does not support.
-pub async fn method_not_allowed(method: Method) -> Response {
+/// Responds to a request with a method that its path does not support.
+pub async fn respond_method_not_allowed(method: Method) -> Response {
     CallerError::MethodNotAllowed(method.to_string()).into_response()
 }
--- a/crates/node/src/caller/mod.rs
+++ b/crates/node/src/caller/mod.rs
@@ -27,17 +27,20 @@
 pub fn router(host: Arc<Host>) -> Router {
     let limit = host.settings().limits.open_requests;
     let limits = ServiceBuilder::new()
-        .layer(HandleErrorLayer::new(error::overloaded))
+        .layer(HandleErrorLayer::new(error::respond_overloaded))
         .layer(LoadShedLayer::new())
         .layer(ConcurrencyLimitLayer::new(limit));
     Router::new()
-        .route("/v1/chat/completions", post(openai::chat))
-        .route("/v1/completions", post(openai::complete))
-        .route("/v1/models", get(openai::models))
-        .route("/v1/streams/{stream}", get(resume::resume))
-        .route("/services/{service}/{*path}", any(application::call))
-        .fallback(error::unknown_path)
-        .method_not_allowed_fallback(error::method_not_allowed)
+        .route("/v1/chat/completions", post(openai::create_chat_completion))
+        .route("/v1/completions", post(openai::create_completion))
+        .route("/v1/models", get(openai::list_models))
+        .route("/v1/streams/{stream}", get(resume::resume_stream))
+        .route(
+            "/services/{service}/{*path}",
+            any(application::forward_call),
+        )
+        .fallback(error::respond_unknown_path)
+        .method_not_allowed_fallback(error::respond_method_not_allowed)
         .layer(limits)
         .with_state(host)
 }
--- a/crates/node/src/caller/openai.rs
+++ b/crates/node/src/caller/openai.rs
@@ -1,4 +1,5 @@
-//! The OpenAI-compatible API.
+//! HTTP handlers of the OpenAI-compatible API. In: requests of callers. Out: the
+//! responses of back ends, or errors.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,17 +33,23 @@
 const BATCH_TIER: &str = "flex";
 
 /// Handles `POST /v1/chat/completions`.
-pub async fn chat(State(host): State<Arc<Host>>, request: Request<Body>) -> Response<Body> {
+pub async fn create_chat_completion(
+    State(host): State<Arc<Host>>,
+    request: Request<Body>,
+) -> Response<Body> {
     run(host, request, "/v1/chat/completions").await
 }
 
 /// Handles `POST /v1/completions`.
-pub async fn complete(State(host): State<Arc<Host>>, request: Request<Body>) -> Response<Body> {
+pub async fn create_completion(
+    State(host): State<Arc<Host>>,
+    request: Request<Body>,
+) -> Response<Body> {
     run(host, request, "/v1/completions").await
 }
 
 /// Handles `GET /v1/models`: lists the names of the models that are served.
-pub async fn models(State(host): State<Arc<Host>>) -> Json<Value> {
+pub async fn list_models(State(host): State<Arc<Host>>) -> Json<Value> {
     let names = host
         .node()
         .with_configuration(|configuration| configuration.served_names());
--- a/crates/node/src/caller/resume.rs
+++ b/crates/node/src/caller/resume.rs
@@ -17,7 +17,7 @@
 const LAST_EVENT_ID_HEADER: &str = "last-event-id";
 
 /// Handles `GET /v1/streams/{stream}`.
-pub async fn resume(
+pub async fn resume_stream(
     State(host): State<Arc<Host>>,
     Path(name): Path<String>,
     headers: HeaderMap,
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -30,7 +30,7 @@
 
 /// The data of the last event of a stream in the OpenAI API.
 const LAST_EVENT_DATA: &str = "[DONE]";
-/// The number of times that a stream is resumed without receiving an event in between.
+/// The largest number of attempts to resume a stream without an event in between.
 const MAX_RESUMES: u32 = 4;
 /// The wait before the second attempt to resume a stream; it doubles with each
 /// further attempt.
@@ -44,15 +44,15 @@
     address: SocketAddr,
     name: String,
     events: Option<Events>,
-    guard: StreamGuard,
+    checker: StreamGuard,
     stall: Duration,
     first: Option<SourceEvent>,
-    resumed: u64,
-    rejected: u64,
+    resume_count: u64,
+    rejected_event_count: u64,
 }
 
 impl StreamSource {
-    /// A source of the events of `response` and of the connections that resume its stream.
+    /// A source that begins with the events in `response`.
     pub fn new(
         http: HttpClient,
         address: SocketAddr,
@@ -65,11 +65,11 @@
             address,
             name: name.to_owned(),
             events: Some(events_of(response)),
-            guard: StreamGuard::new(name, 0),
+            checker: StreamGuard::new(name, 0),
             stall,
             first: None,
-            resumed: 0,
-            rejected: 0,
+            resume_count: 0,
+            rejected_event_count: 0,
         }
     }
 
@@ -86,11 +86,11 @@
             address,
             name: name.to_owned(),
             events: None,
-            guard: StreamGuard::new(name, next),
+            checker: StreamGuard::new(name, next),
             stall,
             first: None,
-            resumed: 0,
-            rejected: 0,
+            resume_count: 0,
+            rejected_event_count: 0,
         }
     }
 
@@ -110,7 +110,7 @@
         if let Some(first) = self.first.take() {
             return Some(first);
         }
-        if self.guard.is_finished() {
+        if self.checker.is_finished() {
             return None;
         }
         let mut resumes = 0;
@@ -141,14 +141,14 @@
                     return None;
                 }
             };
-            let verdict = event.id.parse::<EventId>().map_or(Verdict::Foreign, |id| {
-                self.guard.judge(&id, event.data == LAST_EVENT_DATA)
+            let decision = event.id.parse::<EventId>().map_or(Verdict::Foreign, |id| {
+                self.checker.judge(&id, event.data == LAST_EVENT_DATA)
             });
-            match verdict {
+            match decision {
                 Verdict::Forward => return Some(event),
-                Verdict::Duplicate => self.rejected += 1,
+                Verdict::Duplicate => self.rejected_event_count += 1,
                 Verdict::Gap | Verdict::Foreign => {
-                    self.rejected += 1;
+                    self.rejected_event_count += 1;
                     self.events = None;
                     return None;
                 }
@@ -163,7 +163,7 @@
         if let Ok(Ok(response)) = timeout(self.stall, self.http.send(request)).await
             && response.status().is_success()
         {
-            self.resumed += 1;
+            self.resume_count += 1;
             self.events = Some(events_of(response));
         }
     }
@@ -172,14 +172,14 @@
         let mut builder = Request::builder()
             .method(Method::GET)
             .uri(format!("http://{}/v1/streams/{}", self.address, self.name));
-        if let Some(last) = self.guard.next().checked_sub(1) {
+        if let Some(last) = self.checker.next().checked_sub(1) {
             builder = builder.header("last-event-id", format!("{}:{last}", self.name));
         }
         builder.body(Full::default()).ok()
     }
 
     fn is_finished(&self) -> bool {
-        self.guard.is_finished()
+        self.checker.is_finished()
     }
 
     /// Adds the counts of this stream to the metrics of the node and resets them.
@@ -187,10 +187,10 @@
         let metrics = host.metrics();
         metrics
             .streams_resumed
-            .inc_by(std::mem::take(&mut self.resumed));
+            .inc_by(std::mem::take(&mut self.resume_count));
         metrics
             .events_rejected
-            .inc_by(std::mem::take(&mut self.rejected));
+            .inc_by(std::mem::take(&mut self.rejected_event_count));
     }
 }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -25,8 +25,8 @@
 
 /// The interval between two checks whether the node is drained.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The longest time for which the node waits, after the last open request ended,
-/// for other nodes to take over the state that they depend on.
+/// The longest time for which the node waits, after its open requests ended, until
+/// no other node depends on its state.
 const HAND_OVER_LIMIT: Duration = Duration::from_secs(10);
 
 /// Why a node could not start.
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -34,7 +34,7 @@
     },
 }
 
-/// Settings of a node.
+/// The settings of a node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
@@ -90,7 +90,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSection {
-    /// Addresses of the table service.
+    /// The addresses of the table service.
     #[serde(deserialize_with = "not_empty")]
     pub tables: Vec<SocketAddr>,
     /// The prefix of the keys of all rows.
@@ -99,9 +99,9 @@
     /// The timeout of a call to the table service.
     #[serde(default = "default_table_timeout", deserialize_with = "positive_time")]
     pub table_timeout: Duration,
-    /// Address of the machine list.
+    /// The address of the machine list.
     pub machine_list: SocketAddr,
-    /// Path of the machine list.
+    /// The path of the machine list.
     #[serde(default = "default_machine_list_path")]
     pub machine_list_path: String,
 }
@@ -135,19 +135,19 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LimitsSection {
-    /// Largest request body.
+    /// The size limit of a request body.
     #[serde(deserialize_with = "positive_size")]
     pub body: ByteSize,
-    /// Largest response that is not a stream.
-    #[serde(deserialize_with = "positive_size")]
-    pub answer: ByteSize,
+    /// The size limit of a response that is not a stream.
+    #[serde(rename = "answer", deserialize_with = "positive_size")]
+    pub response: ByteSize,
     /// The largest number of requests that wait or run at one node.
     #[serde(deserialize_with = "positive_count")]
     pub open_requests: usize,
-    /// Deadline of an interactive request that states none.
+    /// The time limit of an interactive request that states no deadline.
     #[serde(deserialize_with = "positive_time")]
     pub interactive_deadline: Duration,
-    /// Deadline of a batch request that states none.
+    /// The time limit of a batch request that states no deadline.
     #[serde(deserialize_with = "positive_time")]
     pub batch_deadline: Duration,
     /// The time without an event after which a stream is resumed.
@@ -159,7 +159,7 @@
     fn default() -> Self {
         LimitsSection {
             body: ByteSize::mib(4),
-            answer: ByteSize::mib(64),
+            response: ByteSize::mib(64),
             open_requests: 4_096,
             interactive_deadline: Duration::from_secs(60),
             batch_deadline: Duration::from_secs(600),
@@ -241,7 +241,7 @@
     /// The bandwidth of one load from the weight store, in bytes per second.
     #[serde(deserialize_with = "positive_size")]
     pub store_bandwidth: ByteSize,
-    /// The fraction of the memory of an engine for dormant models, from 0 to 1.
+    /// The fraction of the memory of an engine for standby models, from 0 to 1.
     #[serde(deserialize_with = "share")]
     pub standby_share: f64,
     /// The shortest time for which an idle model stays loaded.
@@ -331,7 +331,7 @@
 pub struct LogSection {
     /// The format of the log lines.
     pub format: LogFormat,
-    /// Filter, such as `info` or `gorsebank_node=debug`.
+    /// The filter for log lines, such as `info` or `gorsebank_node=debug`.
     pub filter: String,
 }
 
@@ -357,7 +357,7 @@
         })
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
@@ -398,7 +398,7 @@
     }
 }
 
-/// Whole milliseconds of a duration.
+/// A duration in whole milliseconds.
 pub fn milliseconds(duration: Duration) -> u64 {
     duration.as_millis() as u64
 }
