--- a/crates/emulator/src/model/engine.rs
+++ b/crates/emulator/src/model/engine.rs
@@ -140,10 +140,10 @@
     /// Executes an order. A load only begins.
     pub fn order(&mut self, now: u64, order: &Order) -> OrderStart {
         if let Err(error) = self.admit(order) {
-            return self.refuse(error);
+            return self.refuse_order(error);
         }
         match &order.action {
-            OrderAction::Inspect => self.done(),
+            OrderAction::Inspect => self.finish_order(),
             OrderAction::Load { artifact, bytes } => self.load(now, artifact, *bytes),
             OrderAction::ChangeRole { role } => self.change_role(now, *role),
             OrderAction::Unload { artifact } => self.unload(now, artifact),
@@ -168,27 +168,27 @@
 
     fn change_role(&mut self, now: u64, role: EngineRole) -> OrderStart {
         if !self.loaded.is_empty() || !self.loading.is_empty() {
-            return self.refuse(OrderError::Busy);
+            return self.refuse_order(OrderError::Busy);
         }
         self.role = role;
         self.record(now, EngineEvent::RoleChanged { role });
-        self.done()
+        self.finish_order()
     }
 
     fn load(&mut self, now: u64, artifact: &Artifact, bytes: u64) -> OrderStart {
         if self.loaded.contains_key(artifact) {
-            return self.done();
+            return self.finish_order();
         }
         if self.loading.contains_key(artifact) {
-            return self.refuse(OrderError::Busy);
+            return self.refuse_order(OrderError::Busy);
         }
         if artifact.adapter.is_some() && !self.loaded.contains_key(&artifact.base()) {
-            return self.refuse(OrderError::Missing);
+            return self.refuse_order(OrderError::Missing);
         }
         if self.role != EngineRole::Serve || self.used() + bytes > self.memory {
             let artifact = artifact.clone();
             self.record(now, EngineEvent::OverCommitRefused { artifact });
-            return self.refuse(OrderError::OutOfMemory);
+            return self.refuse_order(OrderError::OutOfMemory);
         }
         self.loading.insert(artifact.clone(), bytes);
         let event = EngineEvent::LoadStarted {
@@ -240,14 +240,14 @@
             .any(|other| other.adapter.is_some() && other.base() == *artifact);
         let is_running = self.running.get(artifact).is_some_and(|count| *count > 0);
         if is_running || has_adapters && artifact.adapter.is_none() {
-            return self.refuse(OrderError::Busy);
+            return self.refuse_order(OrderError::Busy);
         }
         if self.loaded.remove(artifact).is_none() {
-            return self.refuse(OrderError::Missing);
+            return self.refuse_order(OrderError::Missing);
         }
         let artifact = artifact.clone();
         self.record(now, EngineEvent::Unloaded { artifact });
-        self.done()
+        self.finish_order()
     }
 
     /// Starts a request. Returns `false` if its artifact is not loaded.
@@ -272,11 +272,11 @@
         }
     }
 
-    fn done(&self) -> OrderStart {
+    fn finish_order(&self) -> OrderStart {
         OrderStart::Settled(OrderResult::Done(self.inventory()))
     }
 
-    fn refuse(&self, error: OrderError) -> OrderStart {
+    fn refuse_order(&self, error: OrderError) -> OrderStart {
         OrderStart::Settled(OrderResult::Refused(error, self.inventory()))
     }
 
--- a/crates/emulator/src/server/application.rs
+++ b/crates/emulator/src/server/application.rs
@@ -51,7 +51,7 @@
 /// The routes of the service.
 pub fn router(server: Arc<ApplicationServer>) -> Router {
     Router::new()
-        .route("/history", get(history))
+        .route("/history", get(read_history))
         .fallback(run)
         .with_state(server)
 }
@@ -63,7 +63,7 @@
     fail: Option<String>,
 }
 
-async fn history(State(server): State<Arc<ApplicationServer>>) -> Json<Vec<Execution>> {
+async fn read_history(State(server): State<Arc<ApplicationServer>>) -> Json<Vec<Execution>> {
     Json(server.history.lock().clone())
 }
 
--- a/crates/emulator/src/server/engine.rs
+++ b/crates/emulator/src/server/engine.rs
@@ -57,7 +57,7 @@
 /// The capacity and the speed of an engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// The accelerator memory in bytes.
+    /// The size of the accelerator memory in bytes.
     pub memory: u64,
     /// The largest number of requests that run at a time.
     pub slots: u32,
@@ -94,7 +94,7 @@
 }
 
 impl EngineServer {
-    /// An engine with empty accelerator memory.
+    /// An engine without loaded models.
     pub fn new(settings: EngineSettings, source: WeightSource) -> Self {
         let clock = Clock::default();
         let model = EngineModel::new(
@@ -199,25 +199,28 @@
 /// The routes of an engine.
 pub fn router(server: Arc<EngineServer>) -> Router {
     Router::new()
-        .route("/v1/chat/completions", post(chat))
-        .route("/v1/completions", post(complete))
-        .route("/v1/models", get(models))
-        .route("/v1/streams/{stream}", get(resume).delete(cancel))
-        .route(ORDERS_PATH, post(order))
-        .route(REPORT_PATH, get(report))
-        .route("/history", get(history))
+        .route("/v1/chat/completions", post(create_chat_completion))
+        .route("/v1/completions", post(create_completion))
+        .route("/v1/models", get(list_models))
+        .route(
+            "/v1/streams/{stream}",
+            get(resume_stream).delete(cancel_stream),
+        )
+        .route(ORDERS_PATH, post(execute_order))
+        .route(REPORT_PATH, get(read_report))
+        .route("/history", get(read_history))
         .with_state(server)
 }
 
-async fn history(State(server): State<Arc<EngineServer>>) -> Json<Vec<EngineRecord>> {
+async fn read_history(State(server): State<Arc<EngineServer>>) -> Json<Vec<EngineRecord>> {
     Json(server.model.lock().history().to_vec())
 }
 
-async fn report(State(server): State<Arc<EngineServer>>) -> Json<EngineReport> {
+async fn read_report(State(server): State<Arc<EngineServer>>) -> Json<EngineReport> {
     Json(server.model.lock().report())
 }
 
-async fn models(State(server): State<Arc<EngineServer>>) -> Json<Value> {
+async fn list_models(State(server): State<Arc<EngineServer>>) -> Json<Value> {
     let inventory = server.model.lock().inventory();
     let data: Vec<Value> = inventory
         .loaded
@@ -227,7 +230,10 @@
     Json(json!({"object": "list", "data": data}))
 }
 
-async fn order(State(server): State<Arc<EngineServer>>, Json(order): Json<Order>) -> Response {
+async fn execute_order(
+    State(server): State<Arc<EngineServer>>,
+    Json(order): Json<Order>,
+) -> Response {
     let start = server.model.lock().order(server.clock.now(), &order);
     let result = match start {
         OrderStart::Settled(result) => result,
@@ -306,7 +312,7 @@
     Text,
 }
 
-async fn chat(
+async fn create_chat_completion(
     State(server): State<Arc<EngineServer>>,
     headers: HeaderMap,
     Json(request): Json<CompletionRequest>,
@@ -314,7 +320,7 @@
     run(server, &headers, request, ResponseFormat::Chat).await
 }
 
-async fn complete(
+async fn create_completion(
     State(server): State<Arc<EngineServer>>,
     headers: HeaderMap,
     Json(request): Json<CompletionRequest>,
@@ -445,7 +451,7 @@
     }
 }
 
-async fn resume(
+async fn resume_stream(
     State(server): State<Arc<EngineServer>>,
     Path(name): Path<String>,
     headers: HeaderMap,
@@ -462,7 +468,10 @@
     stream_from(response, name, next)
 }
 
-async fn cancel(State(server): State<Arc<EngineServer>>, Path(name): Path<String>) -> StatusCode {
+async fn cancel_stream(
+    State(server): State<Arc<EngineServer>>,
+    Path(name): Path<String>,
+) -> StatusCode {
     match server.streams.get(&name) {
         Some(response) => {
             response.cancel();
--- a/crates/emulator/src/server/table.rs
+++ b/crates/emulator/src/server/table.rs
@@ -51,8 +51,8 @@
 /// The routes of the table service.
 pub fn router(server: Arc<TableServer>) -> Router {
     Router::new()
-        .route("/v3/kv/txn", post(txn))
-        .route("/v3/kv/range", post(range))
+        .route("/v3/kv/txn", post(run_transaction))
+        .route("/v3/kv/range", post(read_range))
         .route("/fault", put(set_fault))
         .with_state(server)
 }
@@ -61,7 +61,7 @@
     *server.fault.lock() = fault;
 }
 
-async fn txn(
+async fn run_transaction(
     State(server): State<Arc<TableServer>>,
     Json(request): Json<TxnRequest>,
 ) -> Result<Json<TxnResponse>, StatusCode> {
@@ -84,7 +84,7 @@
     }
 }
 
-async fn range(
+async fn read_range(
     State(server): State<Arc<TableServer>>,
     Json(request): Json<RangeRequest>,
 ) -> Json<RangeResponse> {
