--- a/crates/coordination/src/claim_group.rs
+++ b/crates/coordination/src/claim_group.rs
@@ -1,13 +1,15 @@
-//! The placement holder's part in claiming: replaces members of the group.
+//! Reconfigures the claim group on the placement holder when members fail.
 //!
-//! In: live nodes, members' answers, time. Out: seals and installs for
-//! members, and the group row for the holder's next transaction.
+//! The inputs are the live nodes, the responses of members and the time. The
+//! outputs are seal and install messages for members, and the group row for
+//! the holder's next transaction.
 //!
-//! A change goes through four steps: seal the members of the group in force
-//! and collect the records of a majority; install their union on every member
-//! of the next group; write the group row; announce it. A crash at any step
-//! leaves either the old group sealed (claims are refused until the next
-//! holder finishes a change) or the new one in force; never two.
+//! A reconfiguration has four steps. The holder seals the members of the
+//! current group and collects the claim records of a majority; installs the
+//! union of these records on every member of the next group; writes the group
+//! row; and announces the new group. A crash at any step leaves either the old
+//! group sealed, with claims refused until the next holder completes a
+//! reconfiguration, or the new group active, but never two active groups.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,14 +23,16 @@
 use crate::settings::ClaimSettings;
 use crate::time::Timestamp;
 
-/// Pause before a member is asked again.
-const RESEND_INTERVAL: u64 = 300;
-/// A member must be missed for so long before it is replaced.
-const MISSED_BEFORE_CHANGE: u64 = 500;
-/// Changes that one holder can make: the low digits of its epochs.
+/// Interval at which a seal or install message is resent to a member that has
+/// not responded.
+const RESEND_INTERVAL_MS: u64 = 300;
+/// Time for which the group must lack a member before the group is changed.
+const MEMBER_ABSENCE_TIMEOUT_MS: u64 = 500;
+/// Number of epochs that a holder can assign under one fencing token. The epoch
+/// is the fencing token times this number plus a counter.
 const EPOCHS_PER_FENCE: u64 = 1 << 20;
 
-/// Stands for the owner of a key that several requests claimed.
+/// Placeholder request for a key that several requests have claimed.
 const CONTESTED: RequestId = RequestId(0, 0);
 
 #[derive(Clone, Debug)]
@@ -50,19 +54,19 @@
     },
 }
 
-/// The holder's view of the claim group.
+/// State of the claim group and of its reconfiguration on the placement holder.
 #[derive(Debug)]
 pub struct ClaimGroupKeeper {
     settings: ClaimSettings,
     current: ClaimGroup,
     step: Step,
-    missed_since: Option<Timestamp>,
-    sent: Timestamp,
+    member_missing_since: Option<Timestamp>,
+    last_sent: Timestamp,
     last_epoch: Epoch,
 }
 
 impl ClaimGroupKeeper {
-    /// Starts from the group row as the table has it.
+    /// Creates the state from the group row that the table holds.
     pub fn new(settings: ClaimSettings, fence: Fence, current: ClaimGroup) -> Self {
         let first = Epoch(fence.0 * EPOCHS_PER_FENCE);
         ClaimGroupKeeper {
@@ -70,17 +74,17 @@
             last_epoch: first.max(current.epoch),
             current,
             step: Step::Steady,
-            missed_since: None,
-            sent: Timestamp(0),
+            member_missing_since: None,
+            last_sent: Timestamp(0),
         }
     }
 
-    /// The group in force.
+    /// Returns the current group, as last written to the table.
     pub fn current(&self) -> &ClaimGroup {
         &self.current
     }
 
-    /// The group that must be written to the table now.
+    /// Returns the group that the holder has to write to the table, if any.
     pub fn wanted_row(&self) -> Option<&ClaimGroup> {
         match &self.step {
             Step::Writing { group } => Some(group),
@@ -88,40 +92,40 @@
         }
     }
 
-    /// The group row was written.
+    /// Makes `group` the current group after its row has been written.
     pub fn written(&mut self, group: ClaimGroup) {
         if self.wanted_row() == Some(&group) {
             self.current = group;
             self.step = Step::Steady;
-            self.missed_since = None;
+            self.member_missing_since = None;
         }
     }
 
-    /// Goes on with a change, or starts one if members are missing.
-    /// A change starts only while the table works: sealed members record
-    /// nothing until the next group is written.
+    /// Continues a reconfiguration, or starts one if members are missing.
+    /// A reconfiguration starts only while the table is reachable, because
+    /// sealed members record no claims until the next group is written.
     pub fn tick(
         &mut self,
         now: Timestamp,
         view: &View,
-        table_works: bool,
+        is_table_available: bool,
     ) -> Vec<(NodeId, PeerMessage)> {
         match &self.step {
             Step::Steady => {
-                if self.change_is_due(now, view) && table_works {
-                    return self.start_change(now, view);
+                if self.is_change_due(now, view) && is_table_available {
+                    return self.start_reconfiguration(now, view);
                 }
                 Vec::new()
             }
-            Step::Sealing { .. } => self.go_on_sealing(now, view),
-            Step::Installing { .. } => self.go_on_installing(now, view),
+            Step::Sealing { .. } => self.continue_sealing(now, view),
+            Step::Installing { .. } => self.continue_installing(now, view),
             Step::Writing { .. } => Vec::new(),
         }
     }
 
-    fn change_is_due(&mut self, now: Timestamp, view: &View) -> bool {
-        let wanted = self.settings.members.min(view.active().count());
-        let serving = self
+    fn is_change_due(&mut self, now: Timestamp, view: &View) -> bool {
+        let required = self.settings.members.min(view.active().count());
+        let active_members = self
             .current
             .members
             .iter()
@@ -133,40 +137,44 @@
                         .is_some_and(|node| node.state == NodeState::Active)
             })
             .count();
-        if serving >= wanted && serving == self.current.members.len() {
-            self.missed_since = None;
+        if active_members >= required && active_members == self.current.members.len() {
+            self.member_missing_since = None;
             return false;
         }
-        let since = *self.missed_since.get_or_insert(now);
-        now.since(since) >= MISSED_BEFORE_CHANGE
+        let since = *self.member_missing_since.get_or_insert(now);
+        now.since(since) >= MEMBER_ABSENCE_TIMEOUT_MS
     }
 
-    fn start_change(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
+    fn start_reconfiguration(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
         self.last_epoch = self.last_epoch.next();
         let next = self.last_epoch;
         if self.current.members.is_empty() {
-            return self.install_on(now, view, next, BTreeMap::new(), 0);
+            return self.start_installing(now, view, next, BTreeMap::new(), 0);
         }
         self.step = Step::Sealing {
             next,
             since: now,
             records: BTreeMap::new(),
         };
-        self.sent = now;
-        self.seals(next, &BTreeSet::new())
+        self.last_sent = now;
+        self.seal_messages(next, &BTreeSet::new())
     }
 
-    fn seals(&self, next: Epoch, answered: &BTreeSet<NodeId>) -> Vec<(NodeId, PeerMessage)> {
+    fn seal_messages(
+        &self,
+        next: Epoch,
+        responded: &BTreeSet<NodeId>,
+    ) -> Vec<(NodeId, PeerMessage)> {
         let current = self.current.epoch;
         self.current
             .members
             .keys()
-            .filter(|member| !answered.contains(*member))
+            .filter(|member| !responded.contains(*member))
             .map(|member| (member.clone(), PeerMessage::ClaimSeal { current, next }))
             .collect()
     }
 
-    fn go_on_sealing(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
+    fn continue_sealing(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
         let Step::Sealing {
             next,
             since,
@@ -177,29 +185,29 @@
         };
         let (next, waited) = (*next, now.since(*since));
         let has_majority = records.len() >= self.current.majority();
-        let all_answered = self
+        let all_responded = self
             .current
             .members
             .iter()
             .filter(|(id, incarnation)| view.is_alive(id, **incarnation))
             .all(|(id, _)| records.contains_key(id));
-        if has_majority && (all_answered || waited >= RESEND_INTERVAL) {
-            let union = union_of(records.values());
-            return self.install_on(now, view, next, union, 0);
+        if has_majority && (all_responded || waited >= RESEND_INTERVAL_MS) {
+            let union = merge_records(records.values());
+            return self.start_installing(now, view, next, union, 0);
         }
-        if waited >= self.settings.patience {
-            let union = union_of(records.values());
-            return self.install_on(now, view, next, union, self.settings.retention);
+        if waited >= self.settings.seal_timeout {
+            let union = merge_records(records.values());
+            return self.start_installing(now, view, next, union, self.settings.retention);
         }
-        if now.since(self.sent) < RESEND_INTERVAL {
+        if now.since(self.last_sent) < RESEND_INTERVAL_MS {
             return Vec::new();
         }
-        let answered = records.keys().cloned().collect();
-        self.sent = now;
-        self.seals(next, &answered)
+        let responded = records.keys().cloned().collect();
+        self.last_sent = now;
+        self.seal_messages(next, &responded)
     }
 
-    fn install_on(
+    fn start_installing(
         &mut self,
         now: Timestamp,
         view: &View,
@@ -214,11 +222,11 @@
             quarantine,
             installed: BTreeSet::new(),
         };
-        self.sent = now;
-        self.installs()
+        self.last_sent = now;
+        self.install_messages()
     }
 
-    fn installs(&self) -> Vec<(NodeId, PeerMessage)> {
+    fn install_messages(&self) -> Vec<(NodeId, PeerMessage)> {
         let Step::Installing {
             group,
             records,
@@ -243,7 +251,7 @@
             .collect()
     }
 
-    fn go_on_installing(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
+    fn continue_installing(&mut self, now: Timestamp, view: &View) -> Vec<(NodeId, PeerMessage)> {
         let Step::Installing {
             group,
             records,
@@ -259,43 +267,43 @@
             };
             return Vec::new();
         }
-        let member_lost = group
+        let is_member_lost = group
             .members
             .iter()
             .any(|(id, incarnation)| !view.is_alive(id, *incarnation));
-        if member_lost {
+        if is_member_lost {
             let (records, quarantine) = (records.clone(), *quarantine);
             self.last_epoch = self.last_epoch.next();
-            return self.install_on(now, view, self.last_epoch, records, quarantine);
+            return self.start_installing(now, view, self.last_epoch, records, quarantine);
         }
-        if now.since(self.sent) < RESEND_INTERVAL {
+        if now.since(self.last_sent) < RESEND_INTERVAL_MS {
             return Vec::new();
         }
-        self.sent = now;
-        self.installs()
+        self.last_sent = now;
+        self.install_messages()
     }
 
-    /// A member was sealed.
-    pub fn sealed(
+    /// Stores the claim records of a member that has been sealed for `next`.
+    pub fn record_sealed(
         &mut self,
         member: &NodeId,
         next: Epoch,
-        answer: Option<BTreeMap<String, ClaimRecord>>,
+        response: Option<BTreeMap<String, ClaimRecord>>,
     ) {
         if let Step::Sealing {
-            next: wanted,
+            next: required,
             records,
             ..
         } = &mut self.step
-            && *wanted == next
-            && let Some(answer) = answer
+            && *required == next
+            && let Some(response) = response
         {
-            records.insert(member.clone(), answer);
+            records.insert(member.clone(), response);
         }
     }
 
-    /// A member has installed a group.
-    pub fn installed(&mut self, member: &NodeId, epoch: Epoch) {
+    /// Records that a member has installed the group of `epoch`.
+    pub fn record_installed(&mut self, member: &NodeId, epoch: Epoch) {
         if let Step::Installing {
             group, installed, ..
         } = &mut self.step
@@ -306,19 +314,20 @@
     }
 }
 
-/// The members of the next group, each in another zone as far as there are zones.
+/// Selects the members of the next group, in distinct zones while unused zones
+/// are left.
 fn next_group(view: &View, epoch: Epoch, count: usize) -> ClaimGroup {
     let ranked = rendezvous::ranked("claims", view.active());
     let mut members = BTreeMap::new();
     let mut zones: BTreeSet<&ZoneId> = BTreeSet::new();
-    for spread in [true, false] {
+    for distinct_zones in [true, false] {
         for id in &ranked {
             let Some(node) = view.nodes.get(*id) else {
                 continue;
             };
             let is_full = members.len() == count;
-            let is_crowded = spread && zones.contains(&node.zone);
-            if is_full || is_crowded || members.contains_key(*id) {
+            let is_zone_used = distinct_zones && zones.contains(&node.zone);
+            if is_full || is_zone_used || members.contains_key(*id) {
                 continue;
             }
             zones.insert(&node.zone);
@@ -328,23 +337,24 @@
     ClaimGroup { epoch, members }
 }
 
-/// All claims of several members. Where members recorded different requests
-/// for one key, at most one of them won, and it cannot be told which: the key
-/// then belongs to none of them, so that a loser that asks again cannot win.
-fn union_of<'a>(
+/// Returns the union of the claim records of several members. Where members
+/// recorded different requests for one key, at most one request won, and the
+/// records do not show which. The key is then assigned to [`CONTESTED`], so that
+/// a request that lost cannot win by claiming the key again.
+fn merge_records<'a>(
     ledgers: impl Iterator<Item = &'a BTreeMap<String, ClaimRecord>>,
 ) -> BTreeMap<String, ClaimRecord> {
     let mut union: BTreeMap<String, ClaimRecord> = BTreeMap::new();
     for (key, record) in ledgers.flatten() {
         union
             .entry(key.clone())
-            .and_modify(|known| *known = reconciled(*known, *record))
+            .and_modify(|known| *known = merge_record(*known, *record))
             .or_insert(*record);
     }
     union
 }
 
-fn reconciled(one: ClaimRecord, other: ClaimRecord) -> ClaimRecord {
+fn merge_record(one: ClaimRecord, other: ClaimRecord) -> ClaimRecord {
     let completed = one.state == ClaimState::Completed || other.state == ClaimState::Completed;
     ClaimRecord {
         request: if one.request == other.request {
--- a/crates/coordination/src/claim_member.rs
+++ b/crates/coordination/src/claim_member.rs
@@ -1,12 +1,13 @@
-//! A claim group member: records which request claimed which key.
+//! Records, as a member of the claim group, which request claimed which key.
 //!
-//! In: claims, seals, installs. Out: answers. A key is recorded for the first
-//! request that claims it and for no other. Once sealed for a following epoch
-//! a member records nothing under the present one, so that whoever collects
-//! the records of a majority has every claim that ever won.
+//! The inputs are claim, seal and install messages; the outputs are responses.
+//! A member records a key for the first request that claims the key and for no
+//! other request. Once a member is sealed for a later epoch, the member records
+//! no claims under the current epoch. The records of a majority of sealed
+//! members therefore contain every claim that has won.
 //!
-//! Records live in memory alone: a restarted member has another incarnation
-//! and belongs to no group until it is installed in one.
+//! Records are kept only in memory: a restarted member has a new incarnation
+//! and belongs to no group until a group is installed on it.
 
 use crate::collections::HashMap;
 use std::collections::BTreeMap;
@@ -16,77 +17,78 @@
 use crate::settings::ClaimSettings;
 use crate::time::{Periodic, Timestamp};
 
-/// Records are checked for their age so often, in milliseconds.
-const PRUNE_INTERVAL: u64 = 5_000;
+/// Interval between two removals of expired records.
+const PRUNE_INTERVAL_MS: u64 = 5_000;
 
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct StoredClaim {
     record: ClaimRecord,
     since: Timestamp,
 }
 
-/// The claims of one epoch.
+/// The claims of one epoch. Until `in_doubt_until`, a claim of an unknown key is
+/// answered with [`ClaimAnswer::InDoubt`].
 #[derive(Clone, Debug)]
 struct Ledger {
     group: ClaimGroup,
-    records: HashMap<String, Kept>,
-    doubtful_until: Timestamp,
+    records: HashMap<String, StoredClaim>,
+    in_doubt_until: Timestamp,
 }
 
 impl Ledger {
     fn claim(&mut self, now: Timestamp, key: &str, request: RequestId) -> ClaimAnswer {
-        if let Some(kept) = self.records.get(key) {
-            if kept.record.request == request {
+        if let Some(stored) = self.records.get(key) {
+            if stored.record.request == request {
                 return ClaimAnswer::Recorded;
             }
-            return ClaimAnswer::Taken(kept.record);
+            return ClaimAnswer::Taken(stored.record);
         }
-        if now < self.doubtful_until {
-            return ClaimAnswer::InDoubt(self.doubtful_until.since(now));
+        if now < self.in_doubt_until {
+            return ClaimAnswer::InDoubt(self.in_doubt_until.since(now));
         }
         let record = ClaimRecord {
             request,
             state: ClaimState::Claimed,
         };
         self.records
-            .insert(key.to_owned(), Kept { record, since: now });
+            .insert(key.to_owned(), StoredClaim { record, since: now });
         ClaimAnswer::Recorded
     }
 
     fn snapshot(&self) -> BTreeMap<String, ClaimRecord> {
         self.records
             .iter()
-            .map(|(key, kept)| (key.clone(), kept.record))
+            .map(|(key, stored)| (key.clone(), stored.record))
             .collect()
     }
 }
 
-/// A node's part in claim groups.
+/// State of a node as a member of claim groups.
 #[derive(Debug)]
 pub struct ClaimMember {
     settings: ClaimSettings,
-    /// The ledger in use.
+    /// Ledger of the active group.
     active: Option<Ledger>,
-    /// A ledger that was installed and is not known to be in force.
+    /// Ledger that has been installed, but whose group is not known to be active.
     candidate: Option<Ledger>,
-    /// Nothing is recorded under epochs below this one.
+    /// No claims are recorded under epochs below this one.
     sealed_below: Epoch,
-    prunes: Periodic,
+    prune_timer: Periodic,
 }
 
 impl ClaimMember {
-    /// A node that is no member.
+    /// Creates the state of a node that is not a member of a group.
     pub fn new(settings: ClaimSettings) -> Self {
         ClaimMember {
             settings,
             active: None,
             candidate: None,
             sealed_below: Epoch(0),
-            prunes: Periodic::every(PRUNE_INTERVAL),
+            prune_timer: Periodic::every(PRUNE_INTERVAL_MS),
         }
     }
 
-    /// Records a claim, if this node keeps claims under `epoch`.
+    /// Records a claim if this node records claims under `epoch`.
     pub fn claim(
         &mut self,
         now: Timestamp,
@@ -94,10 +96,10 @@
         key: &str,
         request: RequestId,
     ) -> ClaimAnswer {
-        self.put_in_force(epoch);
-        let sealed = epoch < self.sealed_below;
+        self.activate_epoch(epoch);
+        let is_sealed = epoch < self.sealed_below;
         match &mut self.active {
-            Some(ledger) if ledger.group.epoch == epoch && !sealed => {
+            Some(ledger) if ledger.group.epoch == epoch && !is_sealed => {
                 ledger.claim(now, key, request)
             }
             Some(ledger) => ClaimAnswer::WrongEpoch(ledger.group.clone()),
@@ -105,8 +107,9 @@
         }
     }
 
-    /// Someone names `epoch` as the one in force.
-    pub fn put_in_force(&mut self, epoch: Epoch) {
+    /// Activates the installed ledger if it has this epoch. Called when another
+    /// node names `epoch` as the active one.
+    pub fn activate_epoch(&mut self, epoch: Epoch) {
         let is_candidate = self
             .candidate
             .as_ref()
@@ -116,28 +119,30 @@
         }
     }
 
-    /// Notes that a claimed request ran, or frees the key if it never will.
+    /// Marks a claimed request as completed. If the claim is `withdrawn` because
+    /// the request will not run, removes the claim and so frees the key.
     pub fn end(&mut self, key: &str, request: RequestId, withdrawn: bool) {
         for ledger in [&mut self.active, &mut self.candidate]
             .into_iter()
             .flatten()
         {
-            let Some(kept) = ledger.records.get_mut(key) else {
+            let Some(stored) = ledger.records.get_mut(key) else {
                 continue;
             };
-            if kept.record.request != request {
+            if stored.record.request != request {
                 continue;
             }
-            if withdrawn && kept.record.state == ClaimState::Claimed {
+            if withdrawn && stored.record.state == ClaimState::Claimed {
                 ledger.records.remove(key);
             } else {
-                kept.record.state = ClaimState::Completed;
+                stored.record.state = ClaimState::Completed;
             }
         }
     }
 
-    /// Records nothing more under epochs below `next`; gives the records of
-    /// epoch `current`, if this node has them. `None` if a later seal holds.
+    /// Seals this member: it records no more claims under epochs below `next`.
+    /// Returns the records of epoch `current`, if this node has them, or `None`
+    /// if the member is already sealed for a later epoch.
     pub fn seal(
         &mut self,
         current: Epoch,
@@ -156,7 +161,8 @@
         Some(records)
     }
 
-    /// Takes the claims at the start of a group; says whether it was taken.
+    /// Installs a group with its initial claims. Claims of unknown keys are in
+    /// doubt for `quarantine` milliseconds. Returns whether the group is installed.
     pub fn install(
         &mut self,
         now: Timestamp,
@@ -176,30 +182,30 @@
         }
         let records = records
             .into_iter()
-            .map(|(key, record)| (key, Kept { record, since: now }))
+            .map(|(key, record)| (key, StoredClaim { record, since: now }))
             .collect();
         self.candidate = Some(Ledger {
             group,
             records,
-            doubtful_until: now + quarantine,
+            in_doubt_until: now + quarantine,
         });
         true
     }
 
-    /// Forgets claims that are older than the retention time.
+    /// Removes claims that are older than the retention time.
     pub fn tick(&mut self, now: Timestamp) {
-        if !self.prunes.due(now) {
+        if !self.prune_timer.due(now) {
             return;
         }
         let retention = self.settings.retention;
         if let Some(ledger) = &mut self.active {
             ledger
                 .records
-                .retain(|_, kept| now.since(kept.since) < retention);
+                .retain(|_, stored| now.since(stored.since) < retention);
         }
     }
 
-    /// Claims recorded under the epoch in use.
+    /// Returns the number of claims recorded under the active epoch.
     pub fn record_count(&self) -> usize {
         self.active
             .as_ref()
--- a/crates/coordination/src/claim_round.rs
+++ b/crates/coordination/src/claim_round.rs
@@ -1,12 +1,14 @@
-//! A front's side of claiming: asks the members of the claim group.
+//! Claims idempotency keys for a front by asking the members of the claim group.
 //!
-//! In: claims wanted, members' answers, time. Out: messages to members and one
-//! verdict for each claim.
+//! The inputs are the claims to make, the responses of members and the time.
+//! The outputs are messages to members and one outcome for each claim.
 //!
-//! For each key one member is asked first, and the others once it recorded the
-//! claim: of several requests that claim a key at the same moment the one that
-//! came first there wins, where otherwise each might get one member and none a
-//! majority. If the first member does not answer, the others are asked anyway.
+//! For each key, one member is asked first, and the other members are asked
+//! after the first member has recorded the claim. Of several requests that
+//! claim a key at the same time, the request that reaches the first member
+//! first wins; if all members were asked at once, each request might be recorded
+//! by one member and no request by a majority. If the first member does not
+//! respond in time, the other members are asked anyway.
 
 use crate::collections::HashMap;
 use std::collections::BTreeSet;
@@ -18,48 +20,50 @@
 use crate::settings::ClaimSettings;
 use crate::time::Timestamp;
 
-/// Pause before a claim is sent again to members that did not answer.
-const RESEND_INTERVAL: u64 = 200;
-/// The first member is asked alone for so long, in milliseconds.
-const FIRST_MEMBER_PATIENCE: u64 = 60;
+/// Interval at which a claim is resent to members that have not recorded it.
+const RESEND_INTERVAL_MS: u64 = 200;
+/// Time for which only the first member is asked.
+const FIRST_MEMBER_TIMEOUT_MS: u64 = 60;
 
 /// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimVerdict {
-    /// The key belongs to this request: it may be sent once.
+    /// The key belongs to this request, which may be sent once.
     Won,
-    /// Another request has the key and may have run.
+    /// The key belongs to another request, which may have run.
     Taken,
-    /// No majority could be asked in time.
+    /// No majority recorded the claim in time, or the group cannot tell whether
+    /// the key was claimed before.
     InDoubt {
-        /// When to come back, in milliseconds.
+        /// Time after which the caller may retry, in milliseconds.
         retry_after: u64,
     },
 }
 
-/// What a round of claiming wants done.
+/// Output of the rounds of claiming, to be carried out by the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoundOutput {
     /// Send a message to a member.
     Send(NodeId, PeerMessage),
     /// The claim is decided.
     Decided(RequestId, ClaimVerdict),
-    /// Another group seems to be in force.
-    GroupSeen(ClaimGroup),
+    /// A member reported this group as the active one.
+    GroupReported(ClaimGroup),
 }
 
+/// A claim that waits for a majority.
 #[derive(Clone, Debug)]
 struct Round {
     key: String,
     epoch: Epoch,
     recorded: BTreeSet<NodeId>,
-    first_only: bool,
+    is_first_member_only: bool,
     started: Timestamp,
-    sent: Timestamp,
+    last_sent: Timestamp,
     expires: Timestamp,
 }
 
-/// The claims that wait for a majority.
+/// All claims that wait for a majority.
 #[derive(Debug)]
 pub struct ClaimRounds {
     settings: ClaimSettings,
@@ -68,7 +72,7 @@
 }
 
 impl ClaimRounds {
-    /// No claims.
+    /// Creates an empty set of claims.
     pub fn new(settings: ClaimSettings) -> Self {
         ClaimRounds {
             settings,
@@ -77,12 +81,13 @@
         }
     }
 
-    /// The group that is asked.
+    /// Returns the group whose members are asked.
     pub fn group(&self) -> &ClaimGroup {
         &self.group
     }
 
-    /// Takes in a group; an older one is ignored.
+    /// Sets the group unless its epoch is not newer than that of the known group.
+    /// Returns whether the group was set.
     pub fn set_group(&mut self, group: ClaimGroup) -> bool {
         if group.epoch <= self.group.epoch {
             return false;
@@ -91,24 +96,24 @@
         true
     }
 
-    /// Starts a claim.
+    /// Starts a claim of `key` for `request`.
     pub fn start(&mut self, now: Timestamp, request: RequestId, key: String) -> Vec<RoundOutput> {
         let round = Round {
             key,
             epoch: self.group.epoch,
             recorded: BTreeSet::new(),
-            first_only: true,
+            is_first_member_only: true,
             started: now,
-            sent: now,
+            last_sent: now,
             expires: now + self.settings.timeout,
         };
-        let output = ask(&self.group, request, &round);
+        let output = claim_messages(&self.group, request, &round);
         self.rounds.insert(request, round);
         output
     }
 
-    /// Takes in a member's answer.
-    pub fn answered(
+    /// Handles the response of a member to a claim.
+    pub fn handle_answer(
         &mut self,
         member: &NodeId,
         epoch: Epoch,
@@ -127,26 +132,27 @@
                 if round.recorded.len() >= self.group.majority() {
                     return self.decide(request, ClaimVerdict::Won);
                 }
-                if !std::mem::take(&mut round.first_only) {
+                if !std::mem::take(&mut round.is_first_member_only) {
                     return Vec::new();
                 }
                 let round = round.clone();
-                ask(&self.group, request, &round)
+                claim_messages(&self.group, request, &round)
             }
             ClaimAnswer::Taken(_) => self.decide(request, ClaimVerdict::Taken),
             ClaimAnswer::InDoubt(retry_after) => {
                 self.decide(request, ClaimVerdict::InDoubt { retry_after })
             }
-            ClaimAnswer::WrongEpoch(group) => vec![RoundOutput::GroupSeen(group)],
+            ClaimAnswer::WrongEpoch(group) => vec![RoundOutput::GroupReported(group)],
         }
     }
 
-    fn decide(&mut self, request: RequestId, verdict: ClaimVerdict) -> Vec<RoundOutput> {
+    fn decide(&mut self, request: RequestId, outcome: ClaimVerdict) -> Vec<RoundOutput> {
         self.rounds.remove(&request);
-        vec![RoundOutput::Decided(request, verdict)]
+        vec![RoundOutput::Decided(request, outcome)]
     }
 
-    /// Asks again where no answer came, and gives up what is late.
+    /// Resends claims that members have not recorded and expires claims that have
+    /// timed out.
     pub fn tick(&mut self, now: Timestamp) -> Vec<RoundOutput> {
         let mut output = Vec::new();
         let mut expired = Vec::new();
@@ -160,17 +166,20 @@
                 expired.push(request);
                 continue;
             }
-            let moved = round.epoch != self.group.epoch;
-            if moved {
+            let has_new_epoch = round.epoch != self.group.epoch;
+            if has_new_epoch {
                 round.epoch = self.group.epoch;
                 round.recorded.clear();
             }
-            let is_impatient =
-                round.first_only && now.since(round.started) >= FIRST_MEMBER_PATIENCE;
-            round.first_only &= !is_impatient;
-            if moved || is_impatient || now.since(round.sent) >= RESEND_INTERVAL {
-                round.sent = now;
-                output.extend(ask(&self.group, request, round));
+            let has_first_member_timed_out =
+                round.is_first_member_only && now.since(round.started) >= FIRST_MEMBER_TIMEOUT_MS;
+            round.is_first_member_only &= !has_first_member_timed_out;
+            if has_new_epoch
+                || has_first_member_timed_out
+                || now.since(round.last_sent) >= RESEND_INTERVAL_MS
+            {
+                round.last_sent = now;
+                output.extend(claim_messages(&self.group, request, round));
             }
         }
         for request in expired {
@@ -180,7 +189,8 @@
         output
     }
 
-    /// Tells the members that a claimed request ran, or will never run.
+    /// Informs the members that a claimed request has run, or, if the claim is
+    /// `withdrawn`, that the request will not run.
     pub fn end(&mut self, request: RequestId, key: &str, withdrawn: bool) -> Vec<RoundOutput> {
         self.rounds.remove(&request);
         self.group
@@ -198,16 +208,17 @@
     }
 }
 
-/// Asks the members that have not recorded the claim: at first only one.
-fn ask(group: &ClaimGroup, request: RequestId, round: &Round) -> Vec<RoundOutput> {
-    let asked = if round.first_only {
+/// Returns the messages to members that have not recorded the claim; at first
+/// only one member is asked.
+fn claim_messages(group: &ClaimGroup, request: RequestId, round: &Round) -> Vec<RoundOutput> {
+    let member_count = if round.is_first_member_only {
         1
     } else {
         group.members.len()
     };
     rendezvous::ranked(&round.key, group.members.keys())
         .into_iter()
-        .take(asked)
+        .take(member_count)
         .filter(|member| !round.recorded.contains(*member))
         .map(|member| {
             let message = PeerMessage::Claim {
--- a/crates/coordination/src/collections.rs
+++ b/crates/coordination/src/collections.rs
@@ -1,5 +1,5 @@
-//! Hash maps and sets that every process walks in the same order, so that a
-//! seed gives one history.
+//! Hash maps and sets with the same iteration order in every process, so that a
+//! run with a given seed is reproducible.
 
 use std::hash::{BuildHasherDefault, DefaultHasher};
 
--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -1,10 +1,10 @@
-//! The configuration as this node knows it.
+//! Holds the configuration as this node knows it.
 //!
-//! In: rows from the table or from other nodes. Out: answers about models,
-//! adapters and deployments. Each row carries the dense revision that wrote
-//! it, and a row is only ever replaced by one of a higher revision. Merging is
-//! therefore commutative and idempotent, and nothing reverts, in whatever
-//! order rows arrive.
+//! The inputs are rows from the table or from other nodes. The outputs are
+//! results of queries about models, adapters and deployments. Each row carries
+//! the revision at which it was written; revisions are consecutive numbers. A
+//! row is replaced only by a row with a higher revision. Merging is therefore
+//! commutative and idempotent, and no row reverts, in whatever order rows arrive.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,13 +16,13 @@
 };
 use thiserror::Error;
 
-/// The version of a model for which no version row exists.
+/// Version of a model that has no version row.
 pub const ONLY_VERSION: &str = "1";
 
 /// Why a requested model cannot be served.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ResolveError {
-    /// There is no such model, adapter or version.
+    /// The model, adapter or version does not exist.
     #[error("model `{0}` does not exist")]
     Unknown(String),
     /// The adapter belongs to another model.
@@ -32,7 +32,7 @@
         adapter: String,
         /// The model it belongs to.
         owner: String,
-        /// The model that was asked for.
+        /// The requested model.
         model: String,
     },
     /// No deployment selects the model.
@@ -40,10 +40,10 @@
     NotDeployed(String),
 }
 
-/// Rows that did not connect to what is known: some are missing between.
+/// Rows between the known revision and the start of a delta are missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Gap {
-    /// The revision up to which everything is known.
+    /// Revision up to which all rows are known.
     pub complete: Revision,
 }
 
@@ -56,13 +56,13 @@
 }
 
 impl Configuration {
-    /// The revision up to which everything is known.
+    /// Returns the revision up to which all rows are known.
     pub fn complete(&self) -> Revision {
         self.complete
     }
 
-    /// Takes in all rows above `above` up to `complete`; says whether anything
-    /// became known.
+    /// Merges `rows`, which are all rows above `above` up to `complete`. Returns
+    /// whether the known revision advanced.
     pub fn merge(
         &mut self,
         above: Revision,
@@ -78,13 +78,13 @@
             return Ok(false);
         }
         for row in rows {
-            self.take(row);
+            self.insert_if_newer(row);
         }
         self.complete = complete;
         Ok(true)
     }
 
-    fn take(&mut self, row: Arc<Row>) {
+    fn insert_if_newer(&mut self, row: Arc<Row>) {
         if let Some(known) = self.rows.get(&row.key) {
             if known.revision >= row.revision {
                 return;
@@ -95,7 +95,7 @@
         self.rows.insert(row.key.clone(), row);
     }
 
-    /// Rows above a revision.
+    /// Returns the rows above a revision.
     pub fn rows_above(&self, above: Revision) -> Vec<Arc<Row>> {
         self.by_revision
             .range(above.0 + 1..)
@@ -103,8 +103,8 @@
             .collect()
     }
 
-    /// At most `limit` rows above a revision, the lowest revisions first, and
-    /// the revision up to which they are everything.
+    /// Returns at most `limit` rows above a revision, in ascending order of
+    /// revision, and the revision up to which these rows are complete.
     pub fn delta_above(&self, above: Revision, limit: usize) -> (Vec<Arc<Row>>, Revision) {
         let rows: Vec<Arc<Row>> = self
             .by_revision
@@ -119,12 +119,12 @@
         (rows, complete)
     }
 
-    /// The row as last written, deleted or not.
+    /// Returns the row as last written, including deleted rows.
     pub fn row(&self, key: &RowKey) -> Option<&Row> {
         self.rows.get(key).map(AsRef::as_ref)
     }
 
-    /// Rows of a kind that were not deleted, by name.
+    /// Returns the rows of a kind that are not deleted, in order of their names.
     pub fn live_rows(&self, kind: RowKind) -> impl Iterator<Item = &Row> {
         self.named_from(kind, String::new())
             .filter(|row| row.spec.is_some())
@@ -149,8 +149,8 @@
         self.row(&key).filter(|row| row.spec.is_some())
     }
 
-    /// What a request for `name` waits for: `model`, `model@version`,
-    /// `model+adapter` or `model@version+adapter`.
+    /// Returns the queue in which a request for `name` waits. `name` has the form
+    /// `model`, `model@version`, `model+adapter` or `model@version+adapter`.
     pub fn resolve(&self, name: &str) -> Result<QueueKey, ResolveError> {
         let (base, adapter) = match name.split_once('+') {
             Some((base, adapter)) => (base, Some(adapter)),
@@ -187,9 +187,9 @@
         version: &str,
         name: &str,
     ) -> Result<VersionId, ResolveError> {
-        let stated = self.live(RowKind::Version, &format!("{model}@{version}"));
-        let implied = version == ONLY_VERSION && self.versions(model).next().is_none();
-        if stated.is_some() || implied {
+        let explicit = self.live(RowKind::Version, &format!("{model}@{version}"));
+        let is_implicit = version == ONLY_VERSION && self.versions(model).next().is_none();
+        if explicit.is_some() || is_implicit {
             Ok(VersionId::from(version))
         } else {
             Err(ResolveError::Unknown(name.to_owned()))
@@ -249,13 +249,13 @@
             .find(|deployment| deployment.models.matches(labels))
     }
 
-    /// The deployment that an artifact is served under.
+    /// Returns the deployment that serves an artifact.
     pub fn deployment(&self, artifact: &Artifact) -> Option<&DeploymentSpec> {
         let row = self.live(RowKind::Model, artifact.model.as_str())?;
         self.deployment_of(&row.labels)
     }
 
-    /// Accelerator memory of an artifact in bytes.
+    /// Returns the accelerator memory of an artifact in bytes.
     pub fn memory(&self, artifact: &Artifact) -> Option<u64> {
         let model = &artifact.model;
         if let Some(adapter) = &artifact.adapter {
@@ -276,7 +276,8 @@
         }
     }
 
-    /// A back end's labels: the platform's, overlaid with the operators'.
+    /// Returns the labels of a back end: the labels from the platform, overridden
+    /// by the labels that operators set.
     pub fn back_end_labels(&self, id: &BackEndId, platform: &Labels) -> Labels {
         let mut labels = platform.clone();
         if let Some(row) = self.live(RowKind::BackEnd, id.as_str()) {
@@ -287,7 +288,7 @@
         labels
     }
 
-    /// The role that operators chose for an engine.
+    /// Returns the role that operators assigned to an engine.
     pub fn engine_role(&self, id: &BackEndId) -> EngineRole {
         self.live(RowKind::BackEnd, id.as_str())
             .and_then(|row| row.labels.get(EngineRole::LABEL))
@@ -295,7 +296,7 @@
             .unwrap_or_default()
     }
 
-    /// Names that callers may ask for: models and their adapters.
+    /// Returns the names that callers may request: models and their adapters.
     pub fn served_names(&self) -> Vec<String> {
         let models = self.live_rows(RowKind::Model);
         let adapters = self.live_rows(RowKind::Adapter);
@@ -306,14 +307,14 @@
             .collect()
     }
 
-    /// Deployed artifacts whose own rows changed above a revision; `None` if
-    /// rows changed that many artifacts may depend on.
+    /// Returns the deployed artifacts whose own rows changed above a revision, or
+    /// `None` if a changed row may affect other artifacts too.
     pub fn artifacts_changed_above(&self, above: Revision) -> Option<Vec<Artifact>> {
         let rows = self.rows_above(above);
-        let is_narrow = rows
+        let affects_own_artifacts_only = rows
             .iter()
             .all(|row| matches!(row.key.kind, RowKind::Adapter | RowKind::BackEnd));
-        is_narrow.then(|| {
+        affects_own_artifacts_only.then(|| {
             rows.iter()
                 .filter(|row| row.key.kind == RowKind::Adapter)
                 .filter_map(|row| self.resolve(&row.key.name).ok())
@@ -322,7 +323,7 @@
         })
     }
 
-    /// Base artifacts and adapters of deployed models, for standing decisions.
+    /// Returns the base artifacts and adapters of deployed models.
     pub fn deployed_artifacts(&self) -> impl Iterator<Item = Artifact> {
         let models = self.live_rows(RowKind::Model);
         let adapters = self.live_rows(RowKind::Adapter);
--- a/crates/coordination/src/configuration_check.rs
+++ b/crates/coordination/src/configuration_check.rs
@@ -1,4 +1,7 @@
-//! Checks an operator's change against the configuration before it is written.
+//! Validates a change that an operator requests before the change is written.
+//!
+//! The inputs are the configuration and the change. The output is the row to
+//! write, or the reason why the change is invalid.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +11,8 @@
 use crate::configuration::Configuration;
 use crate::event::{Change, ChangeError, Edit};
 
-/// The row that `change` writes at `revision`, if it is valid.
-pub fn edited_row(
+/// Returns the row that `change` writes at `revision`, if the change is valid.
+pub fn build_row(
     configuration: &Configuration,
     change: &Change,
     revision: u64,
@@ -25,9 +28,9 @@
             labels: labels.clone(),
             spec: Some(spec.clone()),
         },
-        Edit::Label(edits) => labelled_row(change, existing, edits, revision)?,
+        Edit::Label(edits) => build_labelled_row(change, existing, edits, revision)?,
         Edit::Delete => {
-            check_unused(configuration, &change.key)?;
+            check_unreferenced(configuration, &change.key)?;
             existing.ok_or_else(|| ChangeError::Missing(change.key.clone()))?;
             Row {
                 key: change.key.clone(),
@@ -53,7 +56,7 @@
     }
 }
 
-fn labelled_row(
+fn build_labelled_row(
     change: &Change,
     existing: Option<&Row>,
     edits: &BTreeMap<String, Option<String>>,
@@ -81,15 +84,15 @@
     Ok(row)
 }
 
-fn check_unused(configuration: &Configuration, key: &RowKey) -> Result<(), ChangeError> {
+fn check_unreferenced(configuration: &Configuration, key: &RowKey) -> Result<(), ChangeError> {
     if key.kind != RowKind::Model {
         return Ok(());
     }
-    let user = configuration
+    let referrer = configuration
         .live_rows(RowKind::Version)
         .chain(configuration.live_rows(RowKind::Adapter))
         .find(|row| model_of(row) == Some(key.name.as_ref()));
-    match user {
+    match referrer {
         Some(row) => Err(invalid(key, &format!("{} still refers to it", row.key))),
         None => Ok(()),
     }
@@ -131,32 +134,32 @@
         }
         Spec::Version(version) => {
             check_memory(key, version.memory.as_u64())?;
-            check_part(configuration, key, version.model.as_str(), '@')
+            check_name_and_model(configuration, key, version.model.as_str(), '@')
         }
         Spec::Adapter(adapter) => {
             check_memory(key, adapter.memory.as_u64())?;
-            check_part(configuration, key, adapter.model.as_str(), '+')
+            check_name_and_model(configuration, key, adapter.model.as_str(), '+')
         }
         Spec::BackEnd(_) => Ok(()),
     }
 }
 
 fn check_labels(row: &Row) -> Result<(), ChangeError> {
-    let is_word = |text: &str| {
+    let is_valid_text = |text: &str| {
         text.chars()
             .all(|character| character.is_alphanumeric() || "-_./".contains(character))
     };
-    let wrong = row
+    let invalid_label = row
         .labels
         .iter()
-        .find(|(key, value)| key.is_empty() || !is_word(key) || !is_word(value));
+        .find(|(key, value)| key.is_empty() || !is_valid_text(key) || !is_valid_text(value));
     if let Some(role) = row.labels.get(EngineRole::LABEL)
         && row.key.kind == RowKind::BackEnd
     {
         let checked: Result<EngineRole, _> = role.parse();
         checked.map_err(|error| invalid(&row.key, &error.to_string()))?;
     }
-    match wrong {
+    match invalid_label {
         Some((key, value)) => Err(invalid(
             &row.key,
             &format!("label `{key}={value}` has characters other than letters, digits and -_./"),
@@ -177,29 +180,29 @@
     if name.is_empty() || name.contains(is_reserved) {
         return Err(invalid(
             key,
-            "a name must not be empty or contain @ + / : or blanks",
+            "a name must not be empty or contain @ + / : or white space",
         ));
     }
     Ok(())
 }
 
-fn check_part(
+fn check_name_and_model(
     configuration: &Configuration,
     key: &RowKey,
     model: &str,
     separator: char,
 ) -> Result<(), ChangeError> {
-    let part = key
+    let name = key
         .name
         .strip_prefix(model)
         .and_then(|rest| rest.strip_prefix(separator));
-    let Some(part) = part else {
+    let Some(name) = name else {
         return Err(invalid(
             key,
             &format!("its name must be `{model}{separator}NAME`"),
         ));
     };
-    check_name(key, part)?;
+    check_name(key, name)?;
     let model_key = RowKey {
         kind: RowKind::Model,
         name: model.into(),
--- a/crates/coordination/src/configuration_writer.rs
+++ b/crates/coordination/src/configuration_writer.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::configuration::Configuration;
-use crate::configuration_check::edited_row;
+use crate::configuration_check::build_row;
 use crate::event::{Change, ChangeError, ChangeId};
 use crate::time::{Periodic, Timestamp};
 
@@ -308,7 +308,7 @@
         let mut output = Vec::new();
         while let Some(waiting) = self.waiting.front() {
             let revision = configuration.complete().next();
-            match edited_row(configuration, &waiting.change, revision.0) {
+            match build_row(configuration, &waiting.change, revision.0) {
                 Ok(row) => {
                     let step = self.write_step(waiting.id, row);
                     output.push(self.send(step));
--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -95,7 +95,7 @@
                     let output = self.front.lock().claimed(turn.now, request, verdict);
                     self.apply_front(turn, output);
                 }
-                RoundOutput::GroupSeen(group) => self.take_group(turn, group),
+                RoundOutput::GroupReported(group) => self.take_group(turn, group),
             }
         }
     }
--- a/crates/coordination/src/node/receive.rs
+++ b/crates/coordination/src/node/receive.rs
@@ -156,7 +156,7 @@
                     .claims
                     .lock()
                     .rounds
-                    .answered(from, epoch, request, answer);
+                    .handle_answer(from, epoch, request, answer);
                 self.apply_rounds(turn, output);
             }
             PeerMessage::ClaimEnded {
@@ -173,7 +173,7 @@
             }
             PeerMessage::ClaimSealed { next, records } => {
                 if let Some(groups) = self.placement.lock().claim_groups() {
-                    groups.sealed(from, next, records);
+                    groups.record_sealed(from, next, records);
                 }
             }
             PeerMessage::ClaimInstall {
@@ -194,7 +194,7 @@
             }
             PeerMessage::ClaimInstalled { epoch } => {
                 if let Some(groups) = self.placement.lock().claim_groups() {
-                    groups.installed(from, epoch);
+                    groups.record_installed(from, epoch);
                 }
                 self.tick_placement(turn);
             }
--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/spread.rs
@@ -98,7 +98,7 @@
     pub(super) fn take_group(&self, turn: &mut Turn, group: ClaimGroup) {
         let output = {
             let mut claims = self.claims.lock();
-            claims.member.put_in_force(group.epoch);
+            claims.member.activate_epoch(group.epoch);
             if claims.rounds.set_group(group) {
                 claims.rounds.tick(turn.now)
             } else {
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -143,7 +143,7 @@
     pub timeout: u64,
     /// After so long without a majority of the former group, a new one starts
     /// in quarantine.
-    pub patience: u64,
+    pub seal_timeout: u64,
 }
 
 impl Default for ClaimSettings {
@@ -152,7 +152,7 @@
             members: 3,
             retention: 600_000,
             timeout: 1_000,
-            patience: 10_000,
+            seal_timeout: 10_000,
         }
     }
 }
