--- a/crates/coordination/src/configuration.rs
+++ b/crates/coordination/src/configuration.rs
@@ -17,7 +17,7 @@
 use thiserror::Error;
 
 /// Version of a model that has no version row.
-pub const ONLY_VERSION: &str = "1";
+pub const IMPLICIT_VERSION: &str = "1";
 
 /// Why a requested model cannot be served.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
@@ -188,7 +188,7 @@
         name: &str,
     ) -> Result<VersionId, ResolveError> {
         let explicit = self.live(RowKind::Version, &format!("{model}@{version}"));
-        let is_implicit = version == ONLY_VERSION && self.versions(model).next().is_none();
+        let is_implicit = version == IMPLICIT_VERSION && self.versions(model).next().is_none();
         if explicit.is_some() || is_implicit {
             Ok(VersionId::from(version))
         } else {
@@ -235,7 +235,7 @@
             .max_by_key(|row| row.revision)
             .and_then(|row| row.key.name.split_once('@'))
             .map_or_else(
-                || VersionId::from(ONLY_VERSION),
+                || VersionId::from(IMPLICIT_VERSION),
                 |(_, version)| VersionId::from(version),
             )
     }
--- a/crates/coordination/src/configuration_writer.rs
+++ b/crates/coordination/src/configuration_writer.rs
@@ -1,10 +1,11 @@
 //! Writes operators' changes to the table service, one at a time.
 //!
-//! In: changes, table answers, time. Out: transactions, and a result for each
-//! change. Every write compares the head row, which carries the newest dense
-//! revision, so two writers can never both follow the same revision. A write
-//! whose answer was lost is sent again unchanged: if the first took effect,
-//! the second conflicts and reads this node's writer row, which names it.
+//! The inputs are changes, responses of the table and the time. The outputs are
+//! transactions, and a result for each change. Every write compares the head
+//! row, which holds the latest revision, so that two writers cannot both write
+//! the successor of one revision. A write whose response was lost is resent
+//! unchanged. If the first write took effect, the second one conflicts and
+//! reads this node's writer row, which contains the id of the first write.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -24,45 +25,46 @@
 const ROWS_PREFIX: &str = "configuration/rows/";
 const WRITERS_PREFIX: &str = "configuration/writers/";
 
-/// A change without a result after so long is answered as unknown.
-const CHANGE_TIMEOUT: u64 = 8_000;
-/// Pause before a transaction is sent again.
-const RESEND_PAUSE: u64 = 300;
-/// So long the other nodes get to bring this one up to date before it reads
-/// the whole configuration from the table.
-const CATCH_UP_PAUSE: u64 = 1_000;
-/// Between two looks at the head row by the node that has this duty.
-const HEAD_INTERVAL: u64 = 5_000;
+/// Time after which a change without a result is reported as unknown.
+const CHANGE_TIMEOUT_MS: u64 = 8_000;
+/// Delay before the next transaction after a failed one.
+const RESEND_DELAY_MS: u64 = 300;
+/// Time for which a node whose configuration is behind the head row waits for
+/// rows from other nodes before it reads the complete configuration from the
+/// table.
+const CATCH_UP_TIMEOUT_MS: u64 = 1_000;
+/// Interval at which the node that is responsible for the head row reads it.
+const HEAD_READ_INTERVAL_MS: u64 = 5_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Head {
     revision: u64,
 }
 
-/// Rows that became known from the table.
+/// Configuration rows of a range of revisions.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Learned {
-    /// All rows above this revision...
+pub struct ConfigurationDelta {
+    /// Revision below the range.
     pub above: Revision,
-    /// ...up to this one.
+    /// Last revision of the range.
     pub complete: Revision,
-    /// The rows.
+    /// All rows of the range.
     pub rows: Vec<Arc<Row>>,
 }
 
-/// What the writer wants done.
+/// Output of the writer, to be carried out by the node.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriterOutput {
-    /// Run a transaction.
+    /// Run the transaction with this number.
     Transact(u64, Transaction),
-    /// Merge and spread rows.
-    Learned(Learned),
-    /// Answer an operator.
+    /// Merge rows into the configuration and send them to other nodes.
+    Merge(ConfigurationDelta),
+    /// Return the result of a change to the operator.
     Answer(ChangeId, Result<Row, ChangeError>),
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct PendingChange {
     id: ChangeId,
     change: Change,
     expires: Timestamp,
@@ -89,82 +91,86 @@
     step: Step,
 }
 
-/// The writer of one node.
+/// Configuration writer of one node.
 #[derive(Debug)]
 pub struct ConfigurationWriter {
     node: NodeId,
     incarnation: Incarnation,
-    waiting: VecDeque<Waiting>,
+    pending: VecDeque<PendingChange>,
     in_flight: Option<InFlight>,
-    /// A write without an answer, which must be settled before anything else.
-    unsettled: Option<Step>,
+    /// Write without a response, which must be resent before any other step.
+    unconfirmed_write: Option<Step>,
+    /// Time before which no transaction is started.
     resume_at: Timestamp,
+    /// Time since which the configuration has been behind the head row.
     behind_since: Option<Timestamp>,
+    /// Table revision that last wrote the head row; 0 if the row does not exist.
     head_modified: u64,
-    numbers: u64,
-    looks: Periodic,
+    /// Number of the last transaction.
+    last_number: u64,
+    head_read_timer: Periodic,
 }
 
 impl ConfigurationWriter {
-    /// A writer without work.
+    /// Creates a writer without pending changes.
     pub fn new(node: NodeId, incarnation: Incarnation) -> Self {
         ConfigurationWriter {
             node,
             incarnation,
-            waiting: VecDeque::new(),
+            pending: VecDeque::new(),
             in_flight: None,
-            unsettled: None,
+            unconfirmed_write: None,
             resume_at: Timestamp(0),
             behind_since: None,
             head_modified: 0,
-            numbers: 0,
-            looks: Periodic::every(HEAD_INTERVAL),
+            last_number: 0,
+            head_read_timer: Periodic::every(HEAD_READ_INTERVAL_MS),
         }
     }
 
-    /// Takes in a change.
+    /// Adds a change to the queue.
     pub fn submit(&mut self, now: Timestamp, id: ChangeId, change: Change) {
-        self.waiting.push_back(Waiting {
+        self.pending.push_back(PendingChange {
             id,
             change,
-            expires: now + CHANGE_TIMEOUT,
+            expires: now + CHANGE_TIMEOUT_MS,
         });
     }
 
-    /// Whether changes wait for a result.
+    /// Whether no change waits for a result and no transaction is in flight.
     pub fn is_idle(&self) -> bool {
-        self.waiting.is_empty() && self.in_flight.is_none() && self.unsettled.is_none()
+        self.pending.is_empty() && self.in_flight.is_none() && self.unconfirmed_write.is_none()
     }
 
-    /// Goes on with whatever is next. `on_duty` says whether this node is the
-    /// one that looks at the head row for its cell.
-    pub fn step(
+    /// Starts the next transaction if none is in flight. `is_head_reader` tells
+    /// whether this node polls the head row for its cell.
+    pub fn tick(
         &mut self,
         now: Timestamp,
         configuration: &Configuration,
-        on_duty: bool,
+        is_head_reader: bool,
     ) -> Vec<WriterOutput> {
         let mut output = self.expire(now);
         if self.in_flight.is_some() || now < self.resume_at {
             return output;
         }
-        if let Some(step) = self.unsettled.take() {
+        if let Some(step) = self.unconfirmed_write.take() {
             output.push(self.send(step));
             return output;
         }
-        let look = on_duty && self.looks.due(now);
-        if look || !self.waiting.is_empty() {
-            let step = self.reading_step(now, configuration);
+        let is_read_due = is_head_reader && self.head_read_timer.due(now);
+        if is_read_due || !self.pending.is_empty() {
+            let step = self.next_read_step(now, configuration);
             output.push(self.send(step));
         }
         output
     }
 
-    fn reading_step(&mut self, now: Timestamp, configuration: &Configuration) -> Step {
-        let patient = self
+    fn next_read_step(&mut self, now: Timestamp, configuration: &Configuration) -> Step {
+        let may_wait = self
             .behind_since
-            .is_none_or(|since| now.since(since) < CATCH_UP_PAUSE);
-        if patient && configuration.complete() > Revision(0) {
+            .is_none_or(|since| now.since(since) < CATCH_UP_TIMEOUT_MS);
+        if may_wait && configuration.complete() > Revision(0) {
             Step::ReadHead
         } else {
             Step::ReadAll
@@ -172,33 +178,33 @@
     }
 
     fn expire(&mut self, now: Timestamp) -> Vec<WriterOutput> {
-        let (expired, kept): (VecDeque<Waiting>, VecDeque<Waiting>) = self
-            .waiting
+        let (expired, remaining): (VecDeque<PendingChange>, VecDeque<PendingChange>) = self
+            .pending
             .drain(..)
-            .partition(|waiting| waiting.expires <= now);
-        self.waiting = kept;
+            .partition(|pending| pending.expires <= now);
+        self.pending = remaining;
         expired
             .into_iter()
-            .map(|waiting| WriterOutput::Answer(waiting.id, Err(ChangeError::Unknown)))
+            .map(|pending| WriterOutput::Answer(pending.id, Err(ChangeError::Unknown)))
             .collect()
     }
 
     fn send(&mut self, step: Step) -> WriterOutput {
-        self.numbers += 1;
+        self.last_number += 1;
         let transaction = match &step {
-            Step::ReadHead => reading(&[HEAD_KEY]),
-            Step::ReadAll => reading(&[HEAD_KEY, ROWS_PREFIX]),
+            Step::ReadHead => read_transaction(&[HEAD_KEY]),
+            Step::ReadAll => read_transaction(&[HEAD_KEY, ROWS_PREFIX]),
             Step::Write(write) => write.transaction.clone(),
         };
         self.in_flight = Some(InFlight {
-            number: self.numbers,
+            number: self.last_number,
             step,
         });
-        WriterOutput::Transact(self.numbers, transaction)
+        WriterOutput::Transact(self.last_number, transaction)
     }
 
-    /// Takes in the table's answer to transaction `number`.
-    pub fn answered(
+    /// Handles the response of the table to transaction `number`.
+    pub fn handle_answer(
         &mut self,
         now: Timestamp,
         number: u64,
@@ -210,28 +216,28 @@
         };
         match (in_flight.step, answer) {
             (step @ Step::Write(_), TableAnswer::Unknown) => {
-                self.unsettled = Some(step);
-                self.resume_at = now + RESEND_PAUSE;
+                self.unconfirmed_write = Some(step);
+                self.resume_at = now + RESEND_DELAY_MS;
                 Vec::new()
             }
             (_, TableAnswer::Refused { .. } | TableAnswer::Unknown) => {
-                self.resume_at = now + RESEND_PAUSE;
+                self.resume_at = now + RESEND_DELAY_MS;
                 Vec::new()
             }
-            (Step::ReadHead, answer) => self.head_read(now, &answer.into_rows(), configuration),
-            (Step::ReadAll, answer) => self.all_read(&answer.into_rows(), configuration),
-            (Step::Write(write), TableAnswer::Committed { .. }) => self.written(*write),
+            (Step::ReadHead, answer) => self.handle_head(now, &answer.into_rows(), configuration),
+            (Step::ReadAll, answer) => self.handle_all_rows(&answer.into_rows(), configuration),
+            (Step::Write(write), TableAnswer::Committed { .. }) => self.complete_write(*write),
             (Step::Write(write), TableAnswer::Conflict { rows }) => {
-                if self.wrote(&rows, &write.id) {
-                    return self.written(*write);
+                if self.has_written(&rows, &write.id) {
+                    return self.complete_write(*write);
                 }
-                self.looks.hurry();
+                self.head_read_timer.hurry();
                 Vec::new()
             }
         }
     }
 
-    fn wrote(&self, rows: &[TableRow], id: &TransactionId) -> bool {
+    fn has_written(&self, rows: &[TableRow], id: &TransactionId) -> bool {
         let key = writer_key(&self.node);
         rows.iter()
             .find(|row| row.key == key)
@@ -239,50 +245,54 @@
             .is_some_and(|written| written == *id)
     }
 
-    fn written(&mut self, write: Write) -> Vec<WriterOutput> {
-        let learned = Learned {
+    fn complete_write(&mut self, write: Write) -> Vec<WriterOutput> {
+        let delta = ConfigurationDelta {
             above: Revision(write.row.revision - 1),
             complete: Revision(write.row.revision),
             rows: vec![Arc::new(write.row.clone())],
         };
-        let mut output = vec![WriterOutput::Learned(learned)];
+        let mut output = vec![WriterOutput::Merge(delta)];
         let position = self
-            .waiting
+            .pending
             .iter()
-            .position(|waiting| waiting.id == write.change);
-        if let Some(waiting) = position.and_then(|index| self.waiting.remove(index)) {
-            output.push(WriterOutput::Answer(waiting.id, Ok(write.row)));
+            .position(|pending| pending.id == write.change);
+        if let Some(pending) = position.and_then(|index| self.pending.remove(index)) {
+            output.push(WriterOutput::Answer(pending.id, Ok(write.row)));
         }
         output
     }
 
-    fn head_read(
+    fn handle_head(
         &mut self,
         now: Timestamp,
         rows: &[TableRow],
         configuration: &Configuration,
     ) -> Vec<WriterOutput> {
-        let head = self.note_head(rows);
+        let head = self.record_head(rows);
         if head > configuration.complete().0 {
             self.behind_since.get_or_insert(now);
-            self.resume_at = now + RESEND_PAUSE;
-            self.looks.hurry();
+            self.resume_at = now + RESEND_DELAY_MS;
+            self.head_read_timer.hurry();
             return Vec::new();
         }
         self.behind_since = None;
         if head < configuration.complete().0 {
-            // The table answered from before a write of which others told us.
-            self.resume_at = now + RESEND_PAUSE;
+            // The response is older than a write that other nodes have announced.
+            self.resume_at = now + RESEND_DELAY_MS;
             return Vec::new();
         }
-        self.write_next(configuration)
+        self.start_next_write(configuration)
     }
 
-    fn all_read(&mut self, rows: &[TableRow], configuration: &Configuration) -> Vec<WriterOutput> {
-        let head = self.note_head(rows);
+    fn handle_all_rows(
+        &mut self,
+        rows: &[TableRow],
+        configuration: &Configuration,
+    ) -> Vec<WriterOutput> {
+        let head = self.record_head(rows);
         self.behind_since = None;
         if head <= configuration.complete().0 {
-            return self.write_next(configuration);
+            return self.start_next_write(configuration);
         }
         let rows = rows
             .iter()
@@ -290,44 +300,44 @@
             .filter_map(|row| serde_json::from_str::<Row>(&row.value).ok())
             .map(Arc::new)
             .collect();
-        vec![WriterOutput::Learned(Learned {
+        vec![WriterOutput::Merge(ConfigurationDelta {
             above: Revision(0),
             complete: Revision(head),
             rows,
         })]
     }
 
-    fn note_head(&mut self, rows: &[TableRow]) -> u64 {
+    fn record_head(&mut self, rows: &[TableRow]) -> u64 {
         let row = rows.iter().find(|row| row.key == HEAD_KEY);
         self.head_modified = row.map_or(0, |row| row.modified);
         row.and_then(|row| serde_json::from_str::<Head>(&row.value).ok())
             .map_or(0, |head| head.revision)
     }
 
-    fn write_next(&mut self, configuration: &Configuration) -> Vec<WriterOutput> {
+    fn start_next_write(&mut self, configuration: &Configuration) -> Vec<WriterOutput> {
         let mut output = Vec::new();
-        while let Some(waiting) = self.waiting.front() {
+        while let Some(pending) = self.pending.front() {
             let revision = configuration.complete().next();
-            match build_row(configuration, &waiting.change, revision.0) {
+            match build_row(configuration, &pending.change, revision.0) {
                 Ok(row) => {
-                    let step = self.write_step(waiting.id, row);
+                    let step = self.build_write(pending.id, row);
                     output.push(self.send(step));
                     return output;
                 }
                 Err(error) => {
-                    output.push(WriterOutput::Answer(waiting.id, Err(error)));
-                    self.waiting.pop_front();
+                    output.push(WriterOutput::Answer(pending.id, Err(error)));
+                    self.pending.pop_front();
                 }
             }
         }
         output
     }
 
-    fn write_step(&self, change: ChangeId, row: Row) -> Step {
+    fn build_write(&self, change: ChangeId, row: Row) -> Step {
         let id = TransactionId {
             node: self.node.clone(),
             incarnation: self.incarnation,
-            number: self.numbers + 1,
+            number: self.last_number + 1,
         };
         let head = Head {
             revision: row.revision,
@@ -365,12 +375,12 @@
     }
 }
 
-/// JSON text of a row's value. Row values are plain data, which always encodes.
+/// Encodes a row's value as JSON. Row values are plain data, which always encodes.
 pub(crate) fn to_json(value: &impl Serialize) -> String {
     serde_json::to_string(value).expect("a row value encodes as JSON")
 }
 
-fn reading(keys: &[&str]) -> Transaction {
+fn read_transaction(keys: &[&str]) -> Transaction {
     Transaction {
         compares: Vec::new(),
         puts: Vec::new(),
@@ -378,7 +388,7 @@
     }
 }
 
-/// Labels to set and to remove, as commands give them: `key=value` and `key-`.
+/// Parses the labels to set (`key=value`) and to remove (`key-`) of a command.
 pub fn parse_label_edits(
     edits: &[String],
 ) -> Result<BTreeMap<String, Option<String>>, ChangeError> {
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -1,4 +1,5 @@
-//! What flows into a node's decision logic, and what flows out.
+//! Defines the inputs and outputs of a node's decision logic: the events that
+//! the host passes in, and the actions that the host carries out.
 
 use std::collections::BTreeMap;
 
@@ -13,178 +14,180 @@
 
 use crate::time::Timestamp;
 
-/// A request that reached a front.
+/// A request that arrived at a front.
 #[derive(Clone, Debug)]
 pub struct Arrival {
-    /// Its id, from [`crate::Node::new_request`].
+    /// Request id, from [`crate::Node::new_request`].
     pub request: RequestId,
-    /// What it waits for.
+    /// Queue in which the request waits.
     pub queue: QueueKey,
-    /// Its priority.
+    /// Priority of the request.
     pub class: PriorityClass,
-    /// When it must have been answered or refused.
+    /// Time by which the request must have been answered or refused.
     pub deadline: Timestamp,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// The caller's idempotency key with its scope, for requests that may not
-    /// be repeated.
+    /// Idempotency key from the caller, with its scope, for requests that may run
+    /// only once.
     pub key: Option<String>,
 }
 
-/// Names an operator's change until it is answered.
+/// Identifies an operator's change until its result has been returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ChangeId(pub u64);
 
 /// An operator's change of one configuration row.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// The row.
+    /// Key of the row.
     pub key: RowKey,
-    /// The revision that the row must have (0: must not exist), or `None` to
-    /// write over whatever is there.
+    /// Revision that the row must have; 0 if the row must not exist; `None` to
+    /// write without a check.
     pub expected: Option<u64>,
-    /// What to do with it.
+    /// Operation on the row.
     pub edit: Edit,
 }
 
-/// What to do with a row.
+/// Operation on a row.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Edit {
-    /// Write labels and content.
+    /// Write the labels and the content of the row.
     Apply {
         /// Labels.
         labels: Labels,
         /// Content.
         spec: Spec,
     },
-    /// Set or (with `None`) remove labels; the row must exist, but for back ends.
+    /// Set labels, or remove them (value `None`). The row must exist, except for
+    /// back ends.
     Label(BTreeMap<String, Option<String>>),
     /// Delete the row.
     Delete,
 }
 
-/// Why a change was not made.
+/// Reason why a change was not made.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// The row has another version than expected.
+    /// The current version of the row is not the expected one.
     #[error("{key} has version {current}, not {expected}")]
     Conflict {
         /// The row.
         key: RowKey,
-        /// The version that was expected.
+        /// Expected version.
         expected: u64,
-        /// The version it has; 0 if it does not exist.
+        /// Current version; 0 if the row does not exist.
         current: u64,
     },
-    /// There is no such row.
+    /// The row does not exist.
     #[error("{0} does not exist")]
     Missing(RowKey),
-    /// The content does not fit the row or the rest of the configuration.
+    /// The content is invalid for the row or for the rest of the configuration.
     #[error("{0}")]
     Invalid(String),
-    /// The table service did not answer in time: the change may yet take effect.
-    #[error("the table service gave no answer: the change may or may not take effect")]
+    /// The table service did not respond in time, so the change may still take
+    /// effect.
+    #[error("the table service did not respond: the change may or may not take effect")]
     Unknown,
     /// The node is stopping; nothing was written.
     #[error("this node is stopping; nothing was written")]
     Stopping,
 }
 
-/// Whose transaction an answer belongs to.
+/// Identifies the transaction to which a response belongs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum TransactionTag {
-    /// The placement holder's, by number.
+    /// Transaction of the placement holder, by number.
     Placement(u64),
-    /// The configuration writer's, by number.
+    /// Transaction of the configuration writer, by number.
     Configuration(u64),
 }
 
-/// Something that happened.
+/// Input of the decision logic.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed. The host sends one at least every 100 ms.
+    /// Time has passed. The host sends this event at least every 100 ms.
     Tick,
-    /// A message from another node.
+    /// A message from another node has arrived.
     Received {
         /// The sender.
         from: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// A request reached this front.
+    /// A request has arrived at this front.
     RequestArrived(Arrival),
-    /// The caller went away while its request waited.
+    /// The caller disconnected while its request waited.
     RequestAbandoned(RequestId),
-    /// An attempt that was dispatched ended.
+    /// A dispatched attempt has ended.
     AttemptEnded {
-        /// Request and try.
+        /// Request and attempt.
         id: TicketId,
-        /// How.
+        /// Outcome of the attempt.
         outcome: AttemptOutcome,
     },
-    /// The table service answered, or did not in time.
+    /// The table service has responded, or has not responded in time.
     TableAnswered {
-        /// Whose transaction.
+        /// Identifies the transaction.
         tag: TransactionTag,
-        /// The answer.
+        /// The response.
         answer: TableAnswer,
     },
-    /// The machine list was read.
+    /// The machine list has been read from the platform.
     MachineListRead(MachineList),
-    /// An engine answered an order, or did not.
+    /// An engine has responded to an order, or has failed to respond.
     OrderAnswered {
         /// The engine.
         back_end: BackEndId,
-        /// The order's fence.
+        /// Fencing token of the order.
         fence: Fence,
-        /// The order's sequence.
+        /// Sequence number of the order.
         sequence: Sequence,
         /// The result.
         result: OrderResult,
     },
-    /// An engine's short report was read, or it did not answer.
+    /// An engine's report has been read, or the engine has failed to respond.
     ReportRead {
         /// The engine.
         back_end: BackEndId,
-        /// The report.
+        /// The report; `None` if the engine did not respond.
         report: Option<EngineReport>,
     },
-    /// An operator wants a change.
+    /// An operator has requested a change.
     ChangeRequested {
-        /// Names it.
+        /// Identifies the change.
         id: ChangeId,
         /// The change.
         change: Change,
     },
-    /// The process shall stop once its work is done.
+    /// The node shall stop after it has finished its work.
     StopRequested,
 }
 
-/// Something the host shall do.
+/// Output of the decision logic, to be carried out by the host.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Send a message to another node; it may be lost.
+    /// Send a message to another node. The message may be lost.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: PeerMessage,
     },
-    /// Run a table transaction and bring the answer back.
+    /// Run a table transaction and return its response as an event.
     Transact {
-        /// Comes back with the answer.
+        /// Identifies the transaction in the response.
         tag: TransactionTag,
         /// The transaction.
         transaction: Transaction,
     },
-    /// Send an order to an engine and bring the result back.
+    /// Send an order to an engine and return the result as an event.
     Order {
         /// The engine.
         machine: Machine,
         /// The order.
         order: Order,
     },
-    /// Read an engine's short report and bring it back.
+    /// Read an engine's report and return it as an event.
     ReadReport {
         /// The engine.
         machine: Machine,
@@ -193,23 +196,23 @@
     ReadMachineList,
     /// Send a waiting request to a back end.
     Dispatch {
-        /// Request and try.
+        /// Request and attempt.
         id: TicketId,
         /// The back end.
         machine: Machine,
     },
-    /// Give a waiting request its final answer.
+    /// Refuse a waiting request.
     Refuse {
         /// The request.
         request: RequestId,
-        /// The answer.
+        /// Reason and details of the refusal.
         refusal: Refusal,
     },
-    /// Answer an operator.
+    /// Return the result of a change to the operator.
     AnswerChange {
-        /// Names the change.
+        /// Identifies the change.
         id: ChangeId,
-        /// The row as written, or why not.
+        /// The row as written, or the reason why the change was not made.
         result: Result<Row, ChangeError>,
     },
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,10 +1,12 @@
-//! Decision logic that can be embedded: who is alive, who owns which queue,
-//! where models are loaded, which request goes where, what may run once.
+//! Implements the decision logic of a node as an embeddable library: membership,
+//! ownership of queues, placement of models, routing of requests, and claims of
+//! requests that may run only once.
 //!
-//! [`Node`] is the whole of it: give it [`Event`]s with the time, carry out the
-//! [`Action`]s it returns. There is no socket, clock, thread or global inside;
-//! random numbers come from a seed. The gorsebank node, the replay tool and
-//! hollow nodes of scale runs all run this very object.
+//! [`Node`] is the entry point. The host passes [`Event`]s and the time to the
+//! node, and carries out the [`Action`]s that the node returns. The library uses
+//! no sockets, clocks, threads or global state, and derives random numbers from
+//! a seed. The gorsebank node, the replay tool and the simulated nodes of scale
+//! tests all use this type.
 
 pub mod claim_group;
 pub mod claim_member;
--- a/crates/coordination/src/machines.rs
+++ b/crates/coordination/src/machines.rs
@@ -1,12 +1,14 @@
-//! The machine list as this node knows it.
+//! Holds the machine list as this node knows it.
 //!
-//! Two nodes of a cell read the platform's list; the others get it from them.
+//! Two nodes of a cell read the list from the platform and send it to the other
+//! nodes. The input is a list that was read or received; the output is a new
+//! table if the list has changed.
 
 use std::collections::BTreeMap;
 
 use gorsebank_world::{BackEndId, Machine, MachineList, MachineState};
 
-/// Back ends by name, with the version of the list they came from.
+/// The back ends of the machine list, by name, and the version of the list.
 #[derive(Clone, Debug, Default)]
 pub struct MachineTable {
     version: u64,
@@ -16,64 +18,66 @@
 }
 
 impl MachineTable {
-    /// The version of the list; 0 before any was known.
+    /// Returns the version of the list; 0 before a list is known.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The list itself.
+    /// Returns the machine list.
     pub fn list(&self) -> &MachineList {
         &self.list
     }
 
-    /// A back end by name.
+    /// Returns the back end with the given name.
     pub fn back_end(&self, id: &BackEndId) -> Option<&Machine> {
         self.by_id.get(id)
     }
 
-    /// All back ends, by name.
+    /// Returns all back ends in order of their names.
     pub fn back_ends(&self) -> impl Iterator<Item = &Machine> {
         self.by_id.values()
     }
 
-    /// Back ends that are leaving, or were listed and are no more.
+    /// Returns the back ends that are draining, and those that the previous list
+    /// contained and this list does not.
     pub fn unusable(&self) -> &[BackEndId] {
         &self.unusable
     }
 
-    /// Takes in a list as read; gives the table with the next version if it
-    /// differs from this one's.
-    pub fn read(&self, list: MachineList) -> Option<MachineTable> {
+    /// Returns a table of the next version for a list that was read from the
+    /// platform, or `None` if the list is unchanged.
+    pub fn with_read_list(&self, list: MachineList) -> Option<MachineTable> {
         if list == self.list && self.version > 0 {
             return None;
         }
-        Some(self.replaced(self.version + 1, list))
+        Some(self.with_list(self.version + 1, list))
     }
 
-    /// Takes in a list as another node sent it, if it is newer.
-    pub fn received(&self, version: u64, list: MachineList) -> Option<MachineTable> {
+    /// Returns a table for a list that another node sent, or `None` if the list is
+    /// not newer.
+    pub fn with_received_list(&self, version: u64, list: MachineList) -> Option<MachineTable> {
         if version <= self.version {
             return None;
         }
-        Some(self.replaced(version, list))
+        Some(self.with_list(version, list))
     }
 
-    fn replaced(&self, version: u64, list: MachineList) -> MachineTable {
+    fn with_list(&self, version: u64, list: MachineList) -> MachineTable {
         let by_id: BTreeMap<BackEndId, Machine> = list
             .back_ends
             .iter()
             .map(|machine| (machine.id.clone(), machine.clone()))
             .collect();
-        let leaving = by_id
+        let draining = by_id
             .values()
             .filter(|machine| machine.state == MachineState::Leaving)
             .map(|machine| machine.id.clone());
-        let gone = self
+        let removed = self
             .by_id
             .keys()
             .filter(|id| !by_id.contains_key(*id))
             .cloned();
-        let unusable = leaving.chain(gone).collect();
+        let unusable = draining.chain(removed).collect();
         MachineTable {
             version,
             list,
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -1,10 +1,12 @@
-//! Who is alive: heartbeats beside the platform's late machine list.
+//! Detects which nodes are alive, by heartbeats, because the machine list of the
+//! platform is updated late.
 //!
-//! In: heartbeats, the machine list, time. Out: heartbeats to send and a
-//! [`View`] of the live nodes. The machine list adds and removes candidates;
-//! heartbeats alone decide who is alive. Two nodes may see different views for
-//! a moment: that may cost a cold start or a retry, never a promise, since
-//! promises rest on fences, reservations and claims.
+//! The inputs are heartbeats, the machine list and the time. The outputs are
+//! heartbeats to send and a [`View`] of the live nodes. The machine list adds
+//! and removes candidates; only heartbeats decide whether a node is alive. Two
+//! nodes may have different views for a short time. Different views may cause a
+//! cold start or a retry, but violate no guarantee, because the guarantees
+//! depend on fencing tokens, reservations and claims.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,45 +18,46 @@
 use crate::settings::MembershipSettings;
 use crate::time::{Periodic, Timestamp};
 
-/// Who this node is.
+/// Identity of a node.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// Its name.
+    /// Name of the node.
     pub node: NodeId,
-    /// Its life; greater than that of any former life of the same name.
+    /// Incarnation of the node; greater than every previous incarnation under the
+    /// same name.
     pub incarnation: Incarnation,
-    /// Its cell.
+    /// Cell of the node.
     pub cell: CellId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
 }
 
-/// A live node as others see it.
+/// A live node as other nodes know it.
 #[derive(Clone, Debug)]
 pub struct LiveNode {
-    /// Its life.
+    /// Incarnation of the node.
     pub incarnation: Incarnation,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// Whether it takes new work.
+    /// Whether the node accepts new work.
     pub state: NodeState,
 }
 
 /// The live nodes of the cell at one moment, this node included.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Grows with every change.
+    /// Version number, which increases with every change.
     pub version: u64,
-    /// Live nodes, leaving ones included.
+    /// Live nodes, including draining ones.
     pub nodes: BTreeMap<NodeId, LiveNode>,
-    /// The highest fence known in the cell.
+    /// Highest fencing token known in the cell.
     pub fence: Fence,
-    /// The live node that holds the placement lease under that fence.
+    /// Live node that holds the placement lease under this fencing token.
     pub holder: Option<NodeId>,
 }
 
 impl View {
-    /// Nodes that take new work.
+    /// Returns the nodes that accept new work.
     pub fn active(&self) -> impl Iterator<Item = &NodeId> {
         self.nodes
             .iter()
@@ -62,20 +65,20 @@
             .map(|(id, _)| id)
     }
 
-    /// The node that has `duty`.
-    pub fn owner(&self, duty: &str) -> Option<&NodeId> {
-        rendezvous::first(duty, self.active())
+    /// Returns the node that is responsible for the key `key`.
+    pub fn owner(&self, key: &str) -> Option<&NodeId> {
+        rendezvous::first(key, self.active())
     }
 
-    /// Whether `node` is one of the first `count` for `duty`.
-    pub fn is_among_first(&self, duty: &str, node: &NodeId, count: usize) -> bool {
-        rendezvous::ranked(duty, self.active())
+    /// Whether `node` is one of the `count` highest ranked nodes for the key `key`.
+    pub fn is_among_first(&self, key: &str, node: &NodeId, count: usize) -> bool {
+        rendezvous::ranked(key, self.active())
             .into_iter()
             .take(count)
             .any(|candidate| candidate == node)
     }
 
-    /// Whether the node lives in that life.
+    /// Whether the node is alive in the given incarnation.
     pub fn is_alive(&self, node: &NodeId, incarnation: Incarnation) -> bool {
         self.nodes
             .get(node)
@@ -86,32 +89,32 @@
 #[derive(Clone, Debug)]
 struct Peer {
     heartbeat: Heartbeat,
-    last_heard: Timestamp,
+    last_received: Timestamp,
 }
 
-/// What this node says of itself in its heartbeats beside its identity.
+/// State of this node that its heartbeats carry in addition to its identity.
 #[derive(Clone, Copy, Debug)]
-pub struct Standing {
-    /// Configuration revision it is complete to.
+pub struct HeartbeatState {
+    /// Configuration revision up to which this node knows all rows.
     pub revision: Revision,
-    /// The fence it holds the lease under, if it does.
-    pub held: Option<Fence>,
-    /// Claim epoch it knows of.
+    /// Fencing token under which this node holds the lease, if it does.
+    pub held_fence: Option<Fence>,
+    /// Claim epoch known to this node.
     pub epoch: Epoch,
-    /// Machine list version it has.
+    /// Version of the machine list on this node.
     pub machines: u64,
 }
 
-/// What a heartbeat brought to light.
+/// Effect of a received heartbeat.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Observation {
-    /// The set of live nodes, their states or the holder changed.
+    /// Whether the set of live nodes, their states or the holder changed.
     pub view_changed: bool,
-    /// A node was heard that was not alive before.
+    /// Whether the sender was not alive before, or has a new incarnation.
     pub joined: bool,
 }
 
-/// The table of live nodes.
+/// Failure detector of one node: candidates, received heartbeats and the view.
 #[derive(Debug)]
 pub struct Membership {
     identity: Identity,
@@ -119,47 +122,47 @@
     state: NodeState,
     candidates: BTreeMap<NodeId, NodeEntry>,
     peers: BTreeMap<NodeId, Peer>,
-    heartbeats: Periodic,
+    heartbeat_timer: Periodic,
     rounds: u64,
-    held: Option<Fence>,
+    held_fence: Option<Fence>,
     view: Arc<View>,
 }
 
 impl Membership {
-    /// A node that knows only itself.
+    /// Creates the state of a node that knows only itself.
     pub fn new(identity: Identity, settings: MembershipSettings) -> Self {
         let mut membership = Membership {
-            heartbeats: Periodic::every(settings.heartbeat_interval),
+            heartbeat_timer: Periodic::every(settings.heartbeat_interval),
             identity,
             settings,
             state: NodeState::Active,
             candidates: BTreeMap::new(),
             peers: BTreeMap::new(),
             rounds: 0,
-            held: None,
+            held_fence: None,
             view: Arc::default(),
         };
-        membership.rebuild();
+        membership.rebuild_view();
         membership
     }
 
-    /// The live nodes at this moment.
+    /// Returns the current view of the live nodes.
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.view)
     }
 
-    /// Whether this node takes new work.
+    /// Returns whether this node accepts new work.
     pub fn state(&self) -> NodeState {
         self.state
     }
 
-    /// Where a node listens for others.
+    /// Returns the entry of a node in the machine list, with its address.
     pub fn entry(&self, node: &NodeId) -> Option<&NodeEntry> {
         self.candidates.get(node)
     }
 
-    /// Takes over the nodes of the machine list. A node that is listed no more
-    /// gets no heartbeats once it is silent.
+    /// Sets the candidates to the nodes of the machine list. A node that is no
+    /// longer listed stays a candidate until it is removed as silent.
     pub fn set_candidates(&mut self, entries: &[NodeEntry]) {
         let mut candidates: BTreeMap<NodeId, NodeEntry> = entries
             .iter()
@@ -174,45 +177,46 @@
         self.candidates = candidates;
     }
 
-    /// Announces that this node finishes its work and leaves.
-    pub fn leave(&mut self) {
+    /// Announces that this node is draining and accepts no new work.
+    pub fn start_draining(&mut self) {
         self.state = NodeState::Leaving;
-        self.heartbeats.hurry();
-        self.rebuild();
+        self.heartbeat_timer.hurry();
+        self.rebuild_view();
     }
 
-    /// Notes whether this node holds the lease.
-    pub fn set_held(&mut self, held: Option<Fence>) {
-        if self.held != held {
-            self.held = held;
-            self.heartbeats.hurry();
-            self.rebuild();
+    /// Sets the fencing token under which this node holds the lease, if it does.
+    pub fn set_held_fence(&mut self, held_fence: Option<Fence>) {
+        if self.held_fence != held_fence {
+            self.held_fence = held_fence;
+            self.heartbeat_timer.hurry();
+            self.rebuild_view();
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Handles a heartbeat of another node.
     pub fn observe(&mut self, now: Timestamp, from: &NodeId, heartbeat: Heartbeat) -> Observation {
         if *from == self.identity.node {
             return Observation::default();
         }
-        let former = self.peers.get(from);
-        if former.is_some_and(|peer| peer.heartbeat.incarnation > heartbeat.incarnation) {
+        let previous = self.peers.get(from);
+        if previous.is_some_and(|peer| peer.heartbeat.incarnation > heartbeat.incarnation) {
             return Observation::default();
         }
-        let joined = former.is_none_or(|peer| peer.heartbeat.incarnation != heartbeat.incarnation);
+        let joined =
+            previous.is_none_or(|peer| peer.heartbeat.incarnation != heartbeat.incarnation);
         let view_changed = joined
-            || former.is_some_and(|peer| {
+            || previous.is_some_and(|peer| {
                 peer.heartbeat.state != heartbeat.state
                     || peer.heartbeat.fence != heartbeat.fence
                     || peer.heartbeat.holder != heartbeat.holder
             });
         let peer = Peer {
             heartbeat,
-            last_heard: now,
+            last_received: now,
         };
         self.peers.insert(from.clone(), peer);
         if view_changed {
-            self.rebuild();
+            self.rebuild_view();
         }
         Observation {
             view_changed,
@@ -220,27 +224,28 @@
         }
     }
 
-    /// Forgets nodes that were silent for too long; says whether any were.
+    /// Removes nodes whose last heartbeat is older than the failure timeout.
+    /// Returns whether a node was removed.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let timeout = self.settings.failure_timeout;
         let before = self.peers.len();
         self.peers
-            .retain(|_, peer| now.since(peer.last_heard) < timeout);
+            .retain(|_, peer| now.since(peer.last_received) < timeout);
         let changed = self.peers.len() != before;
         if changed {
-            self.rebuild();
+            self.rebuild_view();
         }
         changed
     }
 
-    /// The heartbeat to send now and its receivers: every candidate of the cell,
-    /// and a few of other cells in turn.
+    /// Returns the heartbeat to send now, if one is due, and its receivers: every
+    /// candidate of the cell, and a few candidates of other cells by round robin.
     pub fn heartbeat(
         &mut self,
         now: Timestamp,
-        standing: Standing,
+        state: HeartbeatState,
     ) -> Option<(Heartbeat, Vec<NodeId>)> {
-        if !self.heartbeats.due(now) {
+        if !self.heartbeat_timer.due(now) {
             return None;
         }
         self.rounds += 1;
@@ -249,79 +254,87 @@
             cell: self.identity.cell.clone(),
             zone: self.identity.zone.clone(),
             state: self.state,
-            revision: standing.revision,
+            revision: state.revision,
             fence: self.view.fence,
-            holder: standing.held.is_some(),
-            epoch: standing.epoch,
-            machines: standing.machines,
+            holder: state.held_fence.is_some(),
+            epoch: state.epoch,
+            machines: state.machines,
         };
         Some((heartbeat, self.receivers()))
     }
 
-    /// Other nodes of the cell that are candidates or were heard.
-    pub fn near(&self) -> Vec<NodeId> {
+    /// Returns the other nodes of the cell that are candidates or alive.
+    pub fn cell_peers(&self) -> Vec<NodeId> {
         let candidates = self
             .candidates
             .values()
             .filter(|entry| entry.cell == self.identity.cell)
             .map(|entry| entry.id.clone());
-        let heard = self
+        let live = self
             .view
             .nodes
             .keys()
             .filter(|node| **node != self.identity.node)
             .cloned();
-        let mut near: Vec<NodeId> = candidates.chain(heard).collect();
-        near.sort();
-        near.dedup();
-        near
+        let mut peers: Vec<NodeId> = candidates.chain(live).collect();
+        peers.sort();
+        peers.dedup();
+        peers
     }
 
-    /// Who is told of configuration rows that became known here: the whole
-    /// cell, unless a node of the cell told us; and, if they were written
-    /// here, one node of every other cell.
-    pub fn spread(&self, from: Option<&NodeId>, complete: Revision) -> Vec<NodeId> {
-        let from_near = from.is_some_and(|node| self.view.nodes.contains_key(node));
-        let mut receivers = if from_near { Vec::new() } else { self.near() };
+    /// Returns the nodes to which newly known configuration rows are sent: all
+    /// other nodes of the cell, unless the rows came from a node of the cell; and
+    /// one node of every other cell if this node wrote the rows (`from` is `None`).
+    pub fn configuration_receivers(
+        &self,
+        from: Option<&NodeId>,
+        complete: Revision,
+    ) -> Vec<NodeId> {
+        let is_from_cell = from.is_some_and(|node| self.view.nodes.contains_key(node));
+        let mut receivers = if is_from_cell {
+            Vec::new()
+        } else {
+            self.cell_peers()
+        };
         if from.is_none() {
-            receivers.extend(self.gateways(complete));
+            receivers.extend(self.remote_cell_receivers(complete));
         }
         receivers
     }
 
-    /// One node of every other cell, another for each revision.
-    fn gateways(&self, complete: Revision) -> Vec<NodeId> {
+    /// Returns one node of every other cell, which depends on the revision.
+    fn remote_cell_receivers(&self, complete: Revision) -> Vec<NodeId> {
         let mut cells: BTreeMap<&CellId, Vec<&NodeId>> = BTreeMap::new();
         for entry in self.candidates.values() {
             if entry.cell != self.identity.cell {
                 cells.entry(&entry.cell).or_default().push(&entry.id);
             }
         }
-        let duty = format!("gateway/{complete}");
+        let key = format!("gateway/{complete}");
         cells
             .into_values()
-            .filter_map(|nodes| rendezvous::first(&duty, nodes).cloned())
+            .filter_map(|nodes| rendezvous::first(&key, nodes).cloned())
             .collect()
     }
 
     fn receivers(&self) -> Vec<NodeId> {
-        let (near, far): (Vec<&NodeEntry>, Vec<&NodeEntry>) = self
+        let (local, remote): (Vec<&NodeEntry>, Vec<&NodeEntry>) = self
             .candidates
             .values()
             .partition(|entry| entry.cell == self.identity.cell);
-        let mut receivers: Vec<NodeId> = near.iter().map(|entry| entry.id.clone()).collect();
-        if !far.is_empty() {
+        let mut receivers: Vec<NodeId> = local.iter().map(|entry| entry.id.clone()).collect();
+        if !remote.is_empty() {
             let start = rendezvous::weight("remote", &self.identity.node)
                 .wrapping_add(self.rounds * self.settings.remote_fanout as u64);
-            for step in 0..self.settings.remote_fanout.min(far.len()) as u64 {
-                let index = (start.wrapping_add(step) % far.len() as u64) as usize;
-                receivers.push(far[index].id.clone());
+            for offset in 0..self.settings.remote_fanout.min(remote.len()) as u64 {
+                let index = (start.wrapping_add(offset) % remote.len() as u64) as usize;
+                receivers.push(remote[index].id.clone());
             }
         }
         receivers
     }
 
-    fn rebuild(&mut self) {
+    fn rebuild_view(&mut self) {
         let mut view = View {
             version: self.view.version + 1,
             ..View::default()
@@ -332,12 +345,12 @@
             state: self.state,
         };
         view.nodes.insert(self.identity.node.clone(), own);
-        view.fence = self.view.fence.max(self.held.unwrap_or_default());
-        let near = self
+        view.fence = self.view.fence.max(self.held_fence.unwrap_or_default());
+        let cell_peers = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.heartbeat.cell == self.identity.cell);
-        for (id, peer) in near {
+        for (id, peer) in cell_peers {
             let live = LiveNode {
                 incarnation: peer.heartbeat.incarnation,
                 zone: peer.heartbeat.zone.clone(),
@@ -346,12 +359,12 @@
             view.nodes.insert(id.clone(), live);
             view.fence = view.fence.max(peer.heartbeat.fence);
         }
-        view.holder = self.holder_under(view.fence);
+        view.holder = self.find_holder(view.fence);
         self.view = Arc::new(view);
     }
 
-    fn holder_under(&self, fence: Fence) -> Option<NodeId> {
-        if self.held == Some(fence) {
+    fn find_holder(&self, fence: Fence) -> Option<NodeId> {
+        if self.held_fence == Some(fence) {
             return Some(self.identity.node.clone());
         }
         self.peers
--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -1,5 +1,6 @@
-//! Carries out what the parts of a node want done: messages, actions of the
-//! host, and words from one part to another.
+//! Applies the outputs of a node's components. The inputs are the outputs of the
+//! queues, the front, the claims, the placement and the writer. The results are
+//! messages to nodes, actions for the host, and calls of other components.
 
 use gorsebank_contract::{AttemptOutcome, PeerMessage, TicketId};
 use gorsebank_world::{BackEndId, NodeId};
@@ -9,55 +10,55 @@
 use crate::event::{Action, TransactionTag};
 use crate::front::FrontOutput;
 use crate::membership::View;
-use crate::node::{Node, Turn};
+use crate::node::{EventContext, Node};
 use crate::placement::PlacementOutput;
 use crate::queue::Decision;
 use crate::queues::Demand;
 
 impl Node {
-    pub(super) fn apply_decisions(&self, turn: &mut Turn, decisions: Vec<Decision>) {
+    pub(super) fn apply_decisions(&self, context: &mut EventContext, decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Grant(front, grant) => {
-                    self.send(turn, front, PeerMessage::Grants(vec![grant]));
+                    self.send(context, front, PeerMessage::Grants(vec![grant]));
                 }
                 Decision::Recall(front, queue) => {
-                    self.send(turn, front, PeerMessage::Recall(queue));
+                    self.send(context, front, PeerMessage::Recall(queue));
                 }
                 Decision::Refuse(front, id, refusal) => {
-                    self.send(turn, front, PeerMessage::Refused { id, refusal });
+                    self.send(context, front, PeerMessage::Refused { id, refusal });
                 }
             }
         }
     }
 
-    pub(super) fn apply_front(&self, turn: &mut Turn, outputs: Vec<FrontOutput>) {
+    pub(super) fn apply_front(&self, context: &mut EventContext, outputs: Vec<FrontOutput>) {
         for output in outputs {
             match output {
                 FrontOutput::Offer(owner, ticket) => {
-                    self.send(turn, owner, PeerMessage::Tickets(vec![ticket]));
+                    self.send(context, owner, PeerMessage::Tickets(vec![ticket]));
                 }
                 FrontOutput::Cancel(owner, queue, id) => {
-                    self.send(turn, owner, PeerMessage::Cancel { queue, id });
+                    self.send(context, owner, PeerMessage::Cancel { queue, id });
                 }
                 FrontOutput::Claim(request, key) => {
-                    let output = self.claims.lock().rounds.start(turn.now, request, key);
-                    self.apply_rounds(turn, output);
+                    let output = self.claims.lock().rounds.start(context.now, request, key);
+                    self.apply_rounds(context, output);
                 }
                 FrontOutput::WithdrawClaim(request, key) => {
                     let output = self.claims.lock().rounds.end(request, &key, true);
-                    self.apply_rounds(turn, output);
+                    self.apply_rounds(context, output);
                 }
                 FrontOutput::CompleteClaim(request, key) => {
                     let output = self.claims.lock().rounds.end(request, &key, false);
-                    self.apply_rounds(turn, output);
+                    self.apply_rounds(context, output);
                 }
-                FrontOutput::Dispatch(id, back_end) => self.dispatch_to(turn, id, &back_end),
+                FrontOutput::Dispatch(id, back_end) => self.dispatch_to(context, id, &back_end),
                 FrontOutput::Refuse(request, refusal) => {
-                    turn.actions.push(Action::Refuse { request, refusal });
+                    context.actions.push(Action::Refuse { request, refusal });
                 }
                 FrontOutput::Account(owner, held) => {
-                    self.send(turn, owner, PeerMessage::Held(held));
+                    self.send(context, owner, PeerMessage::Held(held));
                 }
                 FrontOutput::Release(owner, release) => {
                     let message = PeerMessage::Released {
@@ -67,82 +68,96 @@
                         service_time: release.service_time,
                         troubled: release.troubled,
                     };
-                    self.send(turn, owner, message);
+                    self.send(context, owner, message);
                 }
             }
         }
     }
 
-    pub(super) fn dispatch_to(&self, turn: &mut Turn, id: TicketId, back_end: &BackEndId) {
+    pub(super) fn dispatch_to(
+        &self,
+        context: &mut EventContext,
+        id: TicketId,
+        back_end: &BackEndId,
+    ) {
         match self.machines().back_end(back_end) {
-            Some(machine) => turn.actions.push(Action::Dispatch {
+            Some(machine) => context.actions.push(Action::Dispatch {
                 id,
                 machine: machine.clone(),
             }),
             None => {
                 let outcome = AttemptOutcome::NotSent;
-                let output = self.front.lock().attempt_ended(turn.now, id, outcome);
-                self.apply_front(turn, output);
+                let output = self.front.lock().attempt_ended(context.now, id, outcome);
+                self.apply_front(context, output);
             }
         }
     }
 
-    pub(super) fn apply_rounds(&self, turn: &mut Turn, outputs: Vec<RoundOutput>) {
+    pub(super) fn apply_rounds(&self, context: &mut EventContext, outputs: Vec<RoundOutput>) {
         for output in outputs {
             match output {
-                RoundOutput::Send(to, message) => self.send(turn, to, message),
-                RoundOutput::Decided(request, verdict) => {
-                    let output = self.front.lock().claimed(turn.now, request, verdict);
-                    self.apply_front(turn, output);
+                RoundOutput::Send(to, message) => self.send(context, to, message),
+                RoundOutput::Decided(request, outcome) => {
+                    let output = self.front.lock().claimed(context.now, request, outcome);
+                    self.apply_front(context, output);
                 }
-                RoundOutput::GroupReported(group) => self.take_group(turn, group),
+                RoundOutput::GroupReported(group) => self.apply_claim_group(context, group),
             }
         }
     }
 
-    pub(super) fn apply_placement(&self, turn: &mut Turn, outputs: Vec<PlacementOutput>) {
+    pub(super) fn apply_placement(
+        &self,
+        context: &mut EventContext,
+        outputs: Vec<PlacementOutput>,
+    ) {
         for output in outputs {
             match output {
                 PlacementOutput::Transact(number, transaction) => {
-                    turn.actions.push(Action::Transact {
+                    context.actions.push(Action::Transact {
                         tag: TransactionTag::Placement(number),
                         transaction,
                     });
                 }
                 PlacementOutput::Order(machine, order) => {
-                    turn.actions.push(Action::Order { machine, order });
+                    context.actions.push(Action::Order { machine, order });
                 }
-                PlacementOutput::Send(to, message) => self.send(turn, to, message),
+                PlacementOutput::Send(to, message) => self.send(context, to, message),
                 PlacementOutput::GroupInForce(group) => {
-                    let nodes = self.membership.lock().near();
+                    let nodes = self.membership.lock().cell_peers();
                     for to in nodes {
                         let message = PeerMessage::ClaimGroupChanged(group.clone());
-                        self.send(turn, to, message);
+                        self.send(context, to, message);
                     }
-                    self.take_group(turn, group);
+                    self.apply_claim_group(context, group);
                 }
             }
         }
     }
 
-    pub(super) fn apply_writer(&self, turn: &mut Turn, outputs: Vec<WriterOutput>) {
+    pub(super) fn apply_writer(&self, context: &mut EventContext, outputs: Vec<WriterOutput>) {
         for output in outputs {
             match output {
                 WriterOutput::Transact(number, transaction) => {
-                    turn.actions.push(Action::Transact {
+                    context.actions.push(Action::Transact {
                         tag: TransactionTag::Configuration(number),
                         transaction,
                     });
                 }
-                WriterOutput::Learned(learned) => self.learn(turn, learned, None),
+                WriterOutput::Merge(delta) => self.merge_configuration(context, delta, None),
                 WriterOutput::Answer(id, result) => {
-                    turn.actions.push(Action::AnswerChange { id, result });
+                    context.actions.push(Action::AnswerChange { id, result });
                 }
             }
         }
     }
 
-    pub(super) fn send_demands(&self, turn: &mut Turn, view: &View, demands: Vec<Demand>) {
+    pub(super) fn send_demands(
+        &self,
+        context: &mut EventContext,
+        view: &View,
+        demands: Vec<Demand>,
+    ) {
         let Some(holder) = &view.holder else {
             return;
         };
@@ -154,15 +169,15 @@
                 remaining: demand.remaining,
                 known: demand.known,
             };
-            self.send(turn, holder.clone(), message);
+            self.send(context, holder.clone(), message);
         }
     }
 
-    pub(super) fn send(&self, turn: &mut Turn, to: NodeId, message: PeerMessage) {
+    pub(super) fn send(&self, context: &mut EventContext, to: NodeId, message: PeerMessage) {
         if to == self.identity.node {
-            turn.own.push_back(message);
+            context.local_messages.push_back(message);
         } else {
-            turn.actions.push(Action::Send { to, message });
+            context.actions.push(Action::Send { to, message });
         }
     }
 }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,12 +1,15 @@
-//! A node's decision logic as a whole: shared tables and the paths between.
+//! Combines the components of a node's decision logic and routes events and
+//! outputs between them.
 //!
-//! In: [`Event`]s from any worker. Out: [`Action`]s for the host.
+//! The inputs are [`Event`]s from any worker thread. The outputs are [`Action`]s
+//! for the host.
 //!
-//! Lock order. Snapshots (`machines`, then `configuration` for reading) are
-//! taken before any other lock, and `configuration` for writing only with no
-//! other lock held. Of `membership`, `placement`, `queues`, `front`, `claims`
-//! `watcher` and `writer` a worker holds one at a time; what one decides for
-//! another is passed on as a value after its lock is free.
+//! Lock order: `machines`, and after it `configuration` for reading, are locked
+//! before any other lock. `configuration` is locked for writing only while no
+//! other lock is held. Of `membership`, `placement`, `queues`, `front`,
+//! `claims`, `watcher` and `writer`, a worker locks only one at a time. The
+//! output of one component for another is passed on as a value after the lock
+//! of the first component has been released.
 
 mod apply;
 mod receive;
@@ -29,43 +32,44 @@
 use crate::event::{Action, ChangeError, Event, TransactionTag};
 use crate::front::{Front, FrontCounts};
 use crate::machines::MachineTable;
-use crate::membership::{Identity, Membership, Standing, View};
+use crate::membership::{HeartbeatState, Identity, Membership, View};
 use crate::placement::Placement;
 use crate::queues::Queues;
 use crate::settings::CoordinationSettings;
 use crate::time::{Periodic, Timestamp};
 use crate::watcher::Watcher;
 
-/// Nodes of a cell that read the platform's machine list.
+/// Number of nodes of a cell that read the platform's machine list.
 const MACHINE_LIST_READERS: usize = 2;
-/// Duty names in rendezvous hashing.
-const MACHINE_LIST_DUTY: &str = "machine-list";
-const CONFIGURATION_DUTY: &str = "configuration";
+/// Rendezvous key of the nodes that read the machine list.
+const MACHINE_LIST_KEY: &str = "machine-list";
+/// Rendezvous key of the node that polls the head row of the configuration.
+const CONFIGURATION_KEY: &str = "configuration";
 
-/// A node's figures, for operators and metrics.
+/// Status of a node, for operators and metrics.
 #[derive(Clone, Debug)]
 pub struct NodeStatus {
-    /// The live nodes of the cell.
+    /// Live nodes of the cell.
     pub view: Arc<View>,
-    /// The configuration revision that is in force here.
+    /// Revision of the configuration on this node.
     pub revision: Revision,
     /// Whether the machine list is known.
     pub knows_machines: bool,
     /// Whether this node holds the placement lease.
     pub is_holder: bool,
-    /// Requests at this front without a final answer.
+    /// Number of requests at this front without a final response.
     pub pending: usize,
-    /// Tickets in queues that this node owns.
+    /// Number of tickets in the queues that this node owns.
     pub waiting: usize,
-    /// Queues that this node keeps.
+    /// Number of queues on this node.
     pub queues: usize,
-    /// Claims recorded here.
+    /// Number of claims recorded by this node.
     pub claims: usize,
-    /// The claim epoch that is known here.
+    /// Claim epoch known to this node.
     pub claim_epoch: Epoch,
-    /// Loads ordered by this node.
+    /// Number of loads ordered by this node.
     pub loads_ordered: u64,
-    /// What became of requests.
+    /// Counts of request outcomes.
     pub front: FrontCounts,
 }
 
@@ -75,7 +79,7 @@
     member: ClaimMember,
 }
 
-/// The decision logic of one node. All methods may be called from any thread.
+/// Decision logic of one node. All methods may be called from any thread.
 #[derive(Debug)]
 pub struct Node {
     identity: Identity,
@@ -89,19 +93,20 @@
     claims: Mutex<Claims>,
     writer: Mutex<ConfigurationWriter>,
     watcher: Mutex<Watcher>,
-    machine_list_reads: Mutex<Periodic>,
-    requests: AtomicU64,
+    machine_list_timer: Mutex<Periodic>,
+    last_request_number: AtomicU64,
 }
 
-/// Outputs of one call, with messages to this node itself still to be handled.
-struct Turn {
+/// Context of the handling of one event: the time, the actions for the host, and
+/// the messages from this node to itself that have yet to be handled.
+struct EventContext {
     now: Timestamp,
     actions: Vec<Action>,
-    own: VecDeque<PeerMessage>,
+    local_messages: VecDeque<PeerMessage>,
 }
 
 impl Node {
-    /// A node that starts at `now`. `seed` drives every random choice.
+    /// Creates a node that starts at `now`. All random numbers derive from `seed`.
     pub fn new(
         identity: Identity,
         settings: CoordinationSettings,
@@ -139,54 +144,54 @@
                 identity.incarnation,
             )),
             watcher: Mutex::default(),
-            machine_list_reads: Mutex::new(Periodic::every(
+            machine_list_timer: Mutex::new(Periodic::every(
                 settings.membership.machine_list_interval,
             )),
-            requests: AtomicU64::new(0),
+            last_request_number: AtomicU64::new(0),
             identity,
             settings,
         }
     }
 
-    /// Who this node is.
+    /// Returns the identity of this node.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// An id for a new request.
+    /// Returns an id for a new request.
     pub fn new_request(&self) -> RequestId {
-        let number = self.requests.fetch_add(1, Ordering::Relaxed) + 1;
+        let number = self.last_request_number.fetch_add(1, Ordering::Relaxed) + 1;
         let scope = crate::rendezvous::weight("requests", &self.identity.node)
             .wrapping_add(self.identity.incarnation.0);
         RequestId(scope, number)
     }
 
-    /// What a request for a model of that name waits for.
+    /// Returns the queue in which a request for the model `name` waits.
     pub fn resolve(&self, name: &str) -> Result<QueueKey, ResolveError> {
         self.configuration.read().resolve(name)
     }
 
-    /// Reads the configuration.
+    /// Calls `read` with the configuration.
     pub fn with_configuration<T>(&self, read: impl FnOnce(&Configuration) -> T) -> T {
         read(&self.configuration.read())
     }
 
-    /// The machine list as this node knows it.
+    /// Returns the machine list as this node knows it.
     pub fn machines(&self) -> Arc<MachineTable> {
         Arc::clone(&self.machines.read())
     }
 
-    /// Nodes that are known before the machine list was read.
+    /// Sets the nodes that are known before the machine list has been read.
     pub fn add_seeds(&self, entries: &[NodeEntry]) {
         self.membership.lock().set_candidates(entries);
     }
 
-    /// Where another node listens.
+    /// Returns the entry of another node, with its address.
     pub fn peer(&self, node: &NodeId) -> Option<NodeEntry> {
         self.membership.lock().entry(node).cloned()
     }
 
-    /// Figures for operators and metrics.
+    /// Returns the status of this node for operators and metrics.
     pub fn status(&self) -> NodeStatus {
         let revision = self.configuration.read().complete();
         let view = self.view();
@@ -221,8 +226,8 @@
         }
     }
 
-    /// Whether a stopping node has handed everything over: no request is open
-    /// here and no other node relies on its claims.
+    /// Whether a stopping node has completed its work: no request or change is open
+    /// on this node, and no other node depends on the claims that it records.
     pub fn is_drained(&self) -> bool {
         let is_idle = self.front.lock().pending_count() == 0 && self.writer.lock().is_idle();
         let is_member = {
@@ -241,37 +246,37 @@
         self.membership.lock().view()
     }
 
-    /// Handles one event.
+    /// Handles one event and returns the resulting actions.
     pub fn handle(&self, now: Timestamp, event: Event) -> Vec<Action> {
-        let mut turn = Turn {
+        let mut context = EventContext {
             now,
             actions: Vec::new(),
-            own: VecDeque::new(),
+            local_messages: VecDeque::new(),
         };
-        self.dispatch(&mut turn, event);
-        while let Some(message) = turn.own.pop_front() {
-            self.receive(&mut turn, &self.identity.node, message);
+        self.dispatch(&mut context, event);
+        while let Some(message) = context.local_messages.pop_front() {
+            self.receive(&mut context, &self.identity.node, message);
         }
-        turn.actions
+        context.actions
     }
 
-    fn dispatch(&self, turn: &mut Turn, event: Event) {
-        let now = turn.now;
+    fn dispatch(&self, context: &mut EventContext, event: Event) {
+        let now = context.now;
         match event {
-            Event::Tick => self.tick(turn),
-            Event::Received { from, message } => self.receive(turn, &from, message),
+            Event::Tick => self.tick(context),
+            Event::Received { from, message } => self.receive(context, &from, message),
             Event::RequestArrived(arrival) => {
                 let (view, machines) = (self.view(), self.machines());
                 let output = self.front.lock().arrive(now, arrival, &view, &machines);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             Event::RequestAbandoned(request) => {
                 let output = self.front.lock().abandoned(now, request);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             Event::AttemptEnded { id, outcome } => {
                 let output = self.front.lock().attempt_ended(now, id, outcome);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             Event::TableAnswered { tag, answer } => match tag {
                 TransactionTag::Placement(number) => {
@@ -280,23 +285,23 @@
                         .placement
                         .lock()
                         .table_answered(now, number, answer, &view);
-                    self.apply_placement(turn, output);
-                    self.tick_placement(turn);
+                    self.apply_placement(context, output);
+                    self.tick_placement(context);
                 }
                 TransactionTag::Configuration(number) => {
                     let output = {
                         let configuration = self.configuration.read();
                         self.writer
                             .lock()
-                            .answered(now, number, answer, &configuration)
+                            .handle_answer(now, number, answer, &configuration)
                     };
-                    self.apply_writer(turn, output);
-                    self.step_writer(turn);
+                    self.apply_writer(context, output);
+                    self.tick_writer(context);
                 }
             },
             Event::MachineListRead(list) => {
-                let replaced = self.machines().read(list);
-                self.take_machines(turn, replaced, true);
+                let updated = self.machines().with_read_list(list);
+                self.apply_machine_list(context, updated, true);
             }
             Event::OrderAnswered {
                 back_end,
@@ -307,144 +312,149 @@
                 self.placement
                     .lock()
                     .order_answered(now, &back_end, fence, sequence, result);
-                self.tick_placement(turn);
+                self.tick_placement(context);
             }
             Event::ReportRead { back_end, report } => {
                 let view = self.view();
-                let news = self.watcher.lock().read(&back_end, report, view.fence);
-                if let (Some(news), Some(holder)) = (news, &view.holder) {
+                let update = self
+                    .watcher
+                    .lock()
+                    .handle_report(&back_end, report, view.fence);
+                if let (Some(update), Some(holder)) = (update, &view.holder) {
                     let message = PeerMessage::Report {
-                        back_end: news.back_end,
-                        report: news.report,
+                        back_end: update.back_end,
+                        report: update.report,
                     };
-                    self.send(turn, holder.clone(), message);
+                    self.send(context, holder.clone(), message);
                 }
             }
             Event::ChangeRequested { id, change } => {
                 if self.membership.lock().state() == NodeState::Leaving {
                     let result = Err(ChangeError::Stopping);
-                    turn.actions.push(Action::AnswerChange { id, result });
+                    context.actions.push(Action::AnswerChange { id, result });
                     return;
                 }
                 self.writer.lock().submit(now, id, change);
-                self.step_writer(turn);
+                self.tick_writer(context);
             }
             Event::StopRequested => {
                 self.placement.lock().stop();
-                self.membership.lock().leave();
-                self.tick(turn);
+                self.membership.lock().start_draining();
+                self.tick(context);
             }
         }
     }
 
-    fn tick(&self, turn: &mut Turn) {
-        let now = turn.now;
+    fn tick(&self, context: &mut EventContext) {
+        let now = context.now;
         self.membership.lock().expire(now);
-        self.send_heartbeats(turn);
-        self.read_machine_list(turn);
-        self.read_reports(turn);
-        self.tick_placement(turn);
-        self.tick_queues(turn);
+        self.send_heartbeats(context);
+        self.read_machine_list(context);
+        self.read_reports(context);
+        self.tick_placement(context);
+        self.tick_queues(context);
         let (view, machines) = (self.view(), self.machines());
         let output = self.front.lock().tick(now, &view, &machines);
-        self.apply_front(turn, output);
+        self.apply_front(context, output);
         let output = {
             let mut claims = self.claims.lock();
             claims.member.tick(now);
             claims.rounds.tick(now)
         };
-        self.apply_rounds(turn, output);
-        self.step_writer(turn);
+        self.apply_rounds(context, output);
+        self.tick_writer(context);
     }
 
-    fn send_heartbeats(&self, turn: &mut Turn) {
-        let held = self.placement.lock().fence();
+    fn send_heartbeats(&self, context: &mut EventContext) {
+        let held_fence = self.placement.lock().fence();
         let revision = self.configuration.read().complete();
         let machines = self.machines().version();
         let epoch = self.claims.lock().rounds.group().epoch;
-        let standing = Standing {
+        let state = HeartbeatState {
             revision,
-            held,
+            held_fence,
             epoch,
             machines,
         };
-        let beat = {
+        let due_heartbeat = {
             let mut membership = self.membership.lock();
-            membership.set_held(held);
-            membership.heartbeat(turn.now, standing)
+            membership.set_held_fence(held_fence);
+            membership.heartbeat(context.now, state)
         };
-        let Some((heartbeat, receivers)) = beat else {
+        let Some((heartbeat, receivers)) = due_heartbeat else {
             return;
         };
         for to in receivers {
             let message = PeerMessage::Heartbeat(heartbeat.clone());
-            turn.actions.push(Action::Send { to, message });
+            context.actions.push(Action::Send { to, message });
         }
     }
 
-    fn read_machine_list(&self, turn: &mut Turn) {
-        let unknown = self.machines().version() == 0;
-        let on_duty = unknown
+    fn read_machine_list(&self, context: &mut EventContext) {
+        let is_unknown = self.machines().version() == 0;
+        let is_reader = is_unknown
             || self.view().is_among_first(
-                MACHINE_LIST_DUTY,
+                MACHINE_LIST_KEY,
                 &self.identity.node,
                 MACHINE_LIST_READERS,
             );
-        if on_duty && self.machine_list_reads.lock().due(turn.now) {
-            turn.actions.push(Action::ReadMachineList);
+        if is_reader && self.machine_list_timer.lock().due(context.now) {
+            context.actions.push(Action::ReadMachineList);
         }
     }
 
-    fn read_reports(&self, turn: &mut Turn) {
+    fn read_reports(&self, context: &mut EventContext) {
         let (view, machines) = (self.view(), self.machines());
         let due = self
             .watcher
             .lock()
-            .tick(turn.now, &self.identity.node, &view, &machines);
-        turn.actions.extend(
+            .tick(context.now, &self.identity.node, &view, &machines);
+        context.actions.extend(
             due.into_iter()
                 .map(|machine| Action::ReadReport { machine }),
         );
     }
 
-    fn tick_placement(&self, turn: &mut Turn) {
+    fn tick_placement(&self, context: &mut EventContext) {
         let (view, machines) = (self.view(), self.machines());
         let output = {
             let configuration = self.configuration.read();
             self.placement
                 .lock()
-                .tick(turn.now, &view, &machines, &configuration)
+                .tick(context.now, &view, &machines, &configuration)
         };
-        self.apply_placement(turn, output);
+        self.apply_placement(context, output);
     }
 
-    fn tick_queues(&self, turn: &mut Turn) {
+    fn tick_queues(&self, context: &mut EventContext) {
         let view = self.view();
         let (returned, decisions, demands) = {
             let mut queues = self.queues.lock();
             queues.apply_view(&view);
             let returned = queues.hand_back(&view, &self.identity.node);
-            let decisions = queues.review(turn.now);
-            let demands = queues.demands(turn.now);
+            let decisions = queues.review(context.now);
+            let demands = queues.demands(context.now);
             (returned, decisions, demands)
         };
         for (front, id) in returned {
-            self.send(turn, front, PeerMessage::Returned(vec![id]));
+            self.send(context, front, PeerMessage::Returned(vec![id]));
         }
-        self.apply_decisions(turn, decisions);
-        self.send_demands(turn, &view, demands);
+        self.apply_decisions(context, decisions);
+        self.send_demands(context, &view, demands);
     }
 
-    fn step_writer(&self, turn: &mut Turn) {
-        let on_duty = self.view().owner(CONFIGURATION_DUTY) == Some(&self.identity.node);
+    fn tick_writer(&self, context: &mut EventContext) {
+        let is_head_reader = self.view().owner(CONFIGURATION_KEY) == Some(&self.identity.node);
         let output = {
             let configuration = self.configuration.read();
-            self.writer.lock().step(turn.now, &configuration, on_duty)
+            self.writer
+                .lock()
+                .tick(context.now, &configuration, is_head_reader)
         };
-        self.apply_writer(turn, output);
+        self.apply_writer(context, output);
     }
 
-    /// Settings that this node runs under.
+    /// Returns the settings of this node.
     pub fn settings(&self) -> &CoordinationSettings {
         &self.settings
     }
--- a/crates/coordination/src/node/receive.rs
+++ b/crates/coordination/src/node/receive.rs
@@ -1,17 +1,18 @@
-//! What a node does with messages of other nodes.
+//! Handles messages from other nodes. The input is a message and its sender; the
+//! results are calls of the node's components, messages and actions.
 
 use gorsebank_contract::{Heartbeat, PeerMessage};
 use gorsebank_world::NodeId;
 
-use crate::configuration_writer::Learned;
-use crate::node::{Node, Turn, machines_message};
+use crate::configuration_writer::ConfigurationDelta;
+use crate::node::{EventContext, Node, machines_message};
 use crate::queues::{Demand, Release};
 
 impl Node {
-    pub(super) fn receive(&self, turn: &mut Turn, from: &NodeId, message: PeerMessage) {
-        let now = turn.now;
+    pub(super) fn receive(&self, context: &mut EventContext, from: &NodeId, message: PeerMessage) {
+        let now = context.now;
         match message {
-            PeerMessage::Heartbeat(heartbeat) => self.heard(turn, from, heartbeat),
+            PeerMessage::Heartbeat(heartbeat) => self.receive_heartbeat(context, from, heartbeat),
             PeerMessage::Tickets(tickets) => {
                 let machines = self.machines();
                 let (decisions, demands) = {
@@ -19,9 +20,9 @@
                     let decisions = queues.offer(now, from, &tickets, &machines);
                     (decisions, queues.demands(now))
                 };
-                self.apply_decisions(turn, decisions);
+                self.apply_decisions(context, decisions);
                 let view = self.view();
-                self.send_demands(turn, &view, demands);
+                self.send_demands(context, &view, demands);
             }
             PeerMessage::Grants(grants) => {
                 let (view, machines) = (self.view(), self.machines());
@@ -30,21 +31,21 @@
                         .front
                         .lock()
                         .granted(now, from, grant, &view, &machines);
-                    self.apply_front(turn, output);
+                    self.apply_front(context, output);
                 }
             }
             PeerMessage::Refused { id, refusal } => {
                 let output = self.front.lock().refused(id, refusal);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             PeerMessage::Returned(ids) => {
                 let view = self.view();
                 let output = self.front.lock().returned(now, &ids, &view);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             PeerMessage::Recall(queue) => {
                 let output = self.front.lock().recalled(now, &queue);
-                self.apply_front(turn, output);
+                self.apply_front(context, output);
             }
             PeerMessage::Cancel { queue, id } => self.queues.lock().cancel(&queue, id),
             PeerMessage::Released {
@@ -61,7 +62,7 @@
                     service_time,
                     troubled,
                 };
-                self.released(turn, from, &release);
+                self.release_slots(context, from, &release);
             }
             PeerMessage::Held(held) => self.queues.lock().correct_held(now, from, &held),
             PeerMessage::Demand {
@@ -85,54 +86,54 @@
                         .demanded(now, from, &demand, &configuration);
                 }
                 if demand.waiting > 0 {
-                    self.tick_placement(turn);
+                    self.tick_placement(context);
                 }
             }
             PeerMessage::Replicas(set) => {
                 let machines = self.machines();
                 let decisions = self.queues.lock().set_replicas(now, &set, &machines);
-                self.apply_decisions(turn, decisions);
+                self.apply_decisions(context, decisions);
             }
             PeerMessage::Report { back_end, report } => {
                 self.placement.lock().reported(now, &back_end, report);
-                self.tick_placement(turn);
+                self.tick_placement(context);
             }
             PeerMessage::Suspect { back_end } => self.placement.lock().suspected(now, &back_end),
             PeerMessage::Machines { version, machines } => {
-                let replaced = self.machines().received(version, machines);
-                self.take_machines(turn, replaced, false);
+                let updated = self.machines().with_received_list(version, machines);
+                self.apply_machine_list(context, updated, false);
             }
             PeerMessage::MachinesWanted => {
                 let message = machines_message(&self.machines());
-                self.send(turn, from.clone(), message);
+                self.send(context, from.clone(), message);
             }
             PeerMessage::ConfigurationWanted { above } => {
                 let message = self.configuration_above(above);
-                self.send(turn, from.clone(), message);
+                self.send(context, from.clone(), message);
             }
             PeerMessage::Configuration {
                 above,
                 complete,
                 rows,
             } => {
-                let learned = Learned {
+                let delta = ConfigurationDelta {
                     above,
                     complete,
                     rows,
                 };
-                self.learn(turn, learned, Some(from));
+                self.merge_configuration(context, delta, Some(from));
             }
-            message => self.receive_claim_message(turn, from, message),
+            message => self.receive_claim_message(context, from, message),
         }
     }
 
     pub(super) fn receive_claim_message(
         &self,
-        turn: &mut Turn,
+        context: &mut EventContext,
         from: &NodeId,
         message: PeerMessage,
     ) {
-        let now = turn.now;
+        let now = context.now;
         match message {
             PeerMessage::Claim {
                 epoch,
@@ -145,7 +146,7 @@
                     request,
                     answer,
                 };
-                self.send(turn, from.clone(), message);
+                self.send(context, from.clone(), message);
             }
             PeerMessage::ClaimAnswered {
                 epoch,
@@ -157,7 +158,7 @@
                     .lock()
                     .rounds
                     .handle_answer(from, epoch, request, answer);
-                self.apply_rounds(turn, output);
+                self.apply_rounds(context, output);
             }
             PeerMessage::ClaimEnded {
                 key,
@@ -168,7 +169,7 @@
                 let sealed = self.claims.lock().member.seal(current, next);
                 if let Some(records) = sealed {
                     let message = PeerMessage::ClaimSealed { next, records };
-                    self.send(turn, from.clone(), message);
+                    self.send(context, from.clone(), message);
                 }
             }
             PeerMessage::ClaimSealed { next, records } => {
@@ -182,33 +183,38 @@
                 quarantine,
             } => {
                 let epoch = group.epoch;
-                let taken = self
+                let is_installed = self
                     .claims
                     .lock()
                     .member
                     .install(now, group, records, quarantine);
-                if taken {
+                if is_installed {
                     let message = PeerMessage::ClaimInstalled { epoch };
-                    self.send(turn, from.clone(), message);
+                    self.send(context, from.clone(), message);
                 }
             }
             PeerMessage::ClaimInstalled { epoch } => {
                 if let Some(groups) = self.placement.lock().claim_groups() {
                     groups.record_installed(from, epoch);
                 }
-                self.tick_placement(turn);
+                self.tick_placement(context);
             }
-            PeerMessage::ClaimGroupChanged(group) => self.take_group(turn, group),
+            PeerMessage::ClaimGroupChanged(group) => self.apply_claim_group(context, group),
             PeerMessage::ClaimGroupWanted => {
                 let group = self.claims.lock().rounds.group().clone();
                 let message = PeerMessage::ClaimGroupChanged(group);
-                self.send(turn, from.clone(), message);
+                self.send(context, from.clone(), message);
             }
             _ => {}
         }
     }
 
-    pub(super) fn heard(&self, turn: &mut Turn, from: &NodeId, heartbeat: Heartbeat) {
+    pub(super) fn receive_heartbeat(
+        &self,
+        context: &mut EventContext,
+        from: &NodeId,
+        heartbeat: Heartbeat,
+    ) {
         let own_revision = self.configuration.read().complete();
         let own_machines = self.machines().version();
         let own_epoch = self.claims.lock().rounds.group().epoch;
@@ -217,28 +223,33 @@
             let message = PeerMessage::ConfigurationWanted {
                 above: own_revision,
             };
-            self.send(turn, from.clone(), message);
+            self.send(context, from.clone(), message);
         }
         if is_same_cell && heartbeat.machines > own_machines {
-            self.send(turn, from.clone(), PeerMessage::MachinesWanted);
+            self.send(context, from.clone(), PeerMessage::MachinesWanted);
         }
         if is_same_cell && heartbeat.epoch > own_epoch {
-            self.send(turn, from.clone(), PeerMessage::ClaimGroupWanted);
+            self.send(context, from.clone(), PeerMessage::ClaimGroupWanted);
         }
         let is_current = is_same_cell && heartbeat.machines <= own_machines;
-        self.front.lock().heard(turn.now, from, is_current);
-        self.membership.lock().observe(turn.now, from, heartbeat);
+        self.front.lock().heard(context.now, from, is_current);
+        self.membership.lock().observe(context.now, from, heartbeat);
     }
 
-    pub(super) fn released(&self, turn: &mut Turn, from: &NodeId, release: &Release) {
-        let decisions = self.queues.lock().release(turn.now, from, release);
-        self.apply_decisions(turn, decisions);
+    pub(super) fn release_slots(
+        &self,
+        context: &mut EventContext,
+        from: &NodeId,
+        release: &Release,
+    ) {
+        let decisions = self.queues.lock().release(context.now, from, release);
+        self.apply_decisions(context, decisions);
         if !release.troubled {
             return;
         }
         if let Some(holder) = self.view().holder.clone() {
             let back_end = release.back_end.clone();
-            self.send(turn, holder, PeerMessage::Suspect { back_end });
+            self.send(context, holder, PeerMessage::Suspect { back_end });
         }
     }
 }
--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/spread.rs
@@ -1,17 +1,17 @@
-//! Takes in what is the same on all nodes, and passes news on: configuration,
-//! the machine list, the claim group.
+//! Applies updates of replicated state and forwards them to other nodes. The
+//! replicated state is the configuration, the machine list and the claim group.
 
 use std::sync::Arc;
 
 use gorsebank_contract::{ClaimGroup, PeerMessage, Revision};
 use gorsebank_world::NodeId;
 
-use crate::configuration_writer::Learned;
+use crate::configuration_writer::ConfigurationDelta;
 use crate::machines::MachineTable;
-use crate::node::{Node, Turn, machines_message};
+use crate::node::{EventContext, Node, machines_message};
 
-/// Configuration rows in one message at the most: a frame has 8 MiB, and the
-/// target's 62,000 adapters would nearly fill it.
+/// Maximum number of configuration rows in one message. A frame holds at most
+/// 8 MiB, which the rows of 62,000 adapters would nearly fill.
 const ROWS_PER_MESSAGE: usize = 2_000;
 
 impl Node {
@@ -25,36 +25,42 @@
         }
     }
 
-    /// Merges rows and, if they were news, passes them on: to the whole cell
-    /// when they came from outside it, and to one node of every other cell
-    /// when this node wrote them.
-    pub(super) fn learn(&self, turn: &mut Turn, learned: Learned, from: Option<&NodeId>) {
+    /// Merges rows and forwards them if they were not known. The rows are sent to
+    /// the whole cell if they came from outside the cell, and to the whole cell
+    /// and one node of every other cell if this node wrote them.
+    pub(super) fn merge_configuration(
+        &self,
+        context: &mut EventContext,
+        delta: ConfigurationDelta,
+        from: Option<&NodeId>,
+    ) {
         let merged =
             self.configuration
                 .write()
-                .merge(learned.above, learned.complete, learned.rows.clone());
+                .merge(delta.above, delta.complete, delta.rows.clone());
         match merged {
-            Ok(true) if learned.rows.len() >= ROWS_PER_MESSAGE => {
-                // Others hear of so much by heartbeat, and ask for it in parts;
-                // there may be more where this came from.
+            Ok(true) if delta.rows.len() >= ROWS_PER_MESSAGE => {
+                // So many rows are not forwarded: other nodes learn the revision from
+                // heartbeats and request the rows in several messages. The sender
+                // may have further rows, which this node requests.
                 if let Some(from) = from {
-                    let above = learned.complete;
+                    let above = delta.complete;
                     let message = PeerMessage::ConfigurationWanted { above };
-                    self.send(turn, from.clone(), message);
+                    self.send(context, from.clone(), message);
                 }
             }
             Ok(true) => {
                 let message = PeerMessage::Configuration {
-                    above: learned.above,
-                    complete: learned.complete,
-                    rows: learned.rows,
+                    above: delta.above,
+                    complete: delta.complete,
+                    rows: delta.rows,
                 };
                 let receivers = {
                     let membership = self.membership.lock();
-                    membership.spread(from, learned.complete)
+                    membership.configuration_receivers(from, delta.complete)
                 };
                 for to in receivers {
-                    self.send(turn, to, message.clone());
+                    self.send(context, to, message.clone());
                 }
             }
             Ok(false) => {}
@@ -62,7 +68,7 @@
                 if let Some(from) = from {
                     let above = gap.complete;
                     self.send(
-                        turn,
+                        context,
                         from.clone(),
                         PeerMessage::ConfigurationWanted { above },
                     );
@@ -71,7 +77,12 @@
         }
     }
 
-    pub(super) fn take_machines(&self, turn: &mut Turn, table: Option<MachineTable>, tell: bool) {
+    pub(super) fn apply_machine_list(
+        &self,
+        context: &mut EventContext,
+        table: Option<MachineTable>,
+        forward: bool,
+    ) {
         let Some(table) = table else {
             return;
         };
@@ -80,31 +91,31 @@
         let (view, nodes) = {
             let mut membership = self.membership.lock();
             membership.set_candidates(&table.list().nodes);
-            (membership.view(), membership.near())
+            (membership.view(), membership.cell_peers())
         };
-        let decisions = self.queues.lock().apply_machines(turn.now, &table);
-        self.apply_decisions(turn, decisions);
-        if tell {
+        let decisions = self.queues.lock().apply_machines(context.now, &table);
+        self.apply_decisions(context, decisions);
+        if forward {
             let message = machines_message(&table);
             for to in nodes
                 .into_iter()
                 .filter(|node| view.nodes.contains_key(node))
             {
-                self.send(turn, to, message.clone());
+                self.send(context, to, message.clone());
             }
         }
     }
 
-    pub(super) fn take_group(&self, turn: &mut Turn, group: ClaimGroup) {
+    pub(super) fn apply_claim_group(&self, context: &mut EventContext, group: ClaimGroup) {
         let output = {
             let mut claims = self.claims.lock();
             claims.member.activate_epoch(group.epoch);
             if claims.rounds.set_group(group) {
-                claims.rounds.tick(turn.now)
+                claims.rounds.tick(context.now)
             } else {
                 Vec::new()
             }
         };
-        self.apply_rounds(turn, output);
+        self.apply_rounds(context, output);
     }
 }
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -1,11 +1,14 @@
-//! Limits on repeating attempts: a budget over all requests, and back-off.
+//! Limits retries of attempts by a budget over all requests and by exponential
+//! back-off. The inputs are arriving requests and retries; the outputs are retry
+//! permits and delays.
 
 use rand::{Rng, RngExt};
 
 use crate::settings::RoutingSettings;
 
-/// A budget that grows with the requests served and shrinks with each retry,
-/// so that retries stay a fixed share of the load when everything fails.
+/// Retry budget that grows with each arriving request and shrinks with each
+/// retry, so that retries stay a fixed fraction of the load even when every
+/// attempt fails.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     ratio: f64,
@@ -14,7 +17,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: &RoutingSettings) -> Self {
         RetryBudget {
             ratio: settings.retry_ratio,
@@ -23,12 +26,12 @@
         }
     }
 
-    /// Counts a request that arrived.
+    /// Credits the budget for an arriving request.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + self.ratio).min(self.reserve);
     }
 
-    /// Takes one retry out, if there is one.
+    /// Takes one retry out of the budget. Returns `false` if the budget is used up.
     pub fn withdraw(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
@@ -38,7 +41,8 @@
     }
 }
 
-/// The pause before attempt `attempt + 1`: exponential, with full jitter.
+/// Returns the delay before attempt `attempt + 1` in milliseconds: exponential
+/// back-off with full jitter.
 pub fn backoff(settings: &RoutingSettings, attempt: u32, random: &mut impl Rng) -> u64 {
     let doublings = attempt.saturating_sub(1).min(16);
     let ceiling = (settings.backoff << doublings).min(settings.backoff_limit);
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -1,30 +1,31 @@
-//! Settings of the decision logic. Times are in milliseconds.
+//! Defines the settings of the decision logic and their defaults. All times are
+//! in milliseconds.
 
 use serde::{Deserialize, Serialize};
 
 /// All settings of the decision logic.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinationSettings {
-    /// Who is alive.
+    /// Settings of failure detection.
     pub membership: MembershipSettings,
-    /// How requests wait, are sent and are sent again.
+    /// Settings of queues, dispatch and retries.
     pub routing: RoutingSettings,
-    /// How models are placed.
+    /// Settings of the placement of models.
     pub placement: PlacementSettings,
-    /// How keys of requests that may not be repeated are claimed.
+    /// Settings of claims on the keys of requests that may run only once.
     pub claims: ClaimSettings,
 }
 
-/// Who is alive.
+/// Settings of failure detection.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// Between two heartbeats to each node of the cell.
+    /// Interval between two heartbeats to each node of the cell.
     pub heartbeat_interval: u64,
-    /// A node that was silent for so long is taken for dead.
+    /// Time without a heartbeat after which a node counts as failed.
     pub failure_timeout: u64,
-    /// Between two readings of the platform's machine list.
+    /// Interval between two reads of the platform's machine list.
     pub machine_list_interval: u64,
-    /// Nodes of other cells that each heartbeat round also goes to.
+    /// Number of nodes of other cells that each heartbeat is also sent to.
     pub remote_fanout: usize,
 }
 
@@ -39,30 +40,30 @@
     }
 }
 
-/// How requests wait, are sent and are sent again.
+/// Settings of queues, dispatch and retries.
 #[derive(Clone, Debug)]
 pub struct RoutingSettings {
-    /// A grant or credit may be used for so long.
+    /// Time for which a grant or a credit may be used.
     pub grant_validity: u64,
-    /// A front offers a ticket again after so long without an answer.
+    /// Time without a response after which a front offers a ticket again.
     pub offer_interval: u64,
-    /// Tickets that wait in one queue at the most.
+    /// Maximum number of tickets that wait in one queue.
     pub queue_limit: usize,
-    /// Most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: u32,
-    /// First pause before an attempt is repeated; doubles each time.
+    /// Upper bound of the delay before the first retry; it doubles with each retry.
     pub backoff: u64,
-    /// Longest pause before an attempt is repeated.
+    /// Maximum delay before a retry.
     pub backoff_limit: u64,
-    /// Share of requests that may be attempted again.
+    /// Retries that each request adds to the retry budget.
     pub retry_ratio: f64,
-    /// Retries that are allowed at once, beside the share.
+    /// Initial and maximum size of the retry budget, in retries.
     pub retry_reserve: f64,
-    /// Share of a replica's slots that batch requests may take.
+    /// Fraction of a replica's slots that batch requests may use.
     pub batch_share: f64,
-    /// Most credits given with one grant.
+    /// Maximum number of credits given with one grant.
     pub credit_limit: u32,
-    /// A back end that turned a request away is spared for so long.
+    /// Time for which no requests are sent to a back end that rejected a request.
     pub suspension: u64,
 }
 
@@ -84,32 +85,34 @@
     }
 }
 
-/// How models are placed.
+/// Settings of the placement of models.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PlacementSettings {
-    /// The holder rewrites its lease row at least so often.
+    /// Maximum interval at which the holder rewrites its lease row.
     pub lease_interval: u64,
-    /// A transaction without an answer is sent again after so long.
+    /// Time without a response after which a transaction is resent.
     pub table_timeout: u64,
-    /// After so long without the table, dormant models wake from standby.
+    /// Time without the table after which dormant models are loaded into standby
+    /// memory.
+    #[serde(rename = "table_patience")]
     pub table_patience: u64,
-    /// An engine without an answer is inspected again after so long.
+    /// Time after which an engine that did not respond is inspected again.
     pub inspect_interval: u64,
-    /// Share of an engine's memory set aside for dormant models.
+    /// Fraction of an engine's memory that is reserved for dormant models.
     pub standby_share: f64,
-    /// Loads that the weight store may start each second.
+    /// Maximum number of loads from the weight store that start per second.
     pub store_starts_per_second: f64,
-    /// Loads that run at full speed at once.
+    /// Maximum number of concurrent loads from the weight store at full speed.
     pub store_concurrency: u32,
-    /// Bytes a second of one load from the weight store at full speed.
+    /// Bandwidth of one load from the weight store at full speed, in bytes per second.
     pub store_bandwidth: u64,
-    /// Bytes a second of a load from an engine's disk.
+    /// Bandwidth of a load from an engine's disk, in bytes per second.
     pub disk_bandwidth: u64,
-    /// Bytes a second of a load from an engine's main memory.
+    /// Bandwidth of a load from an engine's main memory, in bytes per second.
     pub memory_bandwidth: u64,
-    /// An idle artifact stays loaded at least so long.
+    /// Minimum time for which an idle artifact stays loaded.
     pub keep_alive_min: u64,
-    /// An idle artifact stays loaded at most so long.
+    /// Maximum time for which an idle artifact stays loaded.
     pub keep_alive_max: u64,
 }
 
@@ -132,17 +135,18 @@
     }
 }
 
-/// How keys of requests that may not be repeated are claimed.
+/// Settings of claims on the keys of requests that may run only once.
 #[derive(Clone, Debug)]
 pub struct ClaimSettings {
-    /// Members of a claim group.
+    /// Number of members of a claim group.
     pub members: usize,
-    /// A claim is remembered for so long.
+    /// Time for which a claim is kept.
     pub retention: u64,
-    /// A claim without a majority after so long is given up.
+    /// Time without a majority after which a claim is abandoned.
     pub timeout: u64,
-    /// After so long without a majority of the former group, a new one starts
-    /// in quarantine.
+    /// Time without a majority of the previous group's members after which the
+    /// next group starts in quarantine: claims of unknown keys are in doubt for
+    /// the retention time.
     pub seal_timeout: u64,
 }
 
--- a/crates/coordination/src/stream.rs
+++ b/crates/coordination/src/stream.rs
@@ -1,19 +1,21 @@
-//! Checks that a caller gets the whole answer to its own request.
+//! Checks that a caller receives the complete response to its own request.
 //!
-//! In: the ids of the events of one answer stream as they arrive, perhaps
-//! doubled, late, out of order or from another request. Out: a verdict each.
+//! The inputs are the ids of the events of one response stream in the order of
+//! arrival. Events may be duplicated, late, out of order or part of another
+//! request. The output is a decision for each event.
 
 use std::fmt;
 use std::str::FromStr;
 
 use thiserror::Error;
 
-/// The id of one event: the stream it belongs to and its number from 0.
+/// Id of an event: the stream of the event, and the event's number in the
+/// stream, from 0.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EventId {
-    /// Names the request on the engine.
+    /// Identifies the request on the engine.
     pub stream: String,
-    /// Number of the event.
+    /// Number of the event in the stream.
     pub number: u64,
 }
 
@@ -23,18 +25,18 @@
     }
 }
 
-/// A text that is no event id.
+/// Error for a text that is not an event id.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no event id: expected `stream:number`")]
+#[error("`{0}` is not an event id: expected `stream:number`")]
 pub struct EventIdError(String);
 
 impl FromStr for EventId {
     type Err = EventIdError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refuse = || EventIdError(text.to_owned());
-        let (stream, number) = text.rsplit_once(':').ok_or_else(refuse)?;
-        let number = number.parse().map_err(|_| refuse())?;
+        let parse_error = || EventIdError(text.to_owned());
+        let (stream, number) = text.rsplit_once(':').ok_or_else(parse_error)?;
+        let number = number.parse().map_err(|_| parse_error())?;
         Ok(EventId {
             stream: stream.to_owned(),
             number,
@@ -42,20 +44,20 @@
     }
 }
 
-/// What to do with an event.
+/// Decision about an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Pass it on.
+    /// Forward the event to the caller.
     Forward,
-    /// Drop it: the caller has it already.
+    /// Drop the event, because the caller has already received it.
     Duplicate,
-    /// Events are missing before it: resume after the last one.
+    /// Events before this one are missing: resume after the last forwarded event.
     Gap,
-    /// It belongs to another request: drop the connection, then resume.
+    /// The event belongs to another request: drop the connection, then resume.
     Foreign,
 }
 
-/// Follows one answer stream.
+/// Checks the order of the events of one response stream.
 #[derive(Clone, Debug)]
 pub struct StreamGuard {
     stream: String,
@@ -64,7 +66,7 @@
 }
 
 impl StreamGuard {
-    /// A guard of the stream named `stream`, whose next event is number `next`.
+    /// Creates a guard for the stream `stream`, whose next event has number `next`.
     pub fn new(stream: impl Into<String>, next: u64) -> Self {
         StreamGuard {
             stream: stream.into(),
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Judges the next event.
+    /// Decides what to do with an event. `last` marks the last event of the stream.
     pub fn judge(&mut self, id: &EventId, last: bool) -> Verdict {
         if id.stream != self.stream {
             return Verdict::Foreign;
@@ -89,12 +91,12 @@
         Verdict::Forward
     }
 
-    /// The number of the next event that is wanted.
+    /// Returns the number of the next expected event.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether the last event was passed on.
+    /// Whether the last event has been forwarded.
     pub fn is_finished(&self) -> bool {
         self.finished
     }
--- a/crates/coordination/src/time.rs
+++ b/crates/coordination/src/time.rs
@@ -1,17 +1,20 @@
-//! Time as the decision logic sees it: a number that the host passes in.
+//! Represents time in the decision logic, as numbers that the host passes in, and
+//! provides a periodic timer.
 
 use std::ops::{Add, Sub};
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds since a start that the host chose. Never compared between nodes.
+/// Milliseconds since an origin that the host chooses. Timestamps of different
+/// nodes are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// Milliseconds from `earlier` to this; 0 if `earlier` is later.
+    /// Returns the milliseconds from `earlier` to this timestamp; 0 if `earlier` is
+    /// later.
     pub fn since(self, earlier: Timestamp) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
@@ -33,7 +36,7 @@
     }
 }
 
-/// Repeats something at an interval.
+/// Periodic timer.
 #[derive(Clone, Copy, Debug)]
 pub struct Periodic {
     interval: u64,
@@ -41,7 +44,8 @@
 }
 
 impl Periodic {
-    /// Due at once, then every `interval` milliseconds.
+    /// Creates a timer that is due immediately, and then every `interval`
+    /// milliseconds.
     pub fn every(interval: u64) -> Self {
         Periodic {
             interval,
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Whether it is due; if so, the next time is set.
+    /// Returns whether the timer is due; if so, schedules its next time.
     pub fn due(&mut self, now: Timestamp) -> bool {
         if now < self.next {
             return false;
@@ -58,7 +62,7 @@
         true
     }
 
-    /// Makes it due at once.
+    /// Makes the timer due immediately.
     pub fn hurry(&mut self) {
         self.next = Timestamp(0);
     }
--- a/crates/coordination/src/watcher.rs
+++ b/crates/coordination/src/watcher.rs
@@ -1,8 +1,10 @@
-//! Watches engines so that the placement holder need not ask each of them.
+//! Polls the reports of engines on behalf of the placement holder, so that the
+//! holder does not have to poll every engine.
 //!
-//! In: the live nodes, the machine list, engines' short reports, time. Out:
-//! reports to read, and word for the holder where something changed. Each
-//! engine has one watcher, by rendezvous over the live nodes.
+//! The inputs are the live nodes, the machine list, the reports of engines and
+//! the time. The outputs are the engines whose reports shall be read, and
+//! observations for the holder when a report has changed. Each engine is polled
+//! by one node, selected by rendezvous hashing over the live nodes.
 
 use std::collections::BTreeMap;
 
@@ -13,88 +15,101 @@
 use crate::membership::View;
 use crate::time::Timestamp;
 
-/// An engine's report is read so often, in milliseconds.
-const WATCH_INTERVAL: u64 = 1_000;
+/// Interval at which an engine's report is read.
+const REPORT_INTERVAL_MS: u64 = 1_000;
 
-/// What a watcher tells the holder.
+/// Change of an engine's report that is sent to the holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The engine.
     pub back_end: BackEndId,
-    /// Its report, or `None` if it did not answer.
+    /// The report, or `None` if the engine did not respond.
     pub report: Option<EngineReport>,
 }
 
+/// An engine that this node polls.
 #[derive(Debug)]
-struct Watched {
+struct WatchedEngine {
     machine: Machine,
+    /// Time of the next read.
     next: Timestamp,
-    /// What the holder under that fence was told last.
-    told: Option<(Fence, Option<EngineReport>)>,
+    /// Last report sent to the holder, and the fencing token of that holder.
+    last_sent: Option<(Fence, Option<EngineReport>)>,
 }
 
-/// The engines that this node watches.
+/// The engines that this node polls.
 #[derive(Debug, Default)]
 pub struct Watcher {
-    watched: BTreeMap<BackEndId, Watched>,
+    watched: BTreeMap<BackEndId, WatchedEngine>,
+    /// Versions of the view and of the machine list that `watched` follows.
     versions: (u64, u64),
 }
 
 impl Watcher {
-    /// Engines whose reports shall be read now.
+    /// Returns the engines whose reports shall be read now.
     pub fn tick(
         &mut self,
         now: Timestamp,
-        this: &NodeId,
+        own_id: &NodeId,
         view: &View,
         machines: &MachineTable,
     ) -> Vec<Machine> {
-        self.follow(now, this, view, machines);
-        let due = self.watched.values_mut().filter(|it| it.next <= now);
+        self.update_engines(now, own_id, view, machines);
+        let due = self
+            .watched
+            .values_mut()
+            .filter(|watched| watched.next <= now);
         due.map(|watched| {
-            watched.next = now + WATCH_INTERVAL;
+            watched.next = now + REPORT_INTERVAL_MS;
             watched.machine.clone()
         })
         .collect()
     }
 
-    fn follow(&mut self, now: Timestamp, this: &NodeId, view: &View, machines: &MachineTable) {
+    fn update_engines(
+        &mut self,
+        now: Timestamp,
+        own_id: &NodeId,
+        view: &View,
+        machines: &MachineTable,
+    ) {
         let versions = (view.version, machines.version());
         if self.versions == versions {
             return;
         }
         self.versions = versions;
-        let mut former = std::mem::take(&mut self.watched);
+        let mut previous = std::mem::take(&mut self.watched);
         let engines = machines
             .back_ends()
             .filter(|machine| machine.role == MachineRole::Engine)
-            .filter(|machine| view.owner(machine.id.as_str()) == Some(this));
+            .filter(|machine| view.owner(machine.id.as_str()) == Some(own_id));
         for (position, machine) in engines.enumerate() {
-            let known = former.remove(&machine.id);
-            // Readings are spread over the interval.
-            let phase = position as u64 * 37 % WATCH_INTERVAL;
-            let watched = Watched {
+            let known = previous.remove(&machine.id);
+            // The reads of the engines are spread over the interval.
+            let phase = position as u64 * 37 % REPORT_INTERVAL_MS;
+            let watched = WatchedEngine {
                 machine: machine.clone(),
                 next: known.as_ref().map_or(now + phase, |known| known.next),
-                told: known.and_then(|known| known.told),
+                last_sent: known.and_then(|known| known.last_sent),
             };
             self.watched.insert(machine.id.clone(), watched);
         }
     }
 
-    /// Takes in an engine's report; gives what the holder does not know yet.
-    pub fn read(
+    /// Handles an engine's report. Returns an observation if the report differs
+    /// from the last one sent to the holder under `fence`.
+    pub fn handle_report(
         &mut self,
         back_end: &BackEndId,
         report: Option<EngineReport>,
         fence: Fence,
     ) -> Option<Observation> {
         let watched = self.watched.get_mut(back_end)?;
-        let news = (fence, report);
-        if watched.told == Some(news) {
+        let update = (fence, report);
+        if watched.last_sent == Some(update) {
             return None;
         }
-        watched.told = Some(news);
+        watched.last_sent = Some(update);
         Some(Observation {
             back_end: back_end.clone(),
             report,
--- a/crates/coordination/tests/configuration.rs
+++ b/crates/coordination/tests/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration never reverts, in whatever order rows arrive.
+//! Checks that rows of the configuration never revert, in whatever order they
+//! arrive, that deltas are merged completely, and that names are resolved.
 
 use std::sync::Arc;
 
@@ -25,7 +26,7 @@
     row(revision, name, json!({"kind": "model", "memory": "1GiB"}))
 }
 
-fn versions(configuration: &Configuration) -> Vec<(String, u64)> {
+fn model_revisions(configuration: &Configuration) -> Vec<(String, u64)> {
     configuration
         .live_rows(RowKind::Model)
         .map(|row| (row.key.name.to_string(), row.revision))
@@ -33,17 +34,17 @@
 }
 
 #[test]
-fn a_gap_is_named_and_nothing_is_taken() {
+fn merge_reports_a_gap_and_keeps_rows_unchanged() {
     let mut configuration = Configuration::default();
     let gap = configuration
         .merge(Revision(3), Revision(4), vec![model(4, "a")])
         .expect_err("rows are missing");
     assert_eq!(gap.complete, Revision(0));
-    assert_eq!(versions(&configuration), []);
+    assert_eq!(model_revisions(&configuration), []);
 }
 
 #[test]
-fn names_are_resolved() {
+fn resolve_maps_names_to_artifacts_or_errors() {
     let mut configuration = Configuration::default();
     let rows = vec![
         row(
@@ -90,9 +91,10 @@
 }
 
 proptest! {
-    /// A configuration that is passed on in parts arrives whole.
+    /// Guards against rows lost between limited deltas: a configuration that is
+    /// copied in deltas of limited size is complete at the end.
     #[test]
-    fn parts_make_the_whole(
+    fn limited_deltas_copy_the_complete_configuration(
         names in proptest::collection::vec(0..9u8, 1..40),
         limit in 1..7usize,
     ) {
@@ -110,13 +112,14 @@
             prop_assert!(rows.len() <= limit);
             prop_assert_eq!(copy.merge(above, complete, rows), Ok(true));
         }
-        prop_assert_eq!(versions(&copy), versions(&source));
+        prop_assert_eq!(model_revisions(&copy), model_revisions(&source));
     }
 
-    /// Deltas of one history, delivered in any order and any number of times,
-    /// never lower a row's version, and end in the same state once complete.
+    /// Guards against rows that revert when deltas arrive late or repeatedly:
+    /// deltas of one history, delivered in any order and any number of times,
+    /// never lower a row's revision, and end in the same state when complete.
     #[test]
-    fn rows_never_revert(
+    fn rows_never_revert_in_any_delivery_order(
         names in proptest::collection::vec(0..5u8, 1..30),
         deliveries in proptest::collection::vec((0..30usize, 0..30usize), 0..80),
     ) {
@@ -132,17 +135,17 @@
             let complete = (above + length).min(history.len());
             let rows = history[above..complete].to_vec();
             let _ = configuration.merge(Revision(above as u64), Revision(complete as u64), rows);
-            let after = versions(&configuration);
-            for (name, version) in &before {
+            let after = model_revisions(&configuration);
+            for (name, revision) in &before {
                 let now = after.iter().find(|(other, _)| other == name);
-                prop_assert!(now.is_some_and(|(_, now)| now >= version));
+                prop_assert!(now.is_some_and(|(_, now)| now >= revision));
             }
             before = after;
         }
         let length = Revision(history.len() as u64);
         let _ = configuration.merge(Revision(0), length, history.clone());
-        let mut whole = Configuration::default();
-        let _ = whole.merge(Revision(0), length, history);
-        prop_assert_eq!(versions(&configuration), versions(&whole));
+        let mut complete_copy = Configuration::default();
+        let _ = complete_copy.merge(Revision(0), length, history);
+        prop_assert_eq!(model_revisions(&configuration), model_revisions(&complete_copy));
     }
 }
