--- a/crates/coordination/src/claim_group.rs
+++ b/crates/coordination/src/claim_group.rs
@@ -35,23 +35,27 @@
 /// Placeholder request for a key that several requests have claimed.
 const CONTESTED: RequestId = RequestId(0, 0);
 
+/// Step of a reconfiguration.
 #[derive(Clone, Debug)]
 enum Step {
+    /// No reconfiguration is in progress.
     Steady,
+    /// The members of the current group are being sealed for epoch `next`.
     Sealing {
         next: Epoch,
         since: Timestamp,
         records: BTreeMap<NodeId, BTreeMap<String, ClaimRecord>>,
     },
+    /// The next group is being installed on its members.
     Installing {
         group: ClaimGroup,
         records: BTreeMap<String, ClaimRecord>,
+        /// Time in milliseconds for which claims of unknown keys are in doubt.
         quarantine: u64,
         installed: BTreeSet<NodeId>,
     },
-    Writing {
-        group: ClaimGroup,
-    },
+    /// The row of the next group has to be written to the table.
+    Writing { group: ClaimGroup },
 }
 
 /// State of the claim group and of its reconfiguration on the placement holder.
--- a/crates/coordination/src/configuration_writer.rs
+++ b/crates/coordination/src/configuration_writer.rs
@@ -70,10 +70,14 @@
     expires: Timestamp,
 }
 
+/// Transaction of the writer.
 #[derive(Debug)]
 enum Step {
+    /// Read the head row.
     ReadHead,
+    /// Read the head row and all configuration rows.
     ReadAll,
+    /// Write a configuration row.
     Write(Box<Write>),
 }
 
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -162,7 +162,8 @@
     }
 
     /// Sets the candidates to the nodes of the machine list. A node that is no
-    /// longer listed stays a candidate until it is removed as silent.
+    /// longer listed stays a candidate, and receives heartbeats, while it counts
+    /// as alive.
     pub fn set_candidates(&mut self, entries: &[NodeEntry]) {
         let mut candidates: BTreeMap<NodeId, NodeEntry> = entries
             .iter()
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -73,6 +73,7 @@
     pub front: FrontCounts,
 }
 
+/// Both roles of a node in claiming: client of the claim group, and member.
 #[derive(Debug)]
 struct Claims {
     rounds: ClaimRounds,
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -92,8 +92,8 @@
     pub lease_interval: u64,
     /// Time without a response after which a transaction is resent.
     pub table_timeout: u64,
-    /// Time without the table after which dormant models are loaded into standby
-    /// memory.
+    /// Time without the table after which dormant models may be loaded into the
+    /// standby memory of engines without a transaction.
     #[serde(rename = "table_patience")]
     pub table_patience: u64,
     /// Time after which an engine that did not respond is inspected again.
--- a/crates/coordination/src/time.rs
+++ b/crates/coordination/src/time.rs
@@ -39,6 +39,7 @@
 /// Periodic timer.
 #[derive(Clone, Copy, Debug)]
 pub struct Periodic {
+    /// Interval in milliseconds.
     interval: u64,
     next: Timestamp,
 }
