--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/spread.rs
@@ -11,7 +11,8 @@
 use crate::node::{EventContext, Node, machines_message};
 
 /// Maximum number of configuration rows in one message. A frame holds at most
-/// 8 MiB, which the rows of 62,000 adapters would nearly fill.
+/// 8 MiB, which the rows of a target deployment's 62,000 adapters would nearly
+/// fill.
 const ROWS_PER_MESSAGE: usize = 2_000;
 
 impl Node {
