--- a/crates/coordination/src/front/credits.rs
+++ b/crates/coordination/src/front/credits.rs
@@ -1,14 +1,18 @@
-//! Slots that a front may use without asking an owner: credits granted with a
-//! grant, and slots kept from requests that ended.
+//! Slots that a front may use without a request to the queue owner: credits
+//! that came with a grant, and slots retained from completed requests.
+//!
+//! In: recalls and messages from owners, slots of completed requests, time.
+//! Out: slots for new requests, and reports of returned slots.
 
 use gorsebank_world::{NodeId, QueueKey};
 
-use crate::front::{Credit, Front, FrontOutput, ReleaseKey, Slot, takes_work};
+use crate::front::{Credit, Front, FrontOutput, ReleaseKey, Slot, may_receive_requests};
 use crate::machines::MachineTable;
 use crate::time::Timestamp;
 
-/// After a recall no slots of the queue are kept for so long, in milliseconds.
-const RECALL_LIFE: u64 = 5_000;
+/// Time after a recall during which no slots of the queue are retained, in
+/// milliseconds.
+const RECALL_DURATION_MS: u64 = 5_000;
 
 impl Front {
     pub(super) fn take_credit(
@@ -21,7 +25,7 @@
         let usable = credits.iter_mut().find(|credit| {
             credit.remaining > 0
                 && credit.expires > now
-                && takes_work(machines, &credit.back_end)
+                && may_receive_requests(machines, &credit.back_end)
                 && (!credit.is_retained || self.is_current(now, &credit.owner))
         });
         let slot = usable.map(|credit| {
@@ -40,26 +44,26 @@
         slot
     }
 
-    /// Whether this node knows of every leaving back end that the owner knew
-    /// of a moment ago. Without that a kept slot might be used again and again
-    /// at a back end that is leaving.
+    /// Whether this node's machine list was at least as recent as the owner's
+    /// within the grant validity. With an older list, a front could reuse a
+    /// retained slot repeatedly on a back end that is draining.
     pub(super) fn is_current(&self, now: Timestamp, owner: &NodeId) -> bool {
-        let heard = self.current_owners.get(owner);
+        let received_at = self.current_owners.get(owner);
         *owner == self.this
-            || heard.is_some_and(|heard| now.since(*heard) < self.settings.grant_validity)
+            || received_at.is_some_and(|at| now.since(*at) < self.settings.grant_validity)
     }
 
-    /// A node was heard; `is_current` if its machine list is no newer than
-    /// this node's.
+    /// Records a message from a node. `is_current` says that the node's machine
+    /// list is no newer than this node's.
     pub fn heard(&mut self, now: Timestamp, node: &NodeId, is_current: bool) {
         if is_current {
             self.current_owners.insert(node.clone(), now);
         }
     }
 
-    /// The owner of a queue has requests waiting: unused slots go back.
+    /// Returns all unused slots of a queue, because requests wait at its owner.
     pub fn recalled(&mut self, now: Timestamp, queue: &QueueKey) -> Vec<FrontOutput> {
-        let until = now + RECALL_LIFE;
+        let until = now + RECALL_DURATION_MS;
         self.recalled.insert(queue.clone(), until);
         for credit in self.credits.remove(queue).unwrap_or_default() {
             self.return_credit(queue.clone(), credit);
@@ -67,7 +71,8 @@
         self.flush_releases(1)
     }
 
-    /// Keeps the slot of a request that has ended, if that is allowed.
+    /// Retains the slot of a completed request for the next request, if that is
+    /// allowed.
     pub(super) fn retain(&mut self, now: Timestamp, queue: &QueueKey, slot: &Slot) -> bool {
         let is_recalled = self.recalled.get(queue).is_some_and(|until| *until > now);
         if !slot.retainable || is_recalled || !self.is_current(now, &slot.owner) {
@@ -88,13 +93,13 @@
         let mut unused = Vec::new();
         for (queue, credits) in &mut self.credits {
             credits.retain(|credit| {
-                let kept = credit.remaining > 0
+                let is_kept = credit.remaining > 0
                     && credit.expires > now
-                    && takes_work(machines, &credit.back_end);
-                if !kept && credit.remaining > 0 {
+                    && may_receive_requests(machines, &credit.back_end);
+                if !is_kept && credit.remaining > 0 {
                     unused.push((queue.clone(), credit.clone()));
                 }
-                kept
+                is_kept
             });
         }
         self.credits.retain(|_, credits| !credits.is_empty());
--- a/crates/coordination/src/front/mod.rs
+++ b/crates/coordination/src/front/mod.rs
@@ -1,12 +1,14 @@
-//! Requests that this node took from callers, from arrival to final answer.
+//! Requests that this node accepted from callers, from arrival to the final
+//! response.
 //!
-//! In: arrivals, grants, refusals, ends of attempts, claim results, time.
+//! In: arrivals, grants, refusals, outcomes of attempts, claim results, time.
 //! Out: tickets for queue owners, dispatches to back ends, final refusals.
 //!
-//! Invariants: a request gets exactly one final answer; at its deadline it is
-//! refused at once if it was not sent. A request that may not be repeated is
-//! sent at most once, and only after its key was claimed. A refusal says that
-//! a request did not run only if no attempt of it may have.
+//! Invariants: a request gets exactly one final response. A request that has
+//! not been sent by its deadline is refused at once. A request that may not be
+//! repeated is sent at most once. A request with an idempotency key is sent
+//! only after the key was claimed. A refusal states that a request did not run
+//! only if no attempt of the request can have run.
 
 mod credits;
 mod slots;
@@ -29,31 +31,33 @@
 use crate::settings::RoutingSettings;
 use crate::time::{Periodic, Timestamp};
 
-/// Owners are told so often which slots are held, in milliseconds.
-const ACCOUNT_INTERVAL: u64 = 5_000;
-/// So many slots are given back without waiting for the next tick.
-const RELEASE_BATCH: u32 = 4;
+/// Interval of the reports to owners of the slots that this front holds, in
+/// milliseconds.
+const HELD_REPORT_INTERVAL_MS: u64 = 5_000;
+/// Number of released slots of one queue and back end that are reported without
+/// a wait for the next tick.
+const RELEASE_BATCH_SLOTS: u32 = 4;
 
-/// What the front wants done.
+/// An action that the front requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrontOutput {
     /// Offer a ticket to the owner of its queue.
     Offer(NodeId, Ticket),
-    /// Take a ticket back from an owner.
+    /// Withdraw a ticket from an owner.
     Cancel(NodeId, QueueKey, TicketId),
-    /// Claim a key before the request is sent.
+    /// Claim an idempotency key before the request is sent.
     Claim(RequestId, String),
-    /// The claim of this request will not be used.
+    /// Withdraw a claim, because its request will not be sent.
     WithdrawClaim(RequestId, String),
-    /// The claimed request ran to its end.
+    /// Mark a claim as completed, because its request ran to completion.
     CompleteClaim(RequestId, String),
     /// Send the request to a back end.
     Dispatch(TicketId, BackEndId),
-    /// Give the request its final answer.
+    /// Refuse the request, as its final response.
     Refuse(RequestId, Refusal),
-    /// Give slots back to an owner.
+    /// Return slots to an owner.
     Release(NodeId, Release),
-    /// Tell an owner which slots are held.
+    /// Report to an owner which slots this front holds.
     Account(NodeId, Vec<HeldSlots>),
 }
 
@@ -63,19 +67,20 @@
     owner: NodeId,
     back_end: BackEndId,
     since: Timestamp,
-    /// It may be kept for the next request once this one has ended.
+    /// The slot may be retained for another request once this request has
+    /// completed.
     retainable: bool,
 }
 
 #[derive(Clone, Debug)]
 enum Stage {
-    /// Wants an owner.
+    /// Must be offered to a queue owner, but not before `not_before`.
     Unoffered { not_before: Timestamp },
-    /// Waits in an owner's queue.
+    /// Waits in the owner's queue.
     Waiting { owner: NodeId, offered: Timestamp },
-    /// Has a slot and waits for its claim.
+    /// Has a slot and waits for the claim of its idempotency key.
     Claiming(Slot),
-    /// Was sent.
+    /// Was sent to a back end.
     Running(Slot),
 }
 
@@ -97,14 +102,14 @@
     }
 }
 
-/// Leave to send several requests to one back end.
+/// Permission to send several requests to one back end.
 #[derive(Clone, Debug)]
 struct Credit {
     owner: NodeId,
     back_end: BackEndId,
     remaining: u32,
     expires: Timestamp,
-    /// Kept from a request that ended, not granted for itself.
+    /// The slot was retained from a completed request, not granted as a credit.
     is_retained: bool,
 }
 
@@ -116,54 +121,58 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct ReleaseSum {
+struct ReleaseTotal {
     slots: u32,
-    ended: u32,
+    completed: u32,
     service_time: u64,
-    troubled: bool,
+    has_failure: bool,
 }
 
-/// Counts of what became of requests at this front.
+/// Counters of the outcomes of requests at this front.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FrontCounts {
     /// Requests that arrived.
     pub arrived: u64,
-    /// Answered in full by a back end.
+    /// Requests with a complete response from a back end.
     pub completed: u64,
-    /// Refused, not run.
+    /// Refused requests that did not run.
     pub refused: u64,
-    /// Ended without an answer; they may have run.
+    /// Requests that ended without a complete response and may have run.
     pub unknown: u64,
-    /// Attempts repeated.
+    /// Retries of requests.
     pub retries: u64,
-    /// Sent on a credit, without a message to the owner.
+    /// Requests that used a credit or a retained slot, without a message to the
+    /// owner.
     pub on_credit: u64,
 }
 
-/// All requests of this node that have no final answer yet.
+/// All requests of this node without a final response.
 #[derive(Debug)]
 pub struct Front {
     this: NodeId,
     settings: RoutingSettings,
     pending: HashMap<RequestId, Pending>,
-    /// Requests that are not yet sent: these have deadlines to watch.
+    /// Requests that have not been sent; their deadlines are checked on each
+    /// tick.
     unsent: HashSet<RequestId>,
     credits: HashMap<QueueKey, Vec<Credit>>,
-    releases: HashMap<ReleaseKey, ReleaseSum>,
-    /// Owners that were heard with a machine list no newer than this node's.
+    releases: HashMap<ReleaseKey, ReleaseTotal>,
+    /// Time of the last message from each owner whose machine list was no newer
+    /// than this node's.
     current_owners: HashMap<NodeId, Timestamp>,
-    /// Queues whose slots were recalled, until when none are kept.
+    /// Queues whose slots were recalled, with the time until which no slot is
+    /// retained.
     recalled: HashMap<QueueKey, Timestamp>,
-    accounts: Periodic,
-    /// Owners that were told of held slots last time.
-    accounted: HashSet<NodeId>,
+    account_reports: Periodic,
+    /// Owners that the last report listed as owners of held slots.
+    reported_owners: HashSet<NodeId>,
     budget: RetryBudget,
     random: ChaCha8Rng,
     counts: FrontCounts,
 }
 
 impl Front {
-    /// A front without requests.
+    /// Creates a front without requests.
     pub fn new(this: NodeId, settings: RoutingSettings, random: ChaCha8Rng) -> Self {
         Front {
             this,
@@ -175,24 +184,24 @@
             releases: HashMap::default(),
             current_owners: HashMap::default(),
             recalled: HashMap::default(),
-            accounts: Periodic::every(ACCOUNT_INTERVAL),
-            accounted: HashSet::default(),
+            account_reports: Periodic::every(HELD_REPORT_INTERVAL_MS),
+            reported_owners: HashSet::default(),
             random,
             counts: FrontCounts::default(),
         }
     }
 
-    /// Counts so far.
+    /// Outcome counters since the start of the node.
     pub fn counts(&self) -> FrontCounts {
         self.counts
     }
 
-    /// Requests without a final answer.
+    /// Number of requests without a final response.
     pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Takes in a request.
+    /// Accepts a request, or refuses it if its deadline has passed.
     pub fn arrive(
         &mut self,
         now: Timestamp,
@@ -217,11 +226,11 @@
         };
         self.pending.insert(request, pending);
         self.unsent.insert(request);
-        self.seek_slot(now, request, view, machines)
+        self.find_slot(now, request, view, machines)
     }
 
-    /// Finds a credit for the request, or offers it to the queue's owner.
-    fn seek_slot(
+    /// Uses a credit for the request, or offers the request to the queue owner.
+    fn find_slot(
         &mut self,
         now: Timestamp,
         request: RequestId,
@@ -279,14 +288,14 @@
         vec![FrontOutput::Dispatch(pending.ticket_id(), back_end)]
     }
 
-    /// Whether this try of the request waits in an owner's queue.
+    /// Whether this attempt of the request waits in an owner's queue.
     fn is_waiting(&self, id: TicketId) -> bool {
         self.pending.get(&id.request).is_some_and(|pending| {
             pending.attempt == id.attempt && matches!(pending.stage, Stage::Waiting { .. })
         })
     }
 
-    /// Takes in a grant.
+    /// Applies a grant from an owner.
     pub fn granted(
         &mut self,
         now: Timestamp,
@@ -314,17 +323,17 @@
             retainable: grant.retainable,
         };
         if !self.is_waiting(grant.id) {
-            self.give_back(now, &grant.queue, &slot, false, false);
+            self.release_slot(now, &grant.queue, &slot, false, false);
             return Vec::new();
         }
-        if !takes_work(machines, &grant.back_end) {
-            self.give_back(now, &grant.queue, &slot, false, true);
+        if !may_receive_requests(machines, &grant.back_end) {
+            self.release_slot(now, &grant.queue, &slot, false, true);
             return self.offer(now, grant.id.request, view);
         }
         self.use_slot(grant.id.request, slot)
     }
 
-    /// Takes in an owner's refusal.
+    /// Applies a refusal from an owner.
     pub fn refused(&mut self, id: TicketId, refusal: Refusal) -> Vec<FrontOutput> {
         if !self.is_waiting(id) {
             return Vec::new();
@@ -332,7 +341,7 @@
         self.finish_refused(id.request, refusal.reason, refusal.retry_after)
     }
 
-    /// Offers tickets again that an owner handed back.
+    /// Offers the tickets again that an owner returned.
     pub fn returned(&mut self, now: Timestamp, ids: &[TicketId], view: &View) -> Vec<FrontOutput> {
         let mut output = Vec::new();
         for id in ids {
@@ -343,7 +352,7 @@
         output
     }
 
-    /// Takes in the result of a claim.
+    /// Applies the result of a claim.
     pub fn claimed(
         &mut self,
         now: Timestamp,
@@ -364,18 +373,18 @@
             ClaimVerdict::Taken => {
                 let queue = pending.arrival.queue.clone();
                 pending.ran = Ran::Unknown;
-                self.give_back(now, &queue, &slot, false, false);
+                self.release_slot(now, &queue, &slot, false, false);
                 self.finish_refused(request, RefusalReason::KeyUsed, None)
             }
             ClaimVerdict::InDoubt { retry_after } => {
                 let queue = pending.arrival.queue.clone();
-                self.give_back(now, &queue, &slot, false, false);
+                self.release_slot(now, &queue, &slot, false, false);
                 self.finish_refused(request, RefusalReason::KeyInDoubt, Some(retry_after))
             }
         }
     }
 
-    /// Takes in the end of an attempt.
+    /// Applies the outcome of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: Timestamp,
@@ -392,22 +401,26 @@
             return Vec::new();
         }
         let queue = pending.arrival.queue.clone();
-        let ended = outcome == AttemptOutcome::Completed;
-        let troubled = matches!(
+        let is_completed = outcome == AttemptOutcome::Completed;
+        let has_failure = matches!(
             outcome,
             AttemptOutcome::NotSent | AttemptOutcome::NotStarted | AttemptOutcome::LostBeforeAnswer
         );
-        let repeatable = pending.arrival.repeatable;
+        let is_repeatable = pending.arrival.repeatable;
         if outcome == AttemptOutcome::LostBeforeAnswer {
             pending.ran = Ran::Unknown;
         }
-        if !(ended && self.retain(now, &queue, &slot)) {
-            self.give_back(now, &queue, &slot, ended, troubled);
+        if !(is_completed && self.retain(now, &queue, &slot)) {
+            self.release_slot(now, &queue, &slot, is_completed, has_failure);
         }
         let mut output = match outcome {
             AttemptOutcome::Completed => self.finish_completed(id.request),
-            AttemptOutcome::NotSent | AttemptOutcome::NotStarted => self.try_again(now, id.request),
-            AttemptOutcome::LostBeforeAnswer if repeatable => self.try_again(now, id.request),
+            AttemptOutcome::NotSent | AttemptOutcome::NotStarted => {
+                self.schedule_retry(now, id.request)
+            }
+            AttemptOutcome::LostBeforeAnswer if is_repeatable => {
+                self.schedule_retry(now, id.request)
+            }
             AttemptOutcome::LostBeforeAnswer => {
                 self.finish_refused(id.request, RefusalReason::ConnectionLost, None)
             }
@@ -417,21 +430,21 @@
                 Vec::new()
             }
         };
-        output.extend(self.flush_releases(RELEASE_BATCH));
+        output.extend(self.flush_releases(RELEASE_BATCH_SLOTS));
         output
     }
 
-    fn try_again(&mut self, now: Timestamp, request: RequestId) -> Vec<FrontOutput> {
+    fn schedule_retry(&mut self, now: Timestamp, request: RequestId) -> Vec<FrontOutput> {
         let Some(pending) = self.pending.get_mut(&request) else {
             return Vec::new();
         };
         let attempt = pending.attempt.0;
         let pause = backoff(&self.settings, attempt, &mut self.random);
         let not_before = now + pause;
-        let allowed = attempt < self.settings.attempts
+        let may_retry = attempt < self.settings.attempts
             && not_before < pending.arrival.deadline
             && self.budget.withdraw();
-        if !allowed {
+        if !may_retry {
             let retry_after = Some(self.settings.backoff_limit);
             return self.finish_refused(request, RefusalReason::RetriesExhausted, retry_after);
         }
@@ -470,9 +483,9 @@
             retry_after,
         };
         let mut output = Vec::new();
-        let never_sent = pending.ran == Ran::No;
+        let is_unsent = pending.ran == Ran::No;
         if let Some(key) = pending.arrival.key
-            && never_sent
+            && is_unsent
         {
             output.push(FrontOutput::WithdrawClaim(request, key));
         }
@@ -485,7 +498,7 @@
         self.pending.remove(&request)
     }
 
-    /// Forgets a request whose caller went away before it was sent.
+    /// Removes a request whose caller disconnected before the request was sent.
     pub fn abandoned(&mut self, now: Timestamp, request: RequestId) -> Vec<FrontOutput> {
         if !self.unsent.contains(&request) {
             return Vec::new();
@@ -494,11 +507,12 @@
             return Vec::new();
         };
         self.counts.refused += 1;
-        self.leave_queue(now, &pending)
+        self.cancel_unsent(now, &pending)
     }
 
-    /// What is owed to others when an unsent request ends at this front.
-    fn leave_queue(&mut self, now: Timestamp, pending: &Pending) -> Vec<FrontOutput> {
+    /// Messages to the queue owner or the claim group when an unsent request
+    /// ends at this front.
+    fn cancel_unsent(&mut self, now: Timestamp, pending: &Pending) -> Vec<FrontOutput> {
         let queue = &pending.arrival.queue;
         match &pending.stage {
             Stage::Waiting { owner, .. } => vec![FrontOutput::Cancel(
@@ -507,7 +521,7 @@
                 pending.ticket_id(),
             )],
             Stage::Claiming(slot) => {
-                self.give_back(now, queue, slot, false, false);
+                self.release_slot(now, queue, slot, false, false);
                 match &pending.arrival.key {
                     Some(key) => vec![FrontOutput::WithdrawClaim(
                         pending.arrival.request,
@@ -520,8 +534,8 @@
         }
     }
 
-    /// Refuses what is past its deadline, offers again what has waited too long
-    /// for a word, and gives unused credits back.
+    /// Refuses requests past their deadlines, repeats offers that got no
+    /// response within the offer interval, and returns unused credits.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -532,17 +546,17 @@
         let mut unsent: Vec<RequestId> = self.unsent.iter().copied().collect();
         unsent.sort_unstable();
         for request in unsent {
-            output.extend(self.attend(now, request, view, machines));
+            output.extend(self.check_unsent(now, request, view, machines));
         }
         self.return_expired_credits(now, machines);
         output.extend(self.flush_releases(1));
-        if self.accounts.due(now) {
-            output.extend(self.account());
+        if self.account_reports.due(now) {
+            output.extend(self.report_held_slots());
         }
         output
     }
 
-    fn attend(
+    fn check_unsent(
         &mut self,
         now: Timestamp,
         request: RequestId,
@@ -554,19 +568,19 @@
         };
         if pending.arrival.deadline <= now {
             let pending = pending.clone();
-            let mut output = self.leave_queue(now, &pending);
+            let mut output = self.cancel_unsent(now, &pending);
             let retry_after = Some(self.settings.backoff_limit);
             output.extend(self.finish_refused(request, RefusalReason::DeadlinePassed, retry_after));
             return output;
         }
         match &pending.stage {
             Stage::Unoffered { not_before } if *not_before <= now => {
-                self.seek_slot(now, request, view, machines)
+                self.find_slot(now, request, view, machines)
             }
             Stage::Waiting { owner, offered } => {
-                let silent = now.since(*offered) >= self.settings.offer_interval;
-                let moved = view.owner(&pending.arrival.queue.to_string()) != Some(owner);
-                if silent || moved {
+                let is_unanswered = now.since(*offered) >= self.settings.offer_interval;
+                let has_moved = view.owner(&pending.arrival.queue.to_string()) != Some(owner);
+                if is_unanswered || has_moved {
                     return self.offer(now, request, view);
                 }
                 Vec::new()
@@ -576,7 +590,7 @@
     }
 }
 
-fn takes_work(machines: &MachineTable, back_end: &BackEndId) -> bool {
+fn may_receive_requests(machines: &MachineTable, back_end: &BackEndId) -> bool {
     machines
         .back_end(back_end)
         .is_some_and(|machine| machine.state == MachineState::Live)
--- a/crates/coordination/src/placement/announce.rs
+++ b/crates/coordination/src/placement/announce.rs
@@ -1,26 +1,29 @@
-//! Tells queue owners about replicas of what they asked for.
+//! Sends the replica sets of demanded artifacts to their queue owners.
 //!
 //! In: artifacts whose replicas may have changed. Out: replica sets, each only
-//! if it differs from what its owner was told last.
+//! if it differs from the set that was last sent to its owner.
 
 use gorsebank_contract::{Fence, PeerMessage, ReplicaOffer, ReplicaSet, SourceTier};
 use gorsebank_world::{Artifact, BackEndId};
 
 use crate::configuration::Configuration;
 use crate::placement::engine::Engine;
-use crate::placement::need::Announced;
+use crate::placement::need::AnnouncedReplicas;
 use crate::placement::{Placement, PlacementOutput, parts_of};
 use crate::time::Timestamp;
 
-/// When to come back if an artifact has no place and none is in sight.
-const NO_PLACE_RETRY: u64 = 5_000;
-/// So many times its slots an engine is promised to several artifacts.
-const OVERBOOKING: f64 = 1.5;
-/// Expected times are told to owners in steps of so long.
-const EXPECTED_STEP: u64 = 1_000;
+/// Retry delay that owners report for an artifact that fits on no engine, in
+/// milliseconds.
+const NO_PLACE_RETRY_MS: u64 = 5_000;
+/// Ratio of the slots that an engine offers to all its artifacts together to the
+/// slots that it has.
+const OVERBOOKING_FACTOR: f64 = 1.5;
+/// Granularity of the expected times that owners get, in milliseconds.
+const EXPECTED_STEP_MS: u64 = 1_000;
 
 impl Placement {
-    /// Tells owners about their replicas where something changed.
+    /// Builds messages with the replica sets that changed since they were last
+    /// sent.
     pub(super) fn announce(
         &mut self,
         now: Timestamp,
@@ -29,8 +32,8 @@
     ) -> Vec<PlacementOutput> {
         let mut output = Vec::new();
         let dirty = std::mem::take(&mut self.dirty);
-        let artifacts: Vec<Artifact> = if std::mem::take(&mut self.all_dirty) {
-            self.needs.keys().cloned().collect()
+        let artifacts: Vec<Artifact> = if std::mem::take(&mut self.is_all_dirty) {
+            self.demands.keys().cloned().collect()
         } else {
             dirty.into_iter().collect()
         };
@@ -38,48 +41,49 @@
             let Some(state) = self.replica_state(now, &artifact, configuration) else {
                 continue;
             };
-            let Some(need) = self.needs.get_mut(&artifact) else {
+            let Some(demand) = self.demands.get_mut(&artifact) else {
                 continue;
             };
-            let told = need.announced.as_ref().map(|(_, told)| told);
-            if told == Some(&state) {
+            let sent = demand.announced.as_ref().map(|(_, state)| state);
+            if sent == Some(&state) {
                 continue;
             }
-            self.versions += 1;
+            self.last_version += 1;
             let set = ReplicaSet {
                 artifact,
                 fence,
-                version: self.versions,
+                version: self.last_version,
                 ready: state.ready.clone(),
                 expected: state.expected.map(|at| at.since(now)),
-                no_place: state.no_place.then_some(NO_PLACE_RETRY),
+                no_place: state.no_place.then_some(NO_PLACE_RETRY_MS),
             };
             output.push(PlacementOutput::Send(
                 state.owner.clone(),
                 PeerMessage::Replicas(set),
             ));
-            need.announced = Some((self.versions, state));
+            demand.announced = Some((self.last_version, state));
         }
         output
     }
 
-    /// An engine's slots, shared among the artifacts that are in use on it and
-    /// overbooked a little, since they are seldom busy at the same moment.
+    /// Slots of an engine for one artifact. The slots are divided among the
+    /// artifacts in use on the engine, and overbooked, because the artifacts are
+    /// seldom busy at the same moment.
     pub(super) fn slots_for(&self, engine: &Engine, artifact: &Artifact) -> u32 {
         let others = engine
             .targets()
             .filter(|other| *other != artifact)
-            .filter_map(|other| self.needs.get(other))
-            .filter(|need| need.waiting > 0 || need.running > 0)
+            .filter_map(|other| self.demands.get(other))
+            .filter(|demand| demand.waiting > 0 || demand.running > 0)
             .count() as u32;
         let slots = engine.machine.slots;
-        let share = f64::from(slots) * OVERBOOKING / f64::from(others + 1);
+        let share = f64::from(slots) * OVERBOOKING_FACTOR / f64::from(others + 1);
         (share as u32).clamp(1, slots)
     }
 
-    /// When an artifact is expected to be ready on an engine: the load that
-    /// runs ends, or the store's backlog and a load are over. Rounded, so that
-    /// owners are not told of every small change.
+    /// The time at which an artifact is expected to be ready on an engine: the
+    /// end of the running load, or of a new load behind the backlog of the weight
+    /// store. The time is rounded up, so that small changes cause no messages.
     fn expected_ready(
         &self,
         now: Timestamp,
@@ -87,23 +91,23 @@
         artifact: &Artifact,
         configuration: &Configuration,
     ) -> Option<Timestamp> {
-        let mut time = 0;
+        let mut duration = 0;
         for part in artifact.required() {
             let bytes = configuration.memory(&part)?;
-            time += match engine.load_elapsed(now, &part) {
+            duration += match engine.load_elapsed(now, &part) {
                 Some(elapsed) => {
-                    let whole = engine.load_time(&part, bytes, &self.settings) as f64;
-                    ((whole * self.pace.factor(now)) as u64).saturating_sub(elapsed)
+                    let total = engine.load_time(&part, bytes, &self.settings) as f64;
+                    ((total * self.slowdown.factor(now)) as u64).saturating_sub(elapsed)
                 }
                 None if engine.inventory.loaded.contains_key(&part) => 0,
-                None => self.unstarted_time(now, engine, &part, bytes),
+                None => self.load_duration_with_delay(now, engine, &part, bytes),
             };
         }
-        let rounded = (now + time).0.div_ceil(EXPECTED_STEP) * EXPECTED_STEP;
+        let rounded = (now + duration).0.div_ceil(EXPECTED_STEP_MS) * EXPECTED_STEP_MS;
         Some(Timestamp(rounded))
     }
 
-    fn unstarted_time(
+    fn load_duration_with_delay(
         &self,
         now: Timestamp,
         engine: &Engine,
@@ -111,16 +115,16 @@
         bytes: u64,
     ) -> u64 {
         let load = engine.load_time(artifact, bytes, &self.settings) as f64;
-        let wait = match engine.tier(artifact) {
-            SourceTier::Remote => self.store.delay(self.waiting_loads()),
+        let store_delay = match engine.tier(artifact) {
+            SourceTier::Remote => self.store.delay(self.queued_loads()),
             SourceTier::Memory | SourceTier::Disk => 0,
         };
-        (load * self.pace.factor(now)) as u64 + wait
+        (load * self.slowdown.factor(now)) as u64 + store_delay
     }
 
-    /// Whether an engine that may hold the artifact is large enough for it, if
-    /// everything else on it were gone.
-    fn fits_somewhere(&self, artifact: &Artifact, configuration: &Configuration) -> bool {
+    /// Whether an engine that the deployment selects has enough memory for the
+    /// artifact, apart from the standby share, if nothing else were loaded.
+    fn has_fitting_engine(&self, artifact: &Artifact, configuration: &Configuration) -> bool {
         let Some(parts) = parts_of(artifact, configuration) else {
             return false;
         };
@@ -142,14 +146,14 @@
         now: Timestamp,
         artifact: &Artifact,
         configuration: &Configuration,
-    ) -> Option<Announced> {
-        let need = self.needs.get(artifact)?;
-        let wanted_on: Vec<(&BackEndId, &Engine)> = self
+    ) -> Option<AnnouncedReplicas> {
+        let demand = self.demands.get(artifact)?;
+        let target_engines: Vec<(&BackEndId, &Engine)> = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.wants(artifact))
+            .filter(|(_, engine)| engine.is_target(artifact))
             .collect();
-        let ready = wanted_on
+        let ready = target_engines
             .iter()
             .filter(|(_, engine)| engine.is_ready(artifact))
             .map(|(id, engine)| ReplicaOffer {
@@ -157,20 +161,20 @@
                 slots: self.slots_for(engine, artifact),
             })
             .collect();
-        let expected = wanted_on
+        let expected = target_engines
             .iter()
             .filter(|(_, engine)| !engine.is_ready(artifact))
             .filter_map(|(_, engine)| self.expected_ready(now, engine, artifact, configuration))
             .min();
         let is_settled = self.engines.values().all(Engine::is_inspected);
-        Some(Announced {
-            owner: need.owner.clone(),
+        Some(AnnouncedReplicas {
+            owner: demand.owner.clone(),
             ready,
             expected,
-            no_place: wanted_on.is_empty()
+            no_place: target_engines.is_empty()
                 && is_settled
-                && need.is_wanted()
-                && !self.fits_somewhere(artifact, configuration),
+                && demand.has_waiting()
+                && !self.has_fitting_engine(artifact, configuration),
         })
     }
 }
--- a/crates/coordination/src/placement/decisions.rs
+++ b/crates/coordination/src/placement/decisions.rs
@@ -1,6 +1,6 @@
-//! Decisions that are written to the table before any order.
+//! Writes memory decisions to the table before the engines get orders.
 //!
-//! In: targets of engines. Out: changed plans, one transaction at a time.
+//! In: targets of engines. Out: transactions with changed plans, one at a time.
 
 use std::sync::Arc;
 
@@ -15,20 +15,20 @@
 use crate::placement::{Placement, PlacementOutput};
 use crate::time::Timestamp;
 
-/// Plans in one transaction at the most: etcd takes 128 operations by default,
-/// and the lease and the claim group need theirs.
-const PLANS_PER_TRANSACTION: usize = 100;
+/// Upper limit of plans in one transaction. etcd accepts 128 operations in a
+/// transaction by default, and the lease and the claim group need some of them.
+const MAX_PLANS_PER_TRANSACTION: usize = 100;
 
 impl Placement {
-    /// Reserves memory for what is wanted, and ends reservations of what is
-    /// neither wanted nor there.
-    pub(super) fn settle_reservations(&mut self, configuration: &Configuration) {
+    /// Reserves memory for target artifacts, and removes the reservations of
+    /// artifacts that are no targets and cannot be loaded.
+    pub(super) fn update_reservations(&mut self, configuration: &Configuration) {
         for engine in self.engines.values_mut() {
             let is_changed = engine.refresh();
-            if !engine.is_claimed() || (!is_changed && engine.missing().is_empty()) {
+            if !engine.may_receive_orders() || (!is_changed && engine.missing().is_empty()) {
                 continue;
             }
-            drop_reservations(engine);
+            remove_unused_reservations(engine);
             for artifact in engine.missing().to_vec() {
                 if let Some(bytes) = configuration.memory(&artifact) {
                     reserve(engine, &artifact, bytes);
@@ -37,29 +37,29 @@
         }
     }
 
-    /// One transaction with the decisions that changed; those that a load waits
-    /// for go first, and what is too much waits for the next one.
-    pub(super) fn write(&mut self, now: Timestamp) -> Option<PlacementOutput> {
+    /// Builds one transaction with the changed plans. Plans that a load waits for
+    /// go first. Plans above the limit wait for the next transaction.
+    pub(super) fn write_decisions(&mut self, now: Timestamp) -> Option<PlacementOutput> {
         if self.lease.is_busy() {
             return None;
         }
         let changed = self.changed_plans();
         let puts = self.rows_of(&changed);
-        let confirm = self.engines.values().any(Engine::wants_commit);
-        let (number, transaction) = self.lease.decide(now, puts, confirm)?;
+        let is_awaiting_commit = self.engines.values().any(Engine::is_awaiting_commit);
+        let (number, transaction) = self.lease.decide(now, puts, is_awaiting_commit)?;
         for id in &changed {
             if let Some(engine) = self.engines.get_mut(id) {
                 engine.plan_changed = false;
                 engine.in_flight = Some(Arc::clone(&engine.next));
             }
         }
-        self.confirming = self
+        self.awaiting_commit = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.wants_commit())
+            .filter(|(_, engine)| engine.is_awaiting_commit())
             .filter_map(|(id, engine)| Some((id.clone(), engine.incarnation()?)))
             .collect();
-        self.writing_group = self.wanted_group().cloned();
+        self.group_in_flight = self.wanted_group().cloned();
         Some(PlacementOutput::Transact(number, transaction))
     }
 
@@ -78,7 +78,7 @@
         changed.sort();
         changed
             .into_iter()
-            .take(PLANS_PER_TRANSACTION)
+            .take(MAX_PLANS_PER_TRANSACTION)
             .map(|(_, id)| id)
             .collect()
     }
@@ -104,15 +104,15 @@
     }
 }
 
-fn drop_reservations(engine: &mut Engine) {
-    let ended: Vec<Artifact> = engine
+fn remove_unused_reservations(engine: &mut Engine) {
+    let unused: Vec<Artifact> = engine
         .next
         .reservations
         .keys()
-        .filter(|artifact| !engine.wants(artifact) && !engine.may_hold(artifact))
+        .filter(|artifact| !engine.is_target(artifact) && !engine.may_hold(artifact))
         .cloned()
         .collect();
-    for artifact in ended {
+    for artifact in unused {
         Arc::make_mut(&mut engine.next)
             .reservations
             .remove(&artifact);
@@ -120,12 +120,12 @@
     }
 }
 
-/// Reserves memory for a wanted artifact that the standby share does not serve.
+/// Reserves memory for a target artifact that cannot use the standby share.
 fn reserve(engine: &mut Engine, artifact: &Artifact, bytes: u64) {
-    let is_decided = engine.next.reservations.contains_key(artifact);
-    let stands_by = engine.is_standby(artifact)
+    let has_reservation = engine.next.reservations.contains_key(artifact);
+    let has_standby_memory = engine.is_standby(artifact)
         && (engine.may_hold(artifact) || engine.standby_free() >= bytes);
-    if is_decided || stands_by || engine.next.free() < bytes {
+    if has_reservation || has_standby_memory || engine.next.free() < bytes {
         return;
     }
     Arc::make_mut(&mut engine.next)
--- a/crates/coordination/src/placement/engine/exchange.rs
+++ b/crates/coordination/src/placement/engine/exchange.rs
@@ -1,47 +1,50 @@
-//! Orders to an engine and its answers.
+//! Orders to an engine, and the results of these orders.
+//!
+//! In: actions to order, results of orders, time. Out: numbered orders, and the
+//! updated record of the engine.
 
 use gorsebank_contract::{Fence, Inventory, Order, OrderAction, OrderError, OrderResult, Sequence};
 use gorsebank_world::Artifact;
 
 use crate::placement::engine::{
-    Engine, InFlightOrder, OrderOutcome, QUIET_INSPECT_INTERVAL, REFUSED_PAUSE,
+    Engine, InFlightOrder, OrderOutcome, QUIET_INSPECT_INTERVAL_MS, REFUSED_PAUSE_MS,
 };
 use crate::settings::PlacementSettings;
 use crate::time::Timestamp;
 
 impl Engine {
-    /// Takes in the result of an order.
-    pub fn answered(
+    /// Applies the result of an order.
+    pub fn apply_result(
         &mut self,
         now: Timestamp,
         sequence: Sequence,
         result: OrderResult,
     ) -> OrderOutcome {
-        let was_inspection = self.inspecting == Some(sequence);
+        let was_inspection = self.inspection_in_flight == Some(sequence);
         if was_inspection {
-            self.inspecting = None;
+            self.inspection_in_flight = None;
         }
         let order = self.orders.remove(&sequence);
-        self.stale = true;
+        self.is_stale = true;
         if order.is_none() && !was_inspection {
             return OrderOutcome::Continue;
         }
         match result {
-            OrderResult::Done(inventory) => self.observe(now, sequence, inventory),
+            OrderResult::Done(inventory) => self.update_inventory(now, sequence, inventory),
             OrderResult::Refused(OrderError::Fenced { .. }, _) => return OrderOutcome::Fenced,
             OrderResult::Refused(_, inventory) => {
-                self.refused_until = now + REFUSED_PAUSE;
-                self.observe(now, sequence, inventory);
+                self.refused_until = now + REFUSED_PAUSE_MS;
+                self.update_inventory(now, sequence, inventory);
             }
             OrderResult::Unknown => {
                 self.failed_inspections += u32::from(was_inspection);
-                self.lost(now, sequence, order);
+                self.record_lost_order(now, sequence, order);
             }
         }
         OrderOutcome::Continue
     }
 
-    pub(super) fn lost(
+    pub(super) fn record_lost_order(
         &mut self,
         now: Timestamp,
         sequence: Sequence,
@@ -49,14 +52,20 @@
     ) {
         let action = order.map(|order| order.action);
         if let Some(OrderAction::Load { artifact, bytes }) = action {
-            self.doubtful.insert(sequence, (artifact, bytes));
+            self.uncertain_loads.insert(sequence, (artifact, bytes));
         }
-        self.next_inspection = self.next_inspection.min(now + REFUSED_PAUSE);
+        self.next_inspection = self.next_inspection.min(now + REFUSED_PAUSE_MS);
     }
 
-    /// Takes in a report, unless a newer one is known. The engine refuses
-    /// every order before the one it answered, so none of those is in doubt.
-    pub(super) fn observe(&mut self, now: Timestamp, sequence: Sequence, inventory: Inventory) {
+    /// Stores an inventory, unless a more recent one is known. The engine refuses
+    /// all orders with lower sequence numbers than the order that it answered, so
+    /// the outcome of these orders is no longer in doubt.
+    pub(super) fn update_inventory(
+        &mut self,
+        now: Timestamp,
+        sequence: Sequence,
+        inventory: Inventory,
+    ) {
         let known = self.incarnation().unwrap_or_default();
         if inventory.incarnation < known {
             return;
@@ -65,12 +74,12 @@
         self.failed_inspections = 0;
         if inventory.incarnation > known {
             self.orders.clear();
-            self.doubtful.clear();
+            self.uncertain_loads.clear();
             self.inspected = Some((inventory.incarnation, false));
         } else if inventory.version < self.inventory.version {
             return;
         }
-        self.doubtful.retain(|doubtful, _| *doubtful > sequence);
+        self.uncertain_loads.retain(|order, _| *order > sequence);
         self.orders.retain(|ordered, order| {
             let is_settled = matches!(&order.action, OrderAction::Load { artifact, .. }
                 if inventory.loaded.contains_key(artifact));
@@ -79,8 +88,9 @@
         self.inventory = inventory;
     }
 
-    /// The load that `result` ends well, with its bytes, and how long it took.
-    pub fn ended_load(
+    /// The load that `result` completes, as its artifact, its size in bytes and
+    /// its duration in milliseconds.
+    pub fn completed_load(
         &self,
         now: Timestamp,
         sequence: Sequence,
@@ -95,40 +105,41 @@
         }
     }
 
-    /// An inspection, if one is due: often while something is unclear.
-    pub fn inspection(
+    /// Builds an inspection order if one is due. The interval is short while the
+    /// state of the engine is uncertain.
+    pub fn build_inspection(
         &mut self,
         now: Timestamp,
         fence: Fence,
         settings: &PlacementSettings,
     ) -> Option<Order> {
-        if self.inspecting.is_some() || now < self.next_inspection {
+        if self.inspection_in_flight.is_some() || now < self.next_inspection {
             return None;
         }
-        let is_unclear = !self.is_claimed()
+        let is_uncertain = !self.may_receive_orders()
             || self.failed_inspections > 0
             || !self.inventory.loading.is_empty()
-            || !self.doubtful.is_empty();
-        let interval = if is_unclear {
+            || !self.uncertain_loads.is_empty();
+        let interval = if is_uncertain {
             settings.inspect_interval
         } else {
-            QUIET_INSPECT_INTERVAL
+            QUIET_INSPECT_INTERVAL_MS
         };
         self.next_inspection = now + interval;
-        Some(self.order(now, fence, OrderAction::Inspect))
+        Some(self.build_order(now, fence, OrderAction::Inspect))
     }
 
-    /// An order to carry out `action`.
-    pub fn order(&mut self, now: Timestamp, fence: Fence, action: OrderAction) -> Order {
+    /// Builds an order to execute `action`, and records the order as in flight.
+    pub fn build_order(&mut self, now: Timestamp, fence: Fence, action: OrderAction) -> Order {
         self.sequence = self.sequence.next();
         let incarnation = match (&action, self.inspected) {
             (OrderAction::Inspect, _) => None,
             (_, inspected) => inspected.map(|(incarnation, _)| incarnation),
         };
         match &action {
-            OrderAction::Inspect => self.inspecting = Some(self.sequence),
+            OrderAction::Inspect => self.inspection_in_flight = Some(self.sequence),
             _ => {
-                self.stale = true;
+                self.is_stale = true;
                 let order = InFlightOrder {
                     action: action.clone(),
                     sent: now,
--- a/crates/coordination/src/placement/engine/mod.rs
+++ b/crates/coordination/src/placement/engine/mod.rs
@@ -1,10 +1,13 @@
-//! One engine as the placement holder sees it: decided, wanted and observed.
+//! The placement holder's record of one engine: plans, targets and inventory.
 //!
-//! `committed` is the decision that the table has; `next` is what the holder
-//! wants it to have; `target` is what shall be loaded now; `inventory` is what
-//! the engine last reported. Orders follow from the difference between target
-//! and inventory, and only as far as every version of the decision that may be
-//! in force permits them.
+//! In: machine list entries, results of orders, reports, targets. Out: lists of
+//! artifacts to load and to unload, and orders.
+//!
+//! `committed` is the plan in the table, `next` is the plan that the holder
+//! intends to write, `targets` lists the artifacts that should be loaded, and
+//! `inventory` is the last report of the engine. Orders follow from the
+//! difference between targets and inventory. An order is given only if every
+//! version of the plan that may be in force permits it.
 
 mod exchange;
 mod memory;
@@ -21,32 +24,38 @@
 use crate::settings::PlacementSettings;
 use crate::time::Timestamp;
 
-/// Pause before an order that was refused is given again.
-const REFUSED_PAUSE: u64 = 500;
-/// So many inspections without an answer put an engine out of service.
-const FAILED_INSPECTIONS: u32 = 2;
-/// What could not be given memory for so long is looked for elsewhere.
-const STUCK: u64 = 5_000;
-/// A new holder waits so long for the first report of an engine.
-const FIRST_REPORT: u64 = 2_000;
-/// An engine that is listed no more is forgotten after so long.
-const FORGET_UNLISTED: u64 = 600_000;
-/// An engine of which nothing new is heard is inspected so often: watchers say
-/// when something changed, and this finds what their words were lost about.
-const QUIET_INSPECT_INTERVAL: u64 = 60_000;
-
-/// What an order's result means for the holder.
+/// Pause after a refused order before the engine gets further orders, in
+/// milliseconds.
+const REFUSED_PAUSE_MS: u64 = 500;
+/// Number of consecutive failed inspections after which an engine is out of
+/// service.
+const MAX_FAILED_INSPECTIONS: u32 = 2;
+/// Time without memory for a target after which another engine is chosen, in
+/// milliseconds.
+const STUCK_MS: u64 = 5_000;
+/// Time for which a new holder waits for the first report of an engine, in
+/// milliseconds.
+const FIRST_REPORT_TIMEOUT_MS: u64 = 2_000;
+/// Time without a response after which an unlisted engine is removed, in
+/// milliseconds.
+const UNLISTED_RETENTION_MS: u64 = 600_000;
+/// Interval between inspections of an engine without reported changes, in
+/// milliseconds. Watchers report changes, and these inspections find the changes
+/// whose reports were lost.
+const QUIET_INSPECT_INTERVAL_MS: u64 = 60_000;
+
+/// Consequence of an order's result for the holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderOutcome {
-    /// Go on.
+    /// The holder continues.
     Continue,
-    /// A higher fence rules: step down.
+    /// A higher fencing token is in force, so the holder must step down.
     Fenced,
 }
 
-/// An artifact that shall be loaded.
+/// An artifact that should be loaded.
 #[derive(Clone, Copy, Debug)]
-struct Wish {
+struct Target {
     bytes: u64,
     since: Timestamp,
 }
@@ -57,41 +66,42 @@
     sent: Timestamp,
 }
 
-/// The holder's record of one engine.
+/// The holder's record of one engine's state.
 #[derive(Debug)]
 pub struct Engine {
-    /// The machine as listed.
+    /// The entry of the machine list.
     pub machine: Machine,
-    /// The decision in the table.
+    /// The plan in the table.
     pub committed: Arc<BackEndPlan>,
-    /// The decision in a transaction without an answer.
+    /// The plan in a transaction without a response.
     pub in_flight: Option<Arc<BackEndPlan>>,
-    /// The decision that the holder wants.
+    /// The plan that the holder intends to write.
     pub next: Arc<BackEndPlan>,
-    /// What shall be loaded now.
-    target: BTreeMap<Artifact, Wish>,
-    /// Something changed since the work lists were made.
-    stale: bool,
-    /// Wanted and not there.
+    /// The artifacts that should be loaded.
+    targets: BTreeMap<Artifact, Target>,
+    /// Whether the engine changed since `missing` and `surplus` were computed.
+    is_stale: bool,
+    /// Targets that are not loaded.
     missing: Vec<Artifact>,
-    /// There and not wanted.
+    /// Loaded artifacts that are no targets.
     surplus: Vec<Artifact>,
-    /// The role that operators chose.
+    /// The role that operators configured.
     role: EngineRole,
-    /// `next` may differ from `committed`.
+    /// Whether `next` may differ from `committed`.
     pub plan_changed: bool,
-    /// What the engine last reported.
+    /// The inventory that the engine last reported.
     pub inventory: Inventory,
-    /// The life of the engine that was inspected under this fence, and whether
-    /// a transaction committed since. Without the latter a holder that was
-    /// replaced unawares could order about an engine that restarted and forgot
-    /// the higher fence.
+    /// The incarnation of the engine that was inspected under this fencing token,
+    /// and whether a transaction has committed since the inspection. Without the
+    /// commit, a holder that was replaced without its knowledge could give orders
+    /// to an engine that restarted and lost the higher fencing token.
     inspected: Option<(Incarnation, bool)>,
     orders: BTreeMap<Sequence, InFlightOrder>,
-    /// Loads without an answer, which may yet start: their memory counts as
-    /// taken until the engine answered a later order.
-    doubtful: BTreeMap<Sequence, (Artifact, u64)>,
-    inspecting: Option<Sequence>,
+    /// Load orders without a response, by sequence number. These loads may still
+    /// start, so their memory counts as used until the engine answers a later
+    /// order.
+    uncertain_loads: BTreeMap<Sequence, (Artifact, u64)>,
+    inspection_in_flight: Option<Sequence>,
     next_inspection: Timestamp,
     refused_until: Timestamp,
     failed_inspections: u32,
@@ -100,7 +110,7 @@
 }
 
 impl Engine {
-    /// An engine that was not inspected yet.
+    /// Creates the record of an engine that has not been inspected.
     pub fn new(now: Timestamp, machine: Machine, committed: BackEndPlan) -> Self {
         let committed = Arc::new(committed);
         let mut next = Arc::clone(&committed);
@@ -112,8 +122,8 @@
             next,
             committed,
             in_flight: None,
-            target: BTreeMap::new(),
-            stale: true,
+            targets: BTreeMap::new(),
+            is_stale: true,
             missing: Vec::new(),
             surplus: Vec::new(),
             role: EngineRole::Serve,
@@ -121,8 +131,8 @@
             inventory: Inventory::default(),
             inspected: None,
             orders: BTreeMap::new(),
-            doubtful: BTreeMap::new(),
-            inspecting: None,
+            uncertain_loads: BTreeMap::new(),
+            inspection_in_flight: None,
             next_inspection: now,
             refused_until: now,
             failed_inspections: 0,
@@ -131,71 +141,76 @@
         }
     }
 
-    /// What shall be loaded now.
+    /// The artifacts that should be loaded.
     pub fn targets(&self) -> impl Iterator<Item = &Artifact> {
-        self.target.keys()
+        self.targets.keys()
     }
 
-    /// Whether the artifact shall be loaded now.
-    pub fn wants(&self, artifact: &Artifact) -> bool {
-        self.target.contains_key(artifact)
+    /// Whether the artifact should be loaded.
+    pub fn is_target(&self, artifact: &Artifact) -> bool {
+        self.targets.contains_key(artifact)
     }
 
-    /// Wants artifacts, with their bytes, to be loaded.
-    pub fn want(&mut self, now: Timestamp, artifacts: impl IntoIterator<Item = (Artifact, u64)>) {
+    /// Adds artifacts, with their bytes, to the targets.
+    pub fn add_targets(
+        &mut self,
+        now: Timestamp,
+        artifacts: impl IntoIterator<Item = (Artifact, u64)>,
+    ) {
         for (artifact, bytes) in artifacts {
-            self.target
+            self.targets
                 .entry(artifact)
-                .or_insert(Wish { bytes, since: now });
+                .or_insert(Target { bytes, since: now });
         }
-        self.stale = true;
+        self.is_stale = true;
     }
 
-    /// Wants what could not be loaded for long no more; gives it back, so that
-    /// another place is looked for.
-    pub fn give_up_stuck(&mut self, now: Timestamp) -> Vec<Artifact> {
+    /// Removes the targets that got no memory for a long time. The returned
+    /// artifacts can be placed on other engines.
+    pub fn remove_stuck_targets(&mut self, now: Timestamp) -> Vec<Artifact> {
         let stuck: Vec<Artifact> = self
-            .target
+            .targets
             .iter()
-            .filter(|(_, wish)| now.since(wish.since) > STUCK)
+            .filter(|(_, target)| now.since(target.since) > STUCK_MS)
             .map(|(artifact, _)| artifact)
-            .filter(|artifact| !self.may_hold(artifact) && !self.is_decided(artifact))
+            .filter(|artifact| !self.may_hold(artifact) && !self.has_reservation(artifact))
             .cloned()
             .collect();
         for artifact in &stuck {
-            self.give_up(artifact);
+            self.remove_target(artifact);
         }
         stuck
     }
 
-    /// Wants an artifact, and the adapters that need it, no more.
-    pub fn give_up(&mut self, artifact: &Artifact) {
-        self.target
+    /// Removes an artifact and its dependent adapters from the targets.
+    pub fn remove_target(&mut self, artifact: &Artifact) {
+        self.targets
             .retain(|other, _| other != artifact && other.base() != *artifact);
-        self.stale = true;
+        self.is_stale = true;
     }
 
-    /// Wants nothing any more.
-    pub fn give_up_all(&mut self) {
-        self.target.clear();
-        self.stale = true;
+    /// Removes all targets.
+    pub fn clear_targets(&mut self) {
+        self.targets.clear();
+        self.is_stale = true;
     }
 
-    /// A decision took effect.
-    pub fn committed(&mut self) {
+    /// Records that the plan in flight was committed.
+    pub fn record_commit(&mut self) {
         if let Some(plan) = self.in_flight.take() {
             self.committed = plan;
-            self.stale = true;
+            self.is_stale = true;
         }
     }
 
-    /// Makes the work lists anew if something changed; says whether it did.
+    /// Recomputes `missing` and `surplus` if the engine changed, and returns
+    /// whether it did.
     pub fn refresh(&mut self) -> bool {
-        if !std::mem::take(&mut self.stale) {
+        if !std::mem::take(&mut self.is_stale) {
             return false;
         }
         self.missing = self
-            .target
+            .targets
             .keys()
             .filter(|artifact| !self.may_hold(artifact))
             .cloned()
@@ -204,18 +219,18 @@
             .inventory
             .loaded
             .keys()
-            .filter(|artifact| !self.wants(artifact))
+            .filter(|artifact| !self.is_target(artifact))
             .cloned()
             .collect();
         true
     }
 
-    /// Wanted and not there, as of the last refresh.
+    /// Targets that were not loaded at the last refresh.
     pub fn missing(&self) -> &[Artifact] {
         &self.missing
     }
 
-    /// Loads that were ordered and have not ended, with their bytes and times.
+    /// Loads in flight, with their bytes and the milliseconds since their orders.
     pub fn running_loads(&self, now: Timestamp) -> impl Iterator<Item = (&Artifact, u64, u64)> {
         self.orders
             .values()
@@ -227,95 +242,101 @@
             })
     }
 
-    /// Whether orders may be given.
-    pub fn is_claimed(&self) -> bool {
+    /// Whether the holder may send orders other than inspections.
+    pub fn may_receive_orders(&self) -> bool {
         matches!(self.inspected, Some((_, true)))
     }
 
-    /// Whether the engine reported under this fence.
+    /// Whether the engine was inspected under this fencing token.
     pub fn is_inspected(&self) -> bool {
         self.inspected.is_some()
     }
 
-    /// Whether it waits for a committed transaction before it takes orders.
-    pub fn wants_commit(&self) -> bool {
+    /// Whether the engine was inspected, and a transaction must commit before the
+    /// engine may get orders.
+    pub fn is_awaiting_commit(&self) -> bool {
         matches!(self.inspected, Some((_, false)))
     }
 
-    /// The life of the engine that was inspected.
+    /// The incarnation of the engine that was inspected.
     pub fn incarnation(&self) -> Option<Incarnation> {
         self.inspected.map(|(incarnation, _)| incarnation)
     }
 
-    /// A transaction committed that was sent after that life was inspected.
-    pub fn confirm(&mut self, life: Incarnation) {
+    /// Records the commit of a transaction that was sent after the inspection of
+    /// `confirmed_incarnation`.
+    pub fn confirm(&mut self, confirmed_incarnation: Incarnation) {
         if let Some((incarnation, confirmed)) = &mut self.inspected
-            && *incarnation == life
+            && *incarnation == confirmed_incarnation
         {
             *confirmed = true;
         }
     }
 
-    /// Whether requests may be sent to it.
+    /// Whether requests may be sent to the engine.
     pub fn is_in_service(&self) -> bool {
         self.machine.state == MachineState::Live
             && self.is_inspected()
-            && self.failed_inspections < FAILED_INSPECTIONS
+            && self.failed_inspections < MAX_FAILED_INSPECTIONS
     }
 
-    /// Whether its first report under this fence is still to be expected.
-    pub fn is_awaited(&self, now: Timestamp) -> bool {
-        !self.is_inspected() && now.since(self.last_answer) < FIRST_REPORT
+    /// Whether the first report under this fencing token is still expected.
+    pub fn is_awaiting_first_report(&self, now: Timestamp) -> bool {
+        !self.is_inspected() && now.since(self.last_answer) < FIRST_REPORT_TIMEOUT_MS
     }
 
-    /// Whether it is listed no more and has been silent for long.
-    pub fn is_forgettable(&self, now: Timestamp) -> bool {
-        self.machine.state == MachineState::Leaving && now.since(self.last_answer) > FORGET_UNLISTED
+    /// Whether the engine is unlisted or draining, and has not responded for a
+    /// long time.
+    pub fn is_removable(&self, now: Timestamp) -> bool {
+        self.machine.state == MachineState::Leaving
+            && now.since(self.last_answer) > UNLISTED_RETENTION_MS
     }
 
-    /// Somebody had trouble with it: look at it now.
-    pub fn suspect(&mut self, now: Timestamp) {
+    /// Schedules an inspection at once, after a problem with the engine.
+    pub fn inspect_soon(&mut self, now: Timestamp) {
         self.next_inspection = now;
     }
 
-    /// Its watcher read its report, or got no answer.
-    pub fn reported(&mut self, now: Timestamp, report: Option<EngineReport>) {
+    /// Applies the report that a watcher read; `None` if the engine did not
+    /// respond.
+    pub fn apply_report(&mut self, now: Timestamp, report: Option<EngineReport>) {
         let known = EngineReport {
             incarnation: self.incarnation().unwrap_or_default(),
             version: self.inventory.version,
         };
         if report != Some(known) {
-            self.suspect(now);
+            self.inspect_soon(now);
         }
     }
 
-    /// Whether it may be chosen for new loads.
+    /// Whether the engine may be chosen for new loads.
     pub fn is_eligible(&self) -> bool {
-        self.is_claimed() && self.is_in_service() && self.serves()
+        self.may_receive_orders() && self.is_in_service() && self.is_serving()
     }
 
-    /// Whether it has, and shall have, the role in which models are loaded.
-    fn serves(&self) -> bool {
+    /// Whether the present and the configured role are the role in which models
+    /// are loaded.
+    fn is_serving(&self) -> bool {
         self.role == EngineRole::Serve && self.inventory.role == EngineRole::Serve
     }
 
-    /// Wants the engine to have a role; one that serves no more gives up what
-    /// it holds first.
-    pub fn choose_role(&mut self, role: EngineRole) {
+    /// Sets the configured role. An engine that must leave the serving role loses
+    /// all targets first.
+    pub fn set_role(&mut self, role: EngineRole) {
         self.role = role;
-        if !self.serves() && !self.target.is_empty() {
-            self.give_up_all();
+        if !self.is_serving() && !self.targets.is_empty() {
+            self.clear_targets();
         }
     }
 
-    /// Whether the role can be changed now: it differs, and nothing takes
-    /// memory or may be about to.
-    pub fn role_change(&self, now: Timestamp) -> Option<EngineRole> {
+    /// The role to order now, if it differs from the present role and no artifact
+    /// uses memory or may do so soon.
+    pub fn due_role_change(&self, now: Timestamp) -> Option<EngineRole> {
         let is_changing = self
             .orders
             .values()
             .any(|order| matches!(order.action, OrderAction::ChangeRole { .. }));
-        let is_due = self.is_claimed()
+        let is_due = self.may_receive_orders()
             && now >= self.refused_until
             && self.role != self.inventory.role
             && !is_changing
@@ -323,40 +344,42 @@
         is_due.then_some(self.role)
     }
 
-    /// Whether requests for the artifact may be sent here.
+    /// Whether requests for the artifact may be sent to the engine.
     pub fn is_ready(&self, artifact: &Artifact) -> bool {
-        let loaded =
-            |needed: &Artifact| self.inventory.loaded.contains_key(needed) && self.wants(needed);
+        let loaded = |needed: &Artifact| {
+            self.inventory.loaded.contains_key(needed) && self.is_target(needed)
+        };
         self.is_in_service() && artifact.required().iter().all(loaded)
     }
 
-    /// Whether a load of the artifact may be ordered now: it is wanted, not
-    /// there, its base is there, and memory is decided for it.
-    pub fn can_load(&self, now: Timestamp, artifact: &Artifact, bytes: u64) -> bool {
+    /// Whether a load of the artifact may be ordered now: the artifact is a
+    /// target and not loaded, its base is loaded, and the plan has memory for it.
+    pub fn may_load(&self, now: Timestamp, artifact: &Artifact, bytes: u64) -> bool {
         let has_base = artifact
             .required()
             .iter()
             .all(|needed| needed == artifact || self.inventory.loaded.contains_key(needed));
         let has_memory = self.is_reserved(artifact)
             || (self.is_standby(artifact) && self.standby_free() >= bytes);
-        self.is_claimed()
-            && self.serves()
+        self.may_receive_orders()
+            && self.is_serving()
             && now >= self.refused_until
-            && self.wants(artifact)
+            && self.is_target(artifact)
             && !self.may_hold(artifact)
             && has_base
             && has_memory
     }
 
-    /// Artifacts that shall be unloaded now, adapters before their base.
+    /// Artifacts to unload now. A base is listed only after its adapters are
+    /// unloaded.
     pub fn unloads(&self, now: Timestamp) -> Vec<Artifact> {
-        if !self.is_claimed() || now < self.refused_until {
+        if !self.may_receive_orders() || now < self.refused_until {
             return Vec::new();
         }
         self.surplus
             .iter()
             .filter(|artifact| self.inventory.loaded.contains_key(*artifact))
-            .filter(|artifact| !self.wants(artifact))
+            .filter(|artifact| !self.is_target(artifact))
             .filter(|artifact| !self.has_unload_order(artifact))
             .filter(|artifact| artifact.adapter.is_some() || !self.has_adapter_of(artifact))
             .cloned()
@@ -375,7 +398,7 @@
             .any(|artifact| artifact.adapter.is_some() && artifact.base() == *base)
     }
 
-    /// Where the engine would load the artifact from.
+    /// The tier from which the engine would load the artifact.
     pub fn tier(&self, artifact: &Artifact) -> SourceTier {
         self.inventory
             .cached
@@ -384,7 +407,7 @@
             .unwrap_or(SourceTier::Remote)
     }
 
-    /// How long a load is expected to take, in milliseconds.
+    /// Expected duration of a load, in milliseconds.
     pub fn load_time(&self, artifact: &Artifact, bytes: u64, settings: &PlacementSettings) -> u64 {
         let bandwidth = match self.tier(artifact) {
             SourceTier::Memory => settings.memory_bandwidth,
@@ -394,7 +417,8 @@
         bytes.saturating_mul(1_000) / bandwidth.max(1)
     }
 
-    /// How long the ordered load of the artifact has been running.
+    /// Milliseconds since the load of the artifact was ordered, if one is in
+    /// flight.
     pub fn load_elapsed(&self, now: Timestamp, artifact: &Artifact) -> Option<u64> {
         self.orders
             .values()
--- a/crates/coordination/src/placement/lease_keeper.rs
+++ b/crates/coordination/src/placement/lease_keeper.rs
@@ -1,14 +1,15 @@
-//! Takes and keeps the cell's placement lease, a row of the table service.
+//! Acquires and renews the cell's placement lease, a row of the table service.
 //!
-//! In: the live nodes, rows to write, table answers, time. Out: transactions,
-//! one at a time.
+//! In: the live nodes, rows to write, table responses, time. Out: transactions,
+//! one at a time, and changes of the lease.
 //!
 //! Invariant: every transaction of a holder compares the lease row with the
-//! revision of its own last write and rewrites it. A paused or replaced holder
-//! therefore commits nothing, and a transaction whose answer was lost is sent
-//! again unchanged: either it takes effect now, or the row names it already.
-//! A crash between a commit and its answer leaves decisions in the table that
-//! the next holder reads when it acquires the lease.
+//! revision of its own last write and rewrites the row. A suspended or replaced
+//! holder therefore commits nothing. A transaction whose response was lost is
+//! sent again unchanged: either the transaction takes effect now, or the row
+//! already contains its identifier. A crash between a commit and its response
+//! leaves decisions in the table that the next holder reads when it acquires the
+//! lease.
 
 use gorsebank_contract::{
     Compare, Fence, Lease, Put, TableAnswer, TableRow, Transaction, TransactionId,
@@ -20,42 +21,42 @@
 use crate::settings::PlacementSettings;
 use crate::time::Timestamp;
 
-/// Nodes that stand by to take the lease over.
-const CANDIDATES: usize = 2;
-/// Name of the duty in rendezvous hashing.
-const DUTY: &str = "placement";
-/// Pause before a follower looks at the lease again.
-const FOLLOWER_PAUSE: u64 = 500;
-/// Pause before a transaction without an answer is sent again.
-const RESEND_PAUSE: u64 = 250;
+/// Number of nodes that are candidates for a free lease.
+const CANDIDATE_COUNT: usize = 2;
+/// Name of the placement role in rendezvous hashing.
+const LEASE_ROLE: &str = "placement";
+/// Interval between two reads of the lease by a follower, in milliseconds.
+const READ_INTERVAL_MS: u64 = 500;
+/// Delay before a transaction without a response is sent again, in milliseconds.
+const RESEND_DELAY_MS: u64 = 250;
 
-/// What came of a table answer.
+/// Effect of a table response on the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LeaseEvent {
-    /// This node holds the lease now; the cell's rows as they were at that moment.
+    /// This node apply_acquisition the lease.
     Acquired {
-        /// The new fence.
+        /// The new fencing token.
         fence: Fence,
-        /// All rows of the cell.
+        /// All rows of the cell at the time of the acquisition.
         rows: Vec<TableRow>,
     },
     /// The transaction with this number took effect.
     Committed(u64),
     /// Another node holds the lease.
     Lost,
-    /// Nothing to act on.
+    /// The response changes nothing.
     Nothing,
 }
 
 #[derive(Debug)]
 enum Role {
-    Follower { look_at: Timestamp },
+    Follower { next_read: Timestamp },
     Holder { fence: Fence, modified: u64 },
 }
 
 #[derive(Debug)]
 enum Purpose {
-    Look,
+    ReadLease,
     Acquire(Lease),
     Decide(Lease),
 }
@@ -69,31 +70,31 @@
     resend_at: Option<Timestamp>,
 }
 
-/// One node's part in holding the lease.
+/// State of one node as follower or holder of the lease.
 #[derive(Debug)]
 pub struct LeaseKeeper {
     identity: Identity,
     settings: PlacementSettings,
     role: Role,
     in_flight: Option<InFlight>,
-    numbers: u64,
+    last_number: u64,
     last_commit: Timestamp,
 }
 
 impl LeaseKeeper {
-    /// A follower that first looks at the lease at `start`.
+    /// Creates a follower that first reads the lease at `start`.
     pub fn new(identity: Identity, settings: PlacementSettings, start: Timestamp) -> Self {
         LeaseKeeper {
             identity,
             settings,
-            role: Role::Follower { look_at: start },
+            role: Role::Follower { next_read: start },
             in_flight: None,
-            numbers: 0,
+            last_number: 0,
             last_commit: Timestamp(0),
         }
     }
 
-    /// The fence under which this node holds the lease.
+    /// The fencing token under which this node holds the lease.
     pub fn fence(&self) -> Option<Fence> {
         match self.role {
             Role::Holder { fence, .. } => Some(fence),
@@ -101,20 +102,21 @@
         }
     }
 
-    /// Whether a transaction waits for its answer.
+    /// Whether a transaction is in flight.
     pub fn is_busy(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Whether the table answered not long ago and owes no answer for long.
+    /// Whether the last commit is recent and no transaction has been in flight for
+    /// longer than the table timeout.
     pub fn is_fresh(&self, now: Timestamp) -> bool {
         let age = now.since(self.last_commit);
         age < self.settings.lease_interval + self.settings.table_timeout
-            && self.waiting_for(now) < self.settings.table_timeout
+            && self.pending_time(now) < self.settings.table_timeout
     }
 
-    /// How long the present transaction has been without an answer.
-    pub fn waiting_for(&self, now: Timestamp) -> u64 {
+    /// Milliseconds since the transaction in flight was first sent; 0 without one.
+    pub fn pending_time(&self, now: Timestamp) -> u64 {
         self.in_flight
             .as_ref()
             .map_or(0, |sent| now.since(sent.first_sent))
@@ -123,49 +125,50 @@
     /// Stops holding the lease.
     pub fn step_down(&mut self, now: Timestamp) {
         self.role = Role::Follower {
-            look_at: now + FOLLOWER_PAUSE,
+            next_read: now + READ_INTERVAL_MS,
         };
         self.in_flight = None;
     }
 
-    /// A transaction to look at the lease, or to send again what got no answer.
+    /// Builds a transaction that reads the lease, or repeats the transaction that
+    /// got no response.
     pub fn tick(&mut self, now: Timestamp, view: &View) -> Option<(u64, Transaction)> {
         if let Some(sent) = &mut self.in_flight {
             sent.resend_at.take_if(|at| *at <= now)?;
             return Some((sent.number, sent.transaction.clone()));
         }
-        let Role::Follower { look_at } = &mut self.role else {
+        let Role::Follower { next_read } = &mut self.role else {
             return None;
         };
-        if *look_at > now || !is_candidate(view, &self.identity) {
+        if *next_read > now || !is_candidate(view, &self.identity) {
             return None;
         }
-        *look_at = now + FOLLOWER_PAUSE;
+        *next_read = now + READ_INTERVAL_MS;
         let transaction = Transaction {
             compares: Vec::new(),
             puts: Vec::new(),
             reads: vec![lease_key(&self.identity.cell)],
         };
-        Some(self.send(now, Purpose::Look, transaction))
+        Some(self.send(now, Purpose::ReadLease, transaction))
     }
 
-    /// A transaction that writes `puts` and renews the lease, if one is due or
-    /// `confirm` asks for one.
+    /// Builds a transaction that writes `puts` and renews the lease, if there are
+    /// rows to write, the renewal is due, or `must_commit` is set.
     pub fn decide(
         &mut self,
         now: Timestamp,
         puts: Vec<Put>,
-        confirm: bool,
+        must_commit: bool,
     ) -> Option<(u64, Transaction)> {
         let Role::Holder { fence, modified } = self.role else {
             return None;
         };
-        let renewal = now.since(self.last_commit) >= self.settings.lease_interval;
-        if self.in_flight.is_some() || (puts.is_empty() && !renewal && !confirm) {
+        let is_renewal_due = now.since(self.last_commit) >= self.settings.lease_interval;
+        if self.in_flight.is_some() || (puts.is_empty() && !is_renewal_due && !must_commit) {
             return None;
         }
         let lease = self.next_lease(fence);
-        let transaction = self.guarded(&lease, modified, puts, Vec::new());
+        let transaction = self.fenced_transaction(&lease, modified, puts, Vec::new());
         Some(self.send(now, Purpose::Decide(lease), transaction))
     }
 
@@ -176,12 +179,12 @@
             transaction: TransactionId {
                 node: self.identity.node.clone(),
                 incarnation: self.identity.incarnation,
-                number: self.numbers + 1,
+                number: self.last_number + 1,
             },
         }
     }
 
-    fn guarded(
+    fn fenced_transaction(
         &self,
         lease: &Lease,
         modified: u64,
@@ -207,20 +210,20 @@
         purpose: Purpose,
         transaction: Transaction,
     ) -> (u64, Transaction) {
-        self.numbers += 1;
+        self.last_number += 1;
         self.in_flight = Some(InFlight {
-            number: self.numbers,
+            number: self.last_number,
             purpose,
             transaction: transaction.clone(),
             first_sent: now,
             resend_at: None,
         });
-        (self.numbers, transaction)
+        (self.last_number, transaction)
     }
 
-    /// Takes in the table's answer to transaction `number`. A look that finds
-    /// the lease free to take goes on with a second transaction.
-    pub fn answered(
+    /// Applies the table's response to transaction `number`. If a candidate has
+    /// read the lease, a second transaction tries to acquire it.
+    pub fn apply_response(
         &mut self,
         now: Timestamp,
         number: u64,
@@ -231,20 +234,23 @@
             return (LeaseEvent::Nothing, None);
         };
         if answer == TableAnswer::Unknown {
-            if !matches!(sent.purpose, Purpose::Look) {
-                sent.resend_at = Some(now + RESEND_PAUSE);
+            if !matches!(sent.purpose, Purpose::ReadLease) {
+                sent.resend_at = Some(now + RESEND_DELAY_MS);
                 self.in_flight = Some(sent);
             }
             return (LeaseEvent::Nothing, None);
         }
         match sent.purpose {
-            Purpose::Look => (LeaseEvent::Nothing, self.looked(now, answer, view)),
-            Purpose::Acquire(lease) => (self.acquired(now, &lease, answer), None),
-            Purpose::Decide(lease) => (self.decided(now, number, &lease, answer), None),
+            Purpose::ReadLease => (
+                LeaseEvent::Nothing,
+                self.apply_lease_read(now, answer, view),
+            ),
+            Purpose::Acquire(lease) => (self.apply_acquisition(now, &lease, answer), None),
+            Purpose::Decide(lease) => (self.apply_decision(now, number, &lease, answer), None),
         }
     }
 
-    fn looked(
+    fn apply_lease_read(
         &mut self,
         now: Timestamp,
         answer: TableAnswer,
@@ -257,16 +263,21 @@
         let rows = answer.into_rows();
         let row = rows.iter().find(|row| row.key == key);
         let known = row.and_then(|row| serde_json::from_str::<Lease>(&row.value).ok());
-        let former = known.map_or(Fence(0), |lease| lease.fence);
-        let lease = self.next_lease(former.next());
+        let previous_fence = known.map_or(Fence(0), |lease| lease.fence);
+        let lease = self.next_lease(previous_fence.next());
         let modified = row.map_or(0, |row| row.modified);
         let reads = vec![cell_prefix(&self.identity.cell)];
-        let transaction = self.guarded(&lease, modified, Vec::new(), reads);
+        let transaction = self.fenced_transaction(&lease, modified, Vec::new(), reads);
         Some(self.send(now, Purpose::Acquire(lease), transaction))
     }
 
-    fn acquired(&mut self, now: Timestamp, lease: &Lease, answer: TableAnswer) -> LeaseEvent {
-        let Some((modified, rows)) = self.effective(lease, answer) else {
+    fn apply_acquisition(
+        &mut self,
+        now: Timestamp,
+        lease: &Lease,
+        answer: TableAnswer,
+    ) -> LeaseEvent {
+        let Some((modified, rows)) = self.committed_at(lease, answer) else {
             self.step_down(now);
             return LeaseEvent::Nothing;
         };
@@ -281,14 +292,14 @@
         }
     }
 
-    fn decided(
+    fn apply_decision(
         &mut self,
         now: Timestamp,
         number: u64,
         lease: &Lease,
         answer: TableAnswer,
     ) -> LeaseEvent {
-        let Some((modified, _)) = self.effective(lease, answer) else {
+        let Some((modified, _)) = self.committed_at(lease, answer) else {
             self.step_down(now);
             return LeaseEvent::Lost;
         };
@@ -300,9 +311,9 @@
         LeaseEvent::Committed(number)
     }
 
-    /// The revision at which the transaction that wrote `lease` took effect,
-    /// if it did, with the rows read.
-    fn effective(&self, lease: &Lease, answer: TableAnswer) -> Option<(u64, Vec<TableRow>)> {
+    /// The revision at which the transaction that wrote `lease` took effect, and
+    /// the rows that were read; `None` if the transaction had no effect.
+    fn committed_at(&self, lease: &Lease, answer: TableAnswer) -> Option<(u64, Vec<TableRow>)> {
         match answer {
             TableAnswer::Committed { revision, rows } => Some((revision, rows)),
             TableAnswer::Conflict { rows } => {
@@ -317,12 +328,12 @@
     }
 }
 
-/// Prefix of all rows of a cell.
+/// Key prefix of all rows of a cell.
 pub fn cell_prefix(cell: &CellId) -> String {
     format!("cells/{cell}/")
 }
 
-/// The lease row of a cell.
+/// Key of the lease row of a cell.
 pub fn lease_key(cell: &CellId) -> String {
     format!("cells/{cell}/lease")
 }
@@ -332,5 +343,5 @@
         .holder
         .as_ref()
         .is_some_and(|holder| view.active().any(|node| node == holder));
-    !has_holder && view.is_among_first(DUTY, &identity.node, CANDIDATES)
+    !has_holder && view.is_among_first(LEASE_ROLE, &identity.node, CANDIDATE_COUNT)
 }
--- a/crates/coordination/src/placement/load_pace.rs
+++ b/crates/coordination/src/placement/load_pace.rs
@@ -1,67 +1,69 @@
-//! How much longer loads take than their size says.
+//! Estimates by how much loads are slower than their size suggests.
 //!
-//! In: loads that ended, and loads that run late. Out: a factor for expected
-//! times, so that requests that cannot be served in time are refused early
-//! while the weight store is slow.
+//! In: durations of completed loads, and of running loads that are late. Out: a
+//! factor for expected load times. With this factor, requests that cannot be
+//! served in time are refused early while the weight store is slow.
 
 use crate::time::Timestamp;
 
-/// Weight of the newest load in the running mean.
+/// Weight of the newest load in the moving average.
 const NEWEST_WEIGHT: f64 = 0.4;
-/// The factor stays within these bounds.
-const BOUNDS: (f64, f64) = (1.0, 50.0);
-/// Loads that take less than so long say nothing, in milliseconds.
-const LEAST_EXPECTED: u64 = 50;
-/// Without news the factor halves its way to 1 in so long, in milliseconds.
-const HALF_LIFE: f64 = 15_000.0;
+/// Lower and upper limit of the factor.
+const FACTOR_LIMITS: (f64, f64) = (1.0, 50.0);
+/// Loads with a shorter expected duration are ignored, in milliseconds.
+const MIN_EXPECTED_MS: u64 = 50;
+/// Half-life with which the factor decays to 1 without new samples, in
+/// milliseconds.
+const HALF_LIFE_MS: f64 = 15_000.0;
 
-/// A running mean of actual to expected load times.
+/// A moving average of the ratio of actual to expected load times.
 #[derive(Clone, Copy, Debug)]
-pub struct LoadPace {
+pub struct LoadSlowdown {
     factor: f64,
     updated: Timestamp,
 }
 
-impl Default for LoadPace {
+impl Default for LoadSlowdown {
     fn default() -> Self {
-        LoadPace {
-            factor: BOUNDS.0,
+        LoadSlowdown {
+            factor: FACTOR_LIMITS.0,
             updated: Timestamp(0),
         }
     }
 }
 
-impl LoadPace {
-    /// By what expected times are to be multiplied.
+impl LoadSlowdown {
+    /// The factor by which expected load times must be multiplied.
     pub fn factor(&self, now: Timestamp) -> f64 {
         let age = now.since(self.updated) as f64;
-        let excess = self.factor - BOUNDS.0;
-        BOUNDS.0 + excess * (-age / HALF_LIFE).exp2()
+        let excess = self.factor - FACTOR_LIMITS.0;
+        FACTOR_LIMITS.0 + excess * (-age / HALF_LIFE_MS).exp2()
     }
 
-    /// A load ended that was expected to take `expected` milliseconds.
-    pub fn note(&mut self, now: Timestamp, expected: u64, elapsed: u64) {
-        if expected < LEAST_EXPECTED {
+    /// Records a completed load. Both durations are in milliseconds.
+    pub fn record_completed(&mut self, now: Timestamp, expected: u64, elapsed: u64) {
+        if expected < MIN_EXPECTED_MS {
             return;
         }
         let newest = elapsed as f64 / expected as f64;
-        let former = self.factor(now);
-        self.set(now, former + NEWEST_WEIGHT * (newest - former));
+        let previous = self.factor(now);
+        self.set(now, previous + NEWEST_WEIGHT * (newest - previous));
     }
 
-    /// A load runs since `elapsed` milliseconds: the factor is at least that.
-    pub fn note_running(&mut self, now: Timestamp, expected: u64, elapsed: u64) {
-        if expected < LEAST_EXPECTED {
+    /// Raises the factor if a load has already run for longer than the factor
+    /// predicts. Both durations are in milliseconds.
+    pub fn record_running(&mut self, now: Timestamp, expected: u64, elapsed: u64) {
+        if expected < MIN_EXPECTED_MS {
             return;
         }
-        let least = elapsed as f64 / expected as f64;
-        if least > self.factor(now) {
-            self.set(now, least);
+        let min_factor = elapsed as f64 / expected as f64;
+        if min_factor > self.factor(now) {
+            self.set(now, min_factor);
         }
     }
 
     fn set(&mut self, now: Timestamp, factor: f64) {
-        self.factor = factor.clamp(BOUNDS.0, BOUNDS.1);
+        self.factor = factor.clamp(FACTOR_LIMITS.0, FACTOR_LIMITS.1);
         self.updated = now;
     }
 }
--- a/crates/coordination/src/placement/mod.rs
+++ b/crates/coordination/src/placement/mod.rs
@@ -1,11 +1,14 @@
-//! The placement holder of a cell: which models are loaded, where, how often.
+//! The placement holder of a cell, which decides on how many and on which
+//! engines each model is loaded.
 //!
-//! In: demand from queue owners, table answers, engines' answers, the machine
-//! list, time. Out: transactions, fenced orders, replica sets for queue owners.
+//! In: demand from queue owners, table responses, responses of engines, the
+//! machine list, time. Out: transactions, fenced orders, replica sets for queue
+//! owners.
 //!
-//! Order of events for a load: decide in memory, write the decision to the
-//! table under the lease, order the engine, announce the replica. A crash at
-//! any point leaves a decision that covers whatever the engine may hold.
+//! A load passes these steps: the holder decides in memory, writes the decision
+//! to the table under the lease, sends the order to the engine, and announces the
+//! replica. A crash at any step leaves a decision in the table that covers all
+//! that the engine may have loaded.
 
 mod announce;
 mod decisions;
@@ -35,34 +38,34 @@
 use crate::membership::{Identity, View};
 use crate::placement::engine::{Engine, OrderOutcome};
 use crate::placement::lease_keeper::{LeaseEvent, LeaseKeeper, cell_prefix};
-use crate::placement::load_pace::LoadPace;
-use crate::placement::need::Need;
+use crate::placement::load_pace::LoadSlowdown;
+use crate::placement::need::ArtifactDemand;
 use crate::placement::policy::KeepAlivePolicy;
 use crate::placement::review::StandbyState;
 use crate::placement::store_budget::StoreBudget;
 use crate::settings::{ClaimSettings, PlacementSettings};
 use crate::time::{Periodic, Timestamp};
 
-/// Standing decisions are reviewed so often, in milliseconds.
-const STANDBY_INTERVAL: u64 = 2_000;
-/// Idle artifacts are reviewed so often.
-const IDLE_INTERVAL: u64 = 2_000;
+/// Interval between two reviews of the standby decisions, in milliseconds.
+const STANDBY_REVIEW_INTERVAL_MS: u64 = 2_000;
+/// Interval between two reviews of idle artifacts, in milliseconds.
+const IDLE_REVIEW_INTERVAL_MS: u64 = 2_000;
 
-/// What the holder wants done.
+/// An action that the holder requests.
 #[derive(Clone, Debug)]
 pub enum PlacementOutput {
-    /// Run a transaction.
+    /// Run the transaction with this number.
     Transact(u64, Transaction),
-    /// Send an order.
+    /// Send an order to an engine.
     Order(Machine, Order),
-    /// Send a message.
+    /// Send a message to a node.
     Send(NodeId, PeerMessage),
-    /// A claim group is in force.
+    /// Apply a claim group, which is now in force.
     GroupInForce(ClaimGroup),
 }
 
-/// One node's part in placement. All but the lease keeper is empty unless the
-/// node holds the lease.
+/// Placement state of one node. All state but the lease keeper is empty unless
+/// the node holds the lease.
 #[derive(Debug)]
 pub struct Placement {
     identity: Identity,
@@ -70,32 +73,33 @@
     claim_settings: ClaimSettings,
     lease: LeaseKeeper,
     engines: BTreeMap<BackEndId, Engine>,
-    orphaned: BTreeMap<BackEndId, BackEndPlan>,
-    needs: BTreeMap<Artifact, Need>,
+    unlisted_plans: BTreeMap<BackEndId, BackEndPlan>,
+    demands: BTreeMap<Artifact, ArtifactDemand>,
     policy: KeepAlivePolicy,
     store: StoreBudget,
-    pace: LoadPace,
+    slowdown: LoadSlowdown,
     groups: Option<ClaimGroupKeeper>,
-    confirming: Vec<(BackEndId, Incarnation)>,
-    writing_group: Option<ClaimGroup>,
+    awaiting_commit: Vec<(BackEndId, Incarnation)>,
+    group_in_flight: Option<ClaimGroup>,
     standby_reviews: Periodic,
     idle_reviews: Periodic,
-    versions: u64,
-    /// Configuration, machine list and engines at which every artifact that can
-    /// stand by did so.
+    last_version: u64,
+    /// The configuration, machine list and engines for which every artifact had a
+    /// standby engine at the last review.
     standby_reviewed: Option<StandbyState>,
-    /// The machine list that the engines follow.
-    machines_seen: u64,
-    /// Artifacts whose replicas may have changed since owners were told.
+    /// Version of the machine list that was last applied to the engines.
+    machines_version: u64,
+    /// Artifacts whose replicas may have changed since the last announcement.
     dirty: BTreeSet<Artifact>,
-    /// All of them may have.
-    all_dirty: bool,
-    stopping: bool,
+    /// Whether the replicas of all artifacts may have changed.
+    is_all_dirty: bool,
+    is_stopping: bool,
     loads_ordered: u64,
 }
 
 impl Placement {
-    /// A node that holds no lease and first looks at it at `start`.
+    /// Creates the state of a node without the lease, which first reads the lease
+    /// at `start`.
     pub fn new(
         identity: Identity,
         settings: PlacementSettings,
@@ -105,58 +109,59 @@
         Placement {
             lease: LeaseKeeper::new(identity.clone(), settings.clone(), start),
             store: StoreBudget::new(&settings),
-            pace: LoadPace::default(),
+            slowdown: LoadSlowdown::default(),
             identity,
             settings,
             claim_settings,
             engines: BTreeMap::new(),
-            orphaned: BTreeMap::new(),
-            needs: BTreeMap::new(),
+            unlisted_plans: BTreeMap::new(),
+            demands: BTreeMap::new(),
             policy: KeepAlivePolicy::default(),
             groups: None,
-            confirming: Vec::new(),
-            writing_group: None,
-            standby_reviews: Periodic::every(STANDBY_INTERVAL),
-            idle_reviews: Periodic::every(IDLE_INTERVAL),
-            versions: 0,
+            awaiting_commit: Vec::new(),
+            group_in_flight: None,
+            standby_reviews: Periodic::every(STANDBY_REVIEW_INTERVAL_MS),
+            idle_reviews: Periodic::every(IDLE_REVIEW_INTERVAL_MS),
+            last_version: 0,
             standby_reviewed: None,
-            machines_seen: 0,
+            machines_version: 0,
             dirty: BTreeSet::new(),
-            all_dirty: false,
-            stopping: false,
+            is_all_dirty: false,
+            is_stopping: false,
             loads_ordered: 0,
         }
     }
 
-    /// The fence under which this node holds the lease.
+    /// The fencing token under which this node holds the lease.
     pub fn fence(&self) -> Option<Fence> {
         self.lease.fence()
     }
 
-    /// Loads ordered so far.
+    /// Number of loads ordered since the start of the node.
     pub fn loads_ordered(&self) -> u64 {
         self.loads_ordered
     }
 
-    /// Decides nothing more; the next holder takes over.
+    /// Stops all decisions at the next tick, so that another node can acquire the
+    /// lease.
     pub fn stop(&mut self) {
-        self.stopping = true;
+        self.is_stopping = true;
     }
 
     fn step_down(&mut self, now: Timestamp) {
         self.lease.step_down(now);
         self.engines.clear();
-        self.orphaned.clear();
-        self.needs.clear();
+        self.unlisted_plans.clear();
+        self.demands.clear();
         self.groups = None;
-        self.confirming.clear();
-        self.writing_group = None;
-        self.machines_seen = 0;
+        self.awaiting_commit.clear();
+        self.group_in_flight = None;
+        self.machines_version = 0;
         self.standby_reviewed = None;
         self.dirty.clear();
     }
 
-    /// Goes on with whatever is due.
+    /// Executes all steps that are due.
     pub fn tick(
         &mut self,
         now: Timestamp,
@@ -168,10 +173,10 @@
         if self.fence().is_some_and(|fence| view.fence > fence) {
             self.step_down(now);
         }
-        if self.stopping && self.fence().is_some() {
+        if self.is_stopping && self.fence().is_some() {
             self.step_down(now);
         }
-        if !self.stopping
+        if !self.is_stopping
             && let Some((number, transaction)) = self.lease.tick(now, view)
         {
             output.push(PlacementOutput::Transact(number, transaction));
@@ -179,7 +184,7 @@
         let Some(fence) = self.fence() else {
             return output;
         };
-        self.follow_machines(now, machines);
+        self.apply_machines(now, machines);
         output.extend(self.inspect(now, fence));
         self.review(now, configuration);
         if let Some(groups) = &mut self.groups {
@@ -190,15 +195,15 @@
                     .map(|(to, message)| PlacementOutput::Send(to, message)),
             );
         }
-        self.note_late_loads(now);
-        self.settle_reservations(configuration);
-        output.extend(self.write(now));
-        output.extend(self.give_orders(now, fence, configuration));
+        self.record_late_loads(now);
+        self.update_reservations(configuration);
+        output.extend(self.write_decisions(now));
+        output.extend(self.order_changes(now, fence, configuration));
         output.extend(self.announce(now, fence, configuration));
         output
     }
 
-    /// Takes in the table's answer to transaction `number`.
+    /// Applies the table's response to transaction `number`.
     pub fn table_answered(
         &mut self,
         now: Timestamp,
@@ -206,21 +211,21 @@
         answer: TableAnswer,
         view: &View,
     ) -> Vec<PlacementOutput> {
-        let (event, next) = self.lease.answered(now, number, answer, view);
+        let (event, next) = self.lease.apply_response(now, number, answer, view);
         let mut output: Vec<PlacementOutput> = next
             .into_iter()
             .map(|(number, transaction)| PlacementOutput::Transact(number, transaction))
             .collect();
         match event {
-            LeaseEvent::Acquired { fence, rows } => self.take_office(now, fence, &rows),
-            LeaseEvent::Committed(_) => output.extend(self.committed()),
+            LeaseEvent::Acquired { fence, rows } => self.begin_holding(now, fence, &rows),
+            LeaseEvent::Committed(_) => output.extend(self.apply_commit()),
             LeaseEvent::Lost => self.step_down(now),
             LeaseEvent::Nothing => {}
         }
         output
     }
 
-    fn take_office(&mut self, now: Timestamp, fence: Fence, rows: &[TableRow]) {
+    fn begin_holding(&mut self, now: Timestamp, fence: Fence, rows: &[TableRow]) {
         let prefix = cell_prefix(&self.identity.cell);
         let mut group = ClaimGroup::default();
         for row in rows {
@@ -233,7 +238,7 @@
             if let Some(id) = name.strip_prefix("plans/")
                 && let Ok(plan) = serde_json::from_str::<BackEndPlan>(&row.value)
             {
-                self.orphaned.insert(BackEndId::from(id), plan);
+                self.unlisted_plans.insert(BackEndId::from(id), plan);
             }
         }
         self.groups = Some(ClaimGroupKeeper::new(
@@ -243,19 +248,19 @@
         ));
         self.standby_reviews.hurry();
         self.store = StoreBudget::new(&self.settings);
-        self.store.take(now, 0);
+        self.store.try_start(now, 0);
     }
 
-    fn committed(&mut self) -> Vec<PlacementOutput> {
+    fn apply_commit(&mut self) -> Vec<PlacementOutput> {
         for engine in self.engines.values_mut() {
-            engine.committed();
+            engine.record_commit();
         }
-        for (id, life) in std::mem::take(&mut self.confirming) {
+        for (id, incarnation) in std::mem::take(&mut self.awaiting_commit) {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.confirm(life);
+                engine.confirm(incarnation);
             }
         }
-        let Some(group) = self.writing_group.take() else {
+        let Some(group) = self.group_in_flight.take() else {
             return Vec::new();
         };
         if let Some(groups) = &mut self.groups {
@@ -264,19 +269,19 @@
         vec![PlacementOutput::GroupInForce(group)]
     }
 
-    /// The keeper of the claim group, if this node holds the lease.
+    /// The claim group keeper, if this node holds the lease.
     pub fn claim_groups(&mut self) -> Option<&mut ClaimGroupKeeper> {
         self.groups.as_mut()
     }
 
-    /// Engines come and go with the machine list. What an engine may hold comes
-    /// from the table, also for one that was listed before.
-    fn follow_machines(&mut self, now: Timestamp, machines: &MachineTable) {
-        if machines.version() == self.machines_seen {
+    /// Adds, updates and removes engines as in the machine list. An added engine
+    /// gets its last committed plan, also if the engine was listed before.
+    fn apply_machines(&mut self, now: Timestamp, machines: &MachineTable) {
+        if machines.version() == self.machines_version {
             return;
         }
-        self.machines_seen = machines.version();
-        self.all_dirty = true;
+        self.machines_version = machines.version();
+        self.is_all_dirty = true;
         let listed = machines
             .back_ends()
             .filter(|machine| machine.role == MachineRole::Engine);
@@ -297,40 +302,40 @@
         for (_, engine) in unlisted {
             engine.machine.state = MachineState::Leaving;
         }
-        self.forget_engines(now);
+        self.remove_engines(now);
     }
 
     fn add_engine(&mut self, now: Timestamp, machine: &Machine) {
-        let known = self.engines.remove(&machine.id);
-        let plan = known
+        let previous = self.engines.remove(&machine.id);
+        let plan = previous
             .map(|engine| BackEndPlan::clone(&engine.committed))
-            .or_else(|| self.orphaned.remove(&machine.id))
+            .or_else(|| self.unlisted_plans.remove(&machine.id))
             .unwrap_or_default();
         let engine = Engine::new(now, machine.clone(), plan);
         self.engines.insert(machine.id.clone(), engine);
     }
 
-    fn forget_engines(&mut self, now: Timestamp) {
-        let forgotten: Vec<BackEndId> = self
+    fn remove_engines(&mut self, now: Timestamp) {
+        let removable: Vec<BackEndId> = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.is_forgettable(now) && engine.in_flight.is_none())
+            .filter(|(_, engine)| engine.is_removable(now) && engine.in_flight.is_none())
             .map(|(id, _)| id.clone())
             .collect();
-        for id in forgotten {
+        for id in removable {
             if let Some(engine) = self.engines.remove(&id) {
-                self.orphaned
+                self.unlisted_plans
                     .insert(id, BackEndPlan::clone(&engine.committed));
             }
         }
     }
 
-    /// A load that takes longer than expected tells as much before it ends.
-    fn note_late_loads(&mut self, now: Timestamp) {
+    /// Updates the slowdown estimate with loads that are late but have not ended.
+    fn record_late_loads(&mut self, now: Timestamp) {
         for engine in self.engines.values() {
             for (artifact, bytes, elapsed) in engine.running_loads(now) {
                 let expected = engine.load_time(artifact, bytes, &self.settings);
-                self.pace.note_running(now, expected, elapsed);
+                self.slowdown.record_running(now, expected, elapsed);
             }
         }
     }
@@ -338,14 +343,14 @@
     fn inspect(&mut self, now: Timestamp, fence: Fence) -> Vec<PlacementOutput> {
         let mut output = Vec::new();
         for engine in self.engines.values_mut() {
-            if let Some(order) = engine.inspection(now, fence, &self.settings) {
+            if let Some(order) = engine.build_inspection(now, fence, &self.settings) {
                 output.push(PlacementOutput::Order(engine.machine.clone(), order));
             }
         }
         output
     }
 
-    /// Takes in an engine's answer to an order.
+    /// Applies an engine's response to an order.
     pub fn order_answered(
         &mut self,
         now: Timestamp,
@@ -360,54 +365,54 @@
         let Some(engine) = self.engines.get_mut(back_end) else {
             return;
         };
-        if let Some((load, elapsed)) = engine.ended_load(now, sequence, &result) {
+        if let Some((load, elapsed)) = engine.completed_load(now, sequence, &result) {
             let expected = engine.load_time(&load.0, load.1, &self.settings);
-            self.pace.note(now, expected, elapsed);
+            self.slowdown.record_completed(now, expected, elapsed);
         }
         self.dirty.extend(engine.targets().cloned());
         let was_inspected = engine.is_inspected();
-        let former_life = engine.incarnation();
-        match engine.answered(now, sequence, result) {
+        let previous_incarnation = engine.incarnation();
+        match engine.apply_result(now, sequence, result) {
             OrderOutcome::Fenced => self.step_down(now),
             OrderOutcome::Continue => {
                 if engine.is_inspected() && !was_inspected {
-                    adopt(now, engine);
-                    self.all_dirty = true;
-                } else if engine.incarnation() != former_life {
-                    engine.give_up_all();
+                    adopt_loaded(now, engine);
+                    self.is_all_dirty = true;
+                } else if engine.incarnation() != previous_incarnation {
+                    engine.clear_targets();
                 }
             }
         }
     }
 
-    /// A front had trouble with a back end.
+    /// Schedules an inspection after a front reported trouble with a back end.
     pub fn suspected(&mut self, now: Timestamp, back_end: &BackEndId) {
         if let Some(engine) = self.engines.get_mut(back_end) {
-            engine.suspect(now);
+            engine.inspect_soon(now);
         }
     }
 
-    /// A watcher told of an engine.
+    /// Applies a watcher's report about an engine.
     pub fn reported(&mut self, now: Timestamp, back_end: &BackEndId, report: Option<EngineReport>) {
         if let Some(engine) = self.engines.get_mut(back_end) {
-            engine.reported(now, report);
+            engine.apply_report(now, report);
         }
     }
 }
 
-/// What a new holder finds loaded, or being loaded, under a decision is wanted
-/// until its keep-alive time is over.
-fn adopt(now: Timestamp, engine: &mut Engine) {
+/// Makes targets of the artifacts that a new holder finds loaded or loading with
+/// the permission of a plan. They stay targets until their keep-alive times end.
+fn adopt_loaded(now: Timestamp, engine: &mut Engine) {
     let held = engine
         .inventory
         .loaded
         .iter()
         .chain(&engine.inventory.loading);
-    let decided: Vec<(Artifact, u64)> = held
+    let permitted: Vec<(Artifact, u64)> = held
         .filter(|(artifact, _)| engine.next.permits(artifact))
         .map(|(artifact, bytes)| (artifact.clone(), *bytes))
         .collect();
-    engine.want(now, decided);
+    engine.add_targets(now, permitted);
 }
 
 fn parts_of(artifact: &Artifact, configuration: &Configuration) -> Option<Vec<(Artifact, u64)>> {
--- a/crates/coordination/src/placement/need.rs
+++ b/crates/coordination/src/placement/need.rs
@@ -1,62 +1,67 @@
-//! What the placement holder knows of artifacts that were asked for.
+//! The placement holder's record of the demand for an artifact.
+//!
+//! In: demand reports of queue owners. Out: whether an artifact is demanded or
+//! idle, and the replica set that its owner last got.
 
 use gorsebank_contract::ReplicaOffer;
 use gorsebank_world::NodeId;
 
 use crate::time::Timestamp;
 
-/// An artifact without a word from its owner for so long counts as idle.
-const SILENT_DEMAND: u64 = 25_000;
+/// Time without a demand report from the owner after which an artifact counts as
+/// idle, in milliseconds.
+const DEMAND_TIMEOUT_MS: u64 = 25_000;
 
-/// What the holder knows of an artifact that was asked for.
+/// Demand for an artifact, as its queue owner last reported it.
 #[derive(Debug)]
-pub struct Need {
+pub struct ArtifactDemand {
     pub owner: NodeId,
     pub waiting: u32,
     pub running: u32,
     pub deadline: Timestamp,
-    pub heard: Timestamp,
+    pub received_at: Timestamp,
     pub idle_since: Option<Timestamp>,
-    pub scaled: Timestamp,
-    /// What the owner was told last, and under which version.
-    pub announced: Option<(u64, Announced)>,
+    pub last_scale_up: Timestamp,
+    /// The replica set that was last sent to the owner, with its version.
+    pub announced: Option<(u64, AnnouncedReplicas)>,
 }
 
-/// The replica set as last announced to the owner.
+/// A replica set as it was last sent to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Announced {
+pub struct AnnouncedReplicas {
     pub owner: NodeId,
     pub ready: Vec<ReplicaOffer>,
     pub expected: Option<Timestamp>,
     pub no_place: bool,
 }
 
-impl Need {
-    /// Nothing is wanted yet.
+impl ArtifactDemand {
+    /// Creates a record without demand.
     pub fn new(now: Timestamp, owner: NodeId) -> Self {
-        Need {
+        ArtifactDemand {
             owner,
             waiting: 0,
             running: 0,
             deadline: now,
-            heard: now,
+            received_at: now,
             idle_since: None,
-            scaled: Timestamp(0),
+            last_scale_up: Timestamp(0),
             announced: None,
         }
     }
 
-    /// Whether requests wait.
-    pub fn is_wanted(&self) -> bool {
+    /// Whether requests wait for the artifact.
+    pub fn has_waiting(&self) -> bool {
         self.waiting > 0
     }
 
-    /// How long it has been idle; `None` while it is in use.
+    /// Milliseconds for which the artifact has been idle; `None` while it is in
+    /// use.
     pub fn idle_time(&self, now: Timestamp) -> Option<u64> {
         if let Some(since) = self.idle_since {
             return Some(now.since(since));
         }
-        let silence = now.since(self.heard);
-        (silence >= SILENT_DEMAND).then_some(silence)
+        let silence = now.since(self.received_at);
+        (silence >= DEMAND_TIMEOUT_MS).then_some(silence)
     }
 }
--- a/crates/coordination/src/placement/orders.rs
+++ b/crates/coordination/src/placement/orders.rs
@@ -1,7 +1,7 @@
-//! Orders to engines, from the difference between target and inventory.
+//! Orders to engines, from the difference between targets and inventory.
 //!
-//! In: engines and the weight store's budget. Out: unloads, and loads as far as
-//! the budget goes, the most urgent first.
+//! In: engines and the budget of the weight store. Out: role changes, unloads,
+//! and as many loads as the budget permits, the most urgent first.
 
 use gorsebank_contract::{Fence, OrderAction, SourceTier};
 use gorsebank_world::{Artifact, BackEndId};
@@ -11,10 +11,10 @@
 use crate::placement::{Placement, PlacementOutput};
 use crate::time::Timestamp;
 
-/// A load that no request waits for has a deadline so far off.
-const NOT_URGENT: u64 = 5_000_000;
+/// Deadline of a load that no request waits for, in milliseconds from now.
+const NOT_URGENT_MS: u64 = 5_000_000;
 
-struct PossibleLoad {
+struct LoadCandidate {
     deadline: Timestamp,
     back_end: BackEndId,
     artifact: Artifact,
@@ -22,7 +22,7 @@
 }
 
 impl Placement {
-    pub(super) fn give_orders(
+    pub(super) fn order_changes(
         &mut self,
         now: Timestamp,
         fence: Fence,
@@ -30,13 +30,13 @@
     ) -> Vec<PlacementOutput> {
         let mut output = Vec::new();
         for (id, engine) in &mut self.engines {
-            engine.choose_role(configuration.engine_role(id));
-            if let Some(role) = engine.role_change(now) {
-                let order = engine.order(now, fence, OrderAction::ChangeRole { role });
+            engine.set_role(configuration.engine_role(id));
+            if let Some(role) = engine.due_role_change(now) {
+                let order = engine.build_order(now, fence, OrderAction::ChangeRole { role });
                 output.push(PlacementOutput::Order(engine.machine.clone(), order));
             }
             for artifact in engine.unloads(now) {
-                let order = engine.order(now, fence, OrderAction::Unload { artifact });
+                let order = engine.build_order(now, fence, OrderAction::Unload { artifact });
                 output.push(PlacementOutput::Order(engine.machine.clone(), order));
             }
         }
@@ -44,15 +44,15 @@
         output
     }
 
-    /// Orders loads as far as the weight store's budget goes, the most urgent
-    /// first.
+    /// Orders as many loads as the budget of the weight store permits, the most
+    /// urgent first.
     fn order_loads(
         &mut self,
         now: Timestamp,
         fence: Fence,
         configuration: &Configuration,
     ) -> Vec<PlacementOutput> {
-        let mut loads = self.possible_loads(now, configuration);
+        let mut loads = self.load_candidates(now, configuration);
         loads.sort_by_key(|load| (load.deadline, load.back_end.clone()));
         let mut running: u32 = self.engines.values().map(Engine::load_count).sum();
         let mut output = Vec::new();
@@ -60,11 +60,11 @@
             let Some(engine) = self.engines.get_mut(&load.back_end) else {
                 continue;
             };
-            if !engine.can_load(now, &load.artifact, load.bytes) {
+            if !engine.may_load(now, &load.artifact, load.bytes) {
                 continue;
             }
             let is_remote = engine.tier(&load.artifact) == SourceTier::Remote;
-            if is_remote && !self.store.take(now, running) {
+            if is_remote && !self.store.try_start(now, running) {
                 continue;
             }
             running += u32::from(is_remote);
@@ -73,22 +73,22 @@
                 artifact: load.artifact,
                 bytes: load.bytes,
             };
-            let order = engine.order(now, fence, action);
+            let order = engine.build_order(now, fence, action);
             output.push(PlacementOutput::Order(engine.machine.clone(), order));
         }
         output
     }
 
-    fn possible_loads(&self, now: Timestamp, configuration: &Configuration) -> Vec<PossibleLoad> {
+    fn load_candidates(&self, now: Timestamp, configuration: &Configuration) -> Vec<LoadCandidate> {
         let mut loads = Vec::new();
         for (id, engine) in &self.engines {
             for artifact in engine.missing() {
                 let Some(bytes) = configuration.memory(artifact) else {
                     continue;
                 };
-                if engine.can_load(now, artifact, bytes) {
-                    loads.push(PossibleLoad {
-                        deadline: self.urgency(now, engine, artifact),
+                if engine.may_load(now, artifact, bytes) {
+                    loads.push(LoadCandidate {
+                        deadline: self.earliest_deadline(now, engine, artifact),
                         back_end: id.clone(),
                         artifact: artifact.clone(),
                         bytes,
@@ -99,16 +99,17 @@
         loads
     }
 
-    /// The earliest deadline of a request that waits for the artifact or for
-    /// an adapter of it on the same engine; far off if none does.
-    fn urgency(&self, now: Timestamp, engine: &Engine, artifact: &Artifact) -> Timestamp {
+    /// The earliest deadline of a request that waits for the artifact, or for an
+    /// adapter of the artifact on the same engine. The deadline is far in the
+    /// future if no request waits.
+    fn earliest_deadline(&self, now: Timestamp, engine: &Engine, artifact: &Artifact) -> Timestamp {
         engine
             .targets()
             .filter(|other| *other == artifact || other.base() == *artifact)
-            .filter_map(|other| self.needs.get(other))
-            .filter(|need| need.is_wanted())
-            .map(|need| need.deadline)
+            .filter_map(|other| self.demands.get(other))
+            .filter(|demand| demand.has_waiting())
+            .map(|demand| demand.deadline)
             .min()
-            .unwrap_or(now + NOT_URGENT)
+            .unwrap_or(now + NOT_URGENT_MS)
     }
 }
--- a/crates/coordination/src/placement/policy.rs
+++ b/crates/coordination/src/placement/policy.rs
@@ -1,15 +1,17 @@
-//! How long an idle artifact stays loaded.
+//! Keep-alive policy: decides how long an idle artifact stays loaded.
 //!
-//! In: when each artifact was wanted again after it had been idle. Out: a
-//! keep-alive time. An artifact is worth its memory as long as the cold starts
-//! it saves are worth more than the accelerator time it holds:
+//! In: the times at which an artifact was requested again after it had been
+//! idle. Out: a keep-alive time. An artifact should stay loaded as long as the
+//! value of the avoided cold starts exceeds the cost of the accelerator time
+//! that it occupies:
 //!
-//! `rate * value of a cold start > share of the engine's memory`
+//! `rate * value of a cold start > fraction of the engine's memory`
 //!
-//! The rate is estimated from the artifact's returns, older ones counting
-//! less, and falls while it stays idle. So artifacts that return often stay,
-//! and rare or large ones go at once, where a fixed time treats all alike. A
-//! deployment's `cold_start_weight` sets the value of a cold start.
+//! The rate is estimated from the artifact's returns, with lower weights for
+//! older returns, and falls while the artifact stays idle. Artifacts that return
+//! often therefore stay loaded, and rare or large artifacts are unloaded early,
+//! whereas a fixed time would treat all alike. The `cold_start_weight` of a
+//! deployment sets the value of a cold start.
 
 use crate::collections::HashMap;
 
@@ -19,19 +21,19 @@
 use crate::time::Timestamp;
 
 /// Milliseconds in an hour.
-const HOUR: f64 = 3_600_000.0;
-/// A return counts half after so many hours.
+const HOUR_MS: f64 = 3_600_000.0;
+/// Half-life of the weight of a return, in hours.
 const HALF_LIFE_HOURS: f64 = 4.0;
-/// Returns that an artifact is credited with before any was seen, and the hours
-/// in which they would have been: what rare models do.
+/// Prior estimate for an artifact without recorded returns: a number of returns
+/// and the hours in which they occur, as for a rarely used model.
 const PRIOR_RETURNS: f64 = 0.3;
 const PRIOR_HOURS: f64 = 1.0;
-/// Accelerator hours that a cold start is worth at a weight of one half.
+/// Value of an avoided cold start at a weight of one half, in accelerator hours.
 const COLD_START_VALUE: f64 = 0.15;
-/// The value grows with the odds of the weight, up to so many times.
+/// Upper limit of the odds of the weight, with which the value grows.
 const MAX_ODDS: f64 = 50.0;
 
-/// Returns of one artifact, older ones counting less.
+/// Returns of one artifact, with lower weights for older returns.
 #[derive(Clone, Copy, Debug)]
 struct Returns {
     count: f64,
@@ -41,28 +43,28 @@
 
 impl Returns {
     fn count_at(&self, now: Timestamp) -> f64 {
-        let hours = now.since(self.updated) as f64 / HOUR;
+        let hours = now.since(self.updated) as f64 / HOUR_MS;
         self.count * (-hours / HALF_LIFE_HOURS).exp2()
     }
 
-    /// The hours over which the count extends.
+    /// The effective length of the time over which returns were counted, in hours.
     fn window_at(&self, now: Timestamp) -> f64 {
-        let hours = now.since(self.first) as f64 / HOUR;
-        let longest = HALF_LIFE_HOURS / std::f64::consts::LN_2;
-        longest * (1.0 - (-hours / longest).exp())
+        let hours = now.since(self.first) as f64 / HOUR_MS;
+        let max_window = HALF_LIFE_HOURS / std::f64::consts::LN_2;
+        max_window * (1.0 - (-hours / max_window).exp())
     }
 }
 
-/// Keep-alive times from what was seen of each artifact.
+/// Computes keep-alive times from the recorded returns of each artifact.
 #[derive(Debug, Default)]
 pub struct KeepAlivePolicy {
     returns: HashMap<Artifact, Returns>,
 }
 
 impl KeepAlivePolicy {
-    /// Notes that an artifact was wanted after it had been idle, or for the
+    /// Records that an artifact was requested after it had been idle, or for the
     /// first time.
-    pub fn returned(&mut self, now: Timestamp, artifact: &Artifact) {
+    pub fn record_return(&mut self, now: Timestamp, artifact: &Artifact) {
         let returns = self.returns.entry(artifact.clone()).or_insert(Returns {
             count: 0.0,
             first: now,
@@ -73,12 +75,12 @@
     }
 
     /// How long an artifact that has been idle since `idle_since` stays loaded,
-    /// in milliseconds. `share` is its part of an engine's memory.
+    /// in milliseconds. `memory_fraction` is its fraction of the engine's memory.
     pub fn keep_alive(
         &self,
         idle_since: Timestamp,
         artifact: &Artifact,
-        share: f64,
+        memory_fraction: f64,
         cold_start_weight: f64,
         settings: &PlacementSettings,
     ) -> u64 {
@@ -88,10 +90,10 @@
         };
         let odds = cold_start_weight / (1.0 - cold_start_weight).max(1.0 / MAX_ODDS);
         let value = COLD_START_VALUE * odds;
-        // The time at which the estimated rate, which falls while the artifact
-        // is idle, is worth its share no more.
-        let worth = value * (count + PRIOR_RETURNS) / share.max(f64::EPSILON);
-        let hours = (worth - window - PRIOR_HOURS).max(0.0);
-        ((hours * HOUR) as u64).clamp(settings.keep_alive_min, settings.keep_alive_max)
+        // The estimated rate falls while the artifact is idle. At the end of
+        // this window, the rate no longer justifies the fraction of memory.
+        let justified_window = value * (count + PRIOR_RETURNS) / memory_fraction.max(f64::EPSILON);
+        let hours = (justified_window - window - PRIOR_HOURS).max(0.0);
+        ((hours * HOUR_MS) as u64).clamp(settings.keep_alive_min, settings.keep_alive_max)
     }
 }
--- a/crates/coordination/src/placement/replicas.rs
+++ b/crates/coordination/src/placement/replicas.rs
@@ -1,59 +1,62 @@
-//! How many replicas an artifact has, and where the next one goes.
+//! Decides how many replicas an artifact has, and adds replicas to engines.
 //!
-//! In: what queue owners need. Out: targets of engines.
+//! In: demand reports of queue owners. Out: targets of engines.
 
 use gorsebank_contract::Fence;
 use gorsebank_world::{Artifact, BackEndId, MachineState, NodeId};
 
 use crate::configuration::Configuration;
-use crate::placement::need::Need;
-use crate::placement::scheduler::{self, Choice, Wanted};
+use crate::placement::need::ArtifactDemand;
+use crate::placement::scheduler::{self, Choice, PlacementRequest};
 use crate::placement::{Placement, parts_of};
 use crate::queues::Demand;
 use crate::time::Timestamp;
 
-/// Least time between two decisions to add replicas of one artifact.
-const SCALE_UP_INTERVAL: u64 = 3_000;
-/// Replicas are added when more than this share of the slots is wanted.
-const FULL_SHARE: f64 = 0.8;
-/// A cold artifact gets a further replica at once for so many rounds of
-/// requests that wait.
-const COLD_ROUNDS: u32 = 4;
-/// An artifact must have been idle for so long before another may evict it.
-const EVICTION_IDLE: u64 = 2_000;
-
-/// The replicas that there are.
+/// Minimum time between two decisions to add replicas of one artifact, in
+/// milliseconds.
+const SCALE_UP_INTERVAL_MS: u64 = 3_000;
+/// Fraction of the slots above which demand leads to further replicas.
+const MAX_SLOT_FRACTION: f64 = 0.8;
+/// Number of waiting requests per engine slot for which an artifact without a
+/// replica gets one replica. Several replicas are added at once for more requests.
+const COLD_REQUESTS_PER_SLOT: u32 = 4;
+/// Minimum idle time of an artifact before another may evict it, in milliseconds.
+const MIN_EVICTION_IDLE_MS: u64 = 2_000;
+
+/// The present replicas of an artifact.
 #[derive(Clone, Copy, Debug, Default)]
-struct Present {
+struct PresentReplicas {
+    /// Number of replicas on engines in service, loaded or not.
     in_service: u32,
     /// Slots for the artifact on engines in service.
     slots: u32,
-    /// A replica is being loaded.
-    is_coming: bool,
-    /// Slots of an engine.
+    /// Whether a replica is being loaded.
+    is_loading: bool,
+    /// Largest number of slots of a live engine.
     typical_slots: u32,
 }
 
-impl Present {
-    /// How many replicas there should be.
-    fn wanted(&self, now: Timestamp, need: &Need) -> u32 {
-        let load = need.waiting + need.running;
+impl PresentReplicas {
+    /// Number of replicas that the demand requires.
+    fn required_count(&self, now: Timestamp, record: &ArtifactDemand) -> u32 {
+        let load = record.waiting + record.running;
         if self.in_service == 0 {
-            let rounds = self.typical_slots.max(1) * COLD_ROUNDS;
-            return need.waiting.div_ceil(rounds);
+            let requests_per_replica = self.typical_slots.max(1) * COLD_REQUESTS_PER_SLOT;
+            return record.waiting.div_ceil(requests_per_replica);
         }
-        let is_full = f64::from(load) > f64::from(self.slots) * FULL_SHARE;
-        let is_recent = now.since(need.scaled) < SCALE_UP_INTERVAL;
-        if !is_full || self.is_coming || is_recent {
+        let is_full = f64::from(load) > f64::from(self.slots) * MAX_SLOT_FRACTION;
+        let is_recent = now.since(record.last_scale_up) < SCALE_UP_INTERVAL_MS;
+        if !is_full || self.is_loading || is_recent {
             return self.in_service;
         }
-        let each = f64::from(self.slots) / f64::from(self.in_service) * FULL_SHARE;
-        (f64::from(load) / each.max(1.0)).ceil() as u32
+        let slots_per_replica =
+            f64::from(self.slots) / f64::from(self.in_service) * MAX_SLOT_FRACTION;
+        (f64::from(load) / slots_per_replica.max(1.0)).ceil() as u32
     }
 }
 
 impl Placement {
-    /// Takes in what a queue owner needs.
+    /// Applies a demand report of a queue owner.
     pub fn demanded(
         &mut self,
         now: Timestamp,
@@ -64,99 +67,109 @@
         let Some(fence) = self.fence() else {
             return;
         };
-        self.note_need(now, fence, owner, demand);
+        self.record_demand(now, fence, owner, demand);
         if demand.waiting > 0 || demand.running > 0 {
-            self.ensure(now, &demand.artifact, configuration);
+            self.ensure_replicas(now, &demand.artifact, configuration);
         }
     }
 
-    fn note_need(&mut self, now: Timestamp, fence: Fence, owner: &NodeId, demand: &Demand) {
+    fn record_demand(&mut self, now: Timestamp, fence: Fence, owner: &NodeId, demand: &Demand) {
         let artifact = &demand.artifact;
         let is_idle = demand.waiting == 0 && demand.running == 0;
-        let is_new = !self.needs.contains_key(artifact);
-        let need = self
-            .needs
+        let is_new = !self.demands.contains_key(artifact);
+        let record = self
+            .demands
             .entry(artifact.clone())
-            .or_insert_with(|| Need::new(now, owner.clone()));
-        need.owner = owner.clone();
-        need.waiting = demand.waiting;
-        need.running = demand.running;
-        need.deadline = now + demand.remaining;
-        need.heard = now;
-        let told = need.announced.as_ref().map(|(version, _)| *version);
-        if told.is_some_and(|version| demand.known != (fence, version)) {
-            need.announced = None;
+            .or_insert_with(|| ArtifactDemand::new(now, owner.clone()));
+        record.owner = owner.clone();
+        record.waiting = demand.waiting;
+        record.running = demand.running;
+        record.deadline = now + demand.remaining;
+        record.received_at = now;
+        let sent_version = record.announced.as_ref().map(|(version, _)| *version);
+        if sent_version.is_some_and(|version| demand.known != (fence, version)) {
+            record.announced = None;
         }
-        let was_idle = need.idle_since.is_some();
+        let was_idle = record.idle_since.is_some();
         if is_idle {
-            need.idle_since.get_or_insert(now);
-        } else if need.idle_since.take().is_some() || is_new {
-            self.policy.returned(now, artifact);
+            record.idle_since.get_or_insert(now);
+        } else if record.idle_since.take().is_some() || is_new {
+            self.policy.record_return(now, artifact);
         }
         self.dirty.insert(artifact.clone());
         if is_idle != was_idle {
-            self.mark_neighbours(artifact);
+            self.mark_co_located(artifact);
         }
     }
 
-    /// Artifacts that share engines with this one get other shares of slots.
-    fn mark_neighbours(&mut self, artifact: &Artifact) {
+    /// Marks the artifacts that share engines with `artifact` for an announcement,
+    /// because their shares of the slots change.
+    fn mark_co_located(&mut self, artifact: &Artifact) {
         for engine in self.engines.values() {
-            if engine.wants(artifact) {
+            if engine.is_target(artifact) {
                 self.dirty.extend(engine.targets().cloned());
             }
         }
     }
 
-    /// Makes sure that enough replicas are wanted.
-    fn ensure(&mut self, now: Timestamp, artifact: &Artifact, configuration: &Configuration) {
+    /// Adds targets to engines until the artifact has enough replicas.
+    fn ensure_replicas(
+        &mut self,
+        now: Timestamp,
+        artifact: &Artifact,
+        configuration: &Configuration,
+    ) {
         let Some(deployment) = configuration.deployment(artifact) else {
             return;
         };
-        let present = self.present(artifact);
-        let Some(need) = self.needs.get(artifact) else {
+        let present_replicas = self.present_replicas(artifact);
+        let Some(record) = self.demands.get(artifact) else {
             return;
         };
-        let wanted = present.wanted(now, need).min(deployment.max_replicas);
-        if present.in_service >= wanted || self.may_be_there(now, artifact) {
+        let required = present_replicas
+            .required_count(now, record)
+            .min(deployment.max_replicas);
+        if present_replicas.in_service >= required || self.may_be_loaded(now, artifact) {
             return;
         }
-        if let Some(need) = self.needs.get_mut(artifact) {
-            need.scaled = now;
+        if let Some(record) = self.demands.get_mut(artifact) {
+            record.last_scale_up = now;
         }
-        for _ in present.in_service..wanted {
-            let Some(choice) = self.choose(now, artifact, configuration) else {
+        for _ in present_replicas.in_service..required {
+            let Some(choice) = self.choose_engine(now, artifact, configuration) else {
                 return;
             };
-            self.take_up(now, artifact, &choice, configuration);
+            self.place_replica(now, artifact, &choice, configuration);
         }
     }
 
-    /// An engine that has not reported to this holder yet may have it.
-    fn may_be_there(&self, now: Timestamp, artifact: &Artifact) -> bool {
+    /// Whether an engine that has not reported to this holder yet may have the
+    /// artifact loaded.
+    fn may_be_loaded(&self, now: Timestamp, artifact: &Artifact) -> bool {
         self.engines
             .values()
-            .any(|engine| engine.is_awaited(now) && engine.next.permits(artifact))
+            .any(|engine| engine.is_awaiting_first_report(now) && engine.next.permits(artifact))
     }
 
-    fn present(&self, artifact: &Artifact) -> Present {
-        let mut present = Present::default();
+    fn present_replicas(&self, artifact: &Artifact) -> PresentReplicas {
+        let mut present_replicas = PresentReplicas::default();
         let live = self
             .engines
             .values()
             .filter(|engine| engine.machine.state == MachineState::Live);
         for engine in live {
-            present.typical_slots = present.typical_slots.max(engine.machine.slots);
-            if engine.wants(artifact) && engine.is_in_service() {
-                present.in_service += 1;
-                present.slots += self.slots_for(engine, artifact);
-                present.is_coming |= !engine.is_ready(artifact);
+            present_replicas.typical_slots =
+                present_replicas.typical_slots.max(engine.machine.slots);
+            if engine.is_target(artifact) && engine.is_in_service() {
+                present_replicas.in_service += 1;
+                present_replicas.slots += self.slots_for(engine, artifact);
+                present_replicas.is_loading |= !engine.is_ready(artifact);
             }
         }
-        present
+        present_replicas
     }
 
-    pub(super) fn choose(
+    pub(super) fn choose_engine(
         &self,
         now: Timestamp,
         artifact: &Artifact,
@@ -164,43 +177,44 @@
     ) -> Option<Choice> {
         let parts = parts_of(artifact, configuration)?;
         let deployment = configuration.deployment(artifact)?;
-        let wanted = Wanted {
+        let request = PlacementRequest {
             parts: &parts,
-            store_delay: self.store.delay(self.waiting_loads()),
-            table_works: self.table_works(now),
+            store_delay: self.store.delay(self.queued_loads()),
+            is_table_available: self.is_table_available(now),
         };
         let eligible = self.engines.values().filter(|engine| {
             let machine = &engine.machine;
             let labels = configuration.back_end_labels(&machine.id, &machine.labels);
-            deployment.back_ends.matches(&labels) && !engine.wants(artifact)
+            deployment.back_ends.matches(&labels) && !engine.is_target(artifact)
         });
         let idle = |id: &BackEndId, candidate: &Artifact| self.idle_on(now, id, candidate);
-        scheduler::choose(&wanted, eligible, &idle, &self.settings)
+        scheduler::choose(&request, eligible, &idle, &self.settings)
     }
 
-    fn table_works(&self, now: Timestamp) -> bool {
-        self.lease.waiting_for(now) < self.settings.table_patience
+    fn is_table_available(&self, now: Timestamp) -> bool {
+        self.lease.pending_time(now) < self.settings.table_patience
     }
 
-    /// Loads from the weight store that are wanted and have not started.
-    pub(super) fn waiting_loads(&self) -> u32 {
+    /// Number of targets whose loads have not started.
+    pub(super) fn queued_loads(&self) -> u32 {
         self.engines
             .values()
             .map(|engine| engine.missing().len() as u32)
             .sum()
     }
 
-    /// How long an artifact has been idle; one that nobody asked for under this
-    /// holder counts as idle for long.
+    /// Milliseconds for which an artifact has been idle. An artifact without
+    /// demand under this holder counts as idle since the start of the clock.
     fn idle_time(&self, now: Timestamp, artifact: &Artifact) -> Option<u64> {
-        match self.needs.get(artifact) {
-            Some(need) => need.idle_time(now),
+        match self.demands.get(artifact) {
+            Some(record) => record.idle_time(now),
             None => Some(now.0),
         }
     }
 
-    /// How long an artifact has been idle on an engine; `None` while it, or an
-    /// adapter that needs it there, is in use.
+    /// Milliseconds for which an artifact has been idle on an engine; `None` while
+    /// the artifact, or an adapter that depends on it there, is in use, or if the
+    /// idle time is too short for an eviction.
     pub(super) fn idle_on(
         &self,
         now: Timestamp,
@@ -217,10 +231,10 @@
                 shortest = shortest.min(self.idle_time(now, dependent));
             }
         }
-        shortest.filter(|idle| *idle >= EVICTION_IDLE)
+        shortest.filter(|idle| *idle >= MIN_EVICTION_IDLE_MS)
     }
 
-    fn take_up(
+    fn place_replica(
         &mut self,
         now: Timestamp,
         artifact: &Artifact,
@@ -234,8 +248,8 @@
         self.dirty.extend(choice.victims.iter().cloned());
         self.dirty.insert(artifact.clone());
         for victim in &choice.victims {
-            engine.give_up(victim);
+            engine.remove_target(victim);
         }
-        engine.want(now, parts);
+        engine.add_targets(now, parts);
     }
 }
--- a/crates/coordination/src/placement/review.rs
+++ b/crates/coordination/src/placement/review.rs
@@ -1,22 +1,26 @@
-//! What is looked at now and then: standing decisions, idle artifacts.
+//! Periodic reviews of standby decisions and idle artifacts.
+//!
+//! In: the configuration, demand, engines, time. Out: members of standby shares,
+//! and removed targets of engines.
 
 use gorsebank_contract::Revision;
 use gorsebank_world::{Artifact, BackEndId};
 
 use crate::configuration::Configuration;
-use crate::placement::standby::{self, Dormant, Homes};
+use crate::placement::standby::{self, StandbyCandidate, StandbyEngines};
 use crate::placement::{Placement, parts_of};
 use crate::time::Timestamp;
 
-/// What was known of an artifact's use is forgotten after so long in disuse.
-const FORGOTTEN_DEMAND: u64 = 600_000;
+/// Time without demand after which the record of an unloaded artifact is removed,
+/// in milliseconds.
+const DEMAND_RETENTION_MS: u64 = 600_000;
 
-/// What standing decisions were reviewed against.
+/// The inputs of a review of standby decisions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct StandbyState {
     revision: Revision,
     machines: u64,
-    claimed: usize,
+    eligible: usize,
 }
 
 impl Placement {
@@ -26,65 +30,83 @@
         }
         if self.idle_reviews.due(now) {
             for engine in self.engines.values_mut() {
-                let stuck = engine.give_up_stuck(now);
+                let stuck = engine.remove_stuck_targets(now);
                 self.dirty.extend(stuck);
             }
             self.review_idle(now, configuration);
-            self.forget_needs(now);
+            self.remove_old_demands(now);
         }
     }
 
-    /// Gives deployed artifacts that have no home one. After every artifact was
-    /// looked at, only those are whose rows changed since.
+    /// Assigns standby engines to deployed artifacts without one. After a review
+    /// of all artifacts, only artifacts with changed rows are reviewed, until the
+    /// machine list or the eligible engines change.
     fn review_standby(&mut self, configuration: &Configuration) {
-        let claimed = self.engines.values().filter(|it| it.is_eligible()).count();
+        let eligible = self
+            .engines
+            .values()
+            .filter(|engine| engine.is_eligible())
+            .count();
         let state = StandbyState {
             revision: configuration.complete(),
-            machines: self.machines_seen,
-            claimed,
+            machines: self.machines_version,
+            eligible,
         };
         let reviewed = self.standby_reviewed.replace(state);
         if reviewed == Some(state) {
             return;
         }
         let changed = reviewed
-            .filter(|reviewed| (reviewed.machines, reviewed.claimed) == (state.machines, claimed))
+            .filter(|reviewed| (reviewed.machines, reviewed.eligible) == (state.machines, eligible))
             .and_then(|reviewed| configuration.artifacts_changed_above(reviewed.revision));
-        let is_done = match changed {
+        let is_complete = match changed {
             Some(artifacts) => {
-                let homes = standby::homes_among(&self.engines, &artifacts);
-                self.stand_by(artifacts.into_iter(), homes, configuration)
+                let standby_engines = standby::standby_engines_among(&self.engines, &artifacts);
+                self.assign_standby(artifacts.into_iter(), standby_engines, configuration)
             }
             None => {
-                let homes = standby::homes_of(&self.engines);
-                self.stand_by(configuration.deployed_artifacts(), homes, configuration)
+                let standby_engines = standby::standby_engines_of(&self.engines);
+                self.assign_standby(
+                    configuration.deployed_artifacts(),
+                    standby_engines,
+                    configuration,
+                )
             }
         };
-        if !is_done {
+        if !is_complete {
             self.standby_reviewed = None;
         }
     }
 
-    /// Gives those of the artifacts a home that have none; says whether all
-    /// have one now.
-    fn stand_by(
+    /// Assigns standby engines to those of the artifacts without one, and returns
+    /// whether all artifacts have one now.
+    fn assign_standby(
         &mut self,
         artifacts: impl Iterator<Item = Artifact>,
-        mut homes: Homes,
+        mut standby_engines: StandbyEngines,
         configuration: &Configuration,
     ) -> bool {
-        let dormant: Vec<Dormant> = artifacts
-            .filter(|artifact| !homes.contains_key(artifact))
-            .take(standby::MEMBERS_PER_ROUND)
-            .filter_map(|artifact| self.dormant(&artifact, configuration))
+        let candidates: Vec<StandbyCandidate> = artifacts
+            .filter(|artifact| !standby_engines.contains_key(artifact))
+            .take(standby::MAX_MEMBERS_PER_REVIEW)
+            .filter_map(|artifact| self.standby_candidate(&artifact, configuration))
             .collect();
-        let is_left = standby::assign(&dormant, &mut self.engines, &mut homes, &self.settings);
-        dormant.len() < standby::MEMBERS_PER_ROUND && !is_left
+        let has_unassigned = standby::assign(
+            &candidates,
+            &mut self.engines,
+            &mut standby_engines,
+            &self.settings,
+        );
+        candidates.len() < standby::MAX_MEMBERS_PER_REVIEW && !has_unassigned
     }
 
-    fn dormant(&self, artifact: &Artifact, configuration: &Configuration) -> Option<Dormant> {
+    fn standby_candidate(
+        &self,
+        artifact: &Artifact,
+        configuration: &Configuration,
+    ) -> Option<StandbyCandidate> {
         let deployment = configuration.deployment(artifact)?;
-        let allowed = self
+        let permitted_engines = self
             .engines
             .values()
             .filter(|engine| {
@@ -94,13 +116,13 @@
             })
             .map(|engine| engine.machine.id.clone())
             .collect();
-        Some(Dormant {
+        Some(StandbyCandidate {
             parts: parts_of(artifact, configuration)?,
-            allowed,
+            permitted_engines,
         })
     }
 
-    /// Gives up what was idle for its keep-alive time.
+    /// Removes the targets that have been idle for their keep-alive times.
     fn review_idle(&mut self, now: Timestamp, configuration: &Configuration) {
         let mut expired = Vec::new();
         for (id, engine) in &self.engines {
@@ -112,18 +134,19 @@
         }
         for (id, artifact) in expired {
             if let Some(engine) = self.engines.get_mut(&id) {
-                engine.give_up(&artifact);
+                engine.remove_target(&artifact);
             }
             self.dirty.insert(artifact);
         }
     }
 
-    /// Forgets artifacts that are loaded nowhere and were not asked for in long.
-    fn forget_needs(&mut self, now: Timestamp) {
+    /// Removes the records of artifacts that are targets nowhere and have had no
+    /// demand for a long time.
+    fn remove_old_demands(&mut self, now: Timestamp) {
         let engines = &self.engines;
-        self.needs.retain(|artifact, need| {
-            now.since(need.heard) < FORGOTTEN_DEMAND
-                || engines.values().any(|engine| engine.wants(artifact))
+        self.demands.retain(|artifact, demand| {
+            now.since(demand.received_at) < DEMAND_RETENTION_MS
+                || engines.values().any(|engine| engine.is_target(artifact))
         });
     }
 
@@ -144,11 +167,11 @@
         else {
             return false;
         };
-        let share = bytes as f64 / engine.next.capacity.max(1) as f64;
+        let memory_fraction = bytes as f64 / engine.next.capacity.max(1) as f64;
         let keep_alive = self.policy.keep_alive(
             now - idle,
             artifact,
-            share,
+            memory_fraction,
             deployment.cold_start_weight,
             &self.settings,
         );
--- a/crates/coordination/src/placement/scheduler.rs
+++ b/crates/coordination/src/placement/scheduler.rs
@@ -1,8 +1,8 @@
 //! Chooses the engine for a new replica.
 //!
-//! In: the engines, what each artifact is worth, the weight store's backlog.
-//! Out: the engine on which the artifact is expected to be ready first, and
-//! the idle artifacts that must go for it.
+//! In: the engines, the idle times of their artifacts, the backlog of the weight
+//! store. Out: the engine with the lowest expected cost, mainly the time until
+//! the artifact is ready, and the idle artifacts to evict for it.
 
 use std::collections::BTreeSet;
 
@@ -13,156 +13,169 @@
 use crate::settings::PlacementSettings;
 
 /// Cost of an eviction, in milliseconds of delay.
-const EVICTION_COST: u64 = 500;
+const EVICTION_COST_MS: u64 = 500;
 /// Cost of a table transaction before the load, in milliseconds.
-const TRANSACTION_COST: u64 = 20;
-/// Cost of each artifact in use on the engine, with which slots are shared.
-const BUSY_NEIGHBOUR_COST: u64 = 1_000;
+const TRANSACTION_COST_MS: u64 = 20;
+/// Cost of each artifact in use on the engine, because the slots are shared with
+/// it, in milliseconds.
+const BUSY_ARTIFACT_COST_MS: u64 = 1_000;
 /// Cost of a load that shares the engine with another, in milliseconds.
-const SHARED_ENGINE_COST: u64 = 200;
+const CONCURRENT_LOAD_COST_MS: u64 = 200;
 
-/// A place for an artifact.
+/// The chosen engine for an artifact.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
     /// The engine.
     pub back_end: BackEndId,
     /// Artifacts to unload first.
     pub victims: Vec<Artifact>,
-    /// Expected time until it is ready, in milliseconds.
+    /// Expected time until the artifact is ready, with the additional costs of the
+    /// engine, in milliseconds.
     pub cost: u64,
 }
 
-/// What the scheduler is asked for.
-pub struct Wanted<'a> {
-    /// The artifact with everything it needs, base first, with their bytes.
+/// Input of the scheduler for one replica.
+pub struct PlacementRequest<'a> {
+    /// The artifact and its base, base first, with their bytes.
     pub parts: &'a [(Artifact, u64)],
-    /// Delay of a load from the weight store behind those that wait, in
+    /// Delay of a load from the weight store behind the queued loads, in
     /// milliseconds.
     pub store_delay: u64,
-    /// Whether the table takes decisions now.
-    pub table_works: bool,
+    /// Whether the table accepts decisions now.
+    pub is_table_available: bool,
 }
 
-/// How an idle artifact may be given up: the time since it was last used, in
-/// milliseconds, or `None` if it is in use.
+/// Returns the time for which an artifact has been idle on an engine, in
+/// milliseconds, or `None` if the artifact may not be evicted.
 pub type IdleTimes<'a> = dyn Fn(&BackEndId, &Artifact) -> Option<u64> + 'a;
 
-/// The best engine among `engines`, if any can hold the artifact.
+/// Chooses the engine with the lowest cost among `engines`, if the artifact fits
+/// on any.
 pub fn choose<'a>(
-    wanted: &Wanted<'_>,
+    request: &PlacementRequest<'_>,
     engines: impl Iterator<Item = &'a Engine>,
-    idle: &IdleTimes<'_>,
+    idle_time: &IdleTimes<'_>,
     settings: &PlacementSettings,
 ) -> Option<Choice> {
     engines
         .filter(|engine| engine.is_eligible())
-        .filter_map(|engine| assess(wanted, engine, idle, settings))
+        .filter_map(|engine| evaluate_engine(request, engine, idle_time, settings))
         .min_by(|one, other| (one.cost, &one.back_end).cmp(&(other.cost, &other.back_end)))
 }
 
-fn assess(
-    wanted: &Wanted<'_>,
+fn evaluate_engine(
+    request: &PlacementRequest<'_>,
     engine: &Engine,
-    idle: &IdleTimes<'_>,
+    idle_time: &IdleTimes<'_>,
     settings: &PlacementSettings,
 ) -> Option<Choice> {
-    let missing: Vec<&(Artifact, u64)> = wanted
+    let missing: Vec<&(Artifact, u64)> = request
         .parts
         .iter()
-        .filter(|(artifact, _)| !engine.wants(artifact))
+        .filter(|(artifact, _)| !engine.is_target(artifact))
         .collect();
     let bytes: u64 = missing.iter().map(|(_, bytes)| bytes).sum();
     let load_time: u64 = missing
         .iter()
-        .map(|(artifact, bytes)| part_time(wanted, engine, artifact, *bytes, settings))
+        .map(|(artifact, bytes)| load_time_with_delay(request, engine, artifact, *bytes, settings))
         .sum();
-    let loads = u64::from(engine.load_count()) * SHARED_ENGINE_COST;
-    let busy = engine
+    let load_cost = u64::from(engine.load_count()) * CONCURRENT_LOAD_COST_MS;
+    let busy_count = engine
         .targets()
-        .filter(|artifact| idle(&engine.machine.id, artifact).is_none())
+        .filter(|artifact| idle_time(&engine.machine.id, artifact).is_none())
         .count() as u64;
-    let sharing = loads + busy * BUSY_NEIGHBOUR_COST;
-    let (victims, room_cost) = make_room(wanted, engine, &missing, bytes, idle)?;
+    let sharing_cost = load_cost + busy_count * BUSY_ARTIFACT_COST_MS;
+    let (victims, memory_cost) = find_memory(request, engine, &missing, bytes, idle_time)?;
     Some(Choice {
         back_end: engine.machine.id.clone(),
-        cost: load_time + sharing + room_cost,
+        cost: load_time + sharing_cost + memory_cost,
         victims,
     })
 }
 
-fn part_time(
-    wanted: &Wanted<'_>,
+fn load_time_with_delay(
+    request: &PlacementRequest<'_>,
     engine: &Engine,
     artifact: &Artifact,
     bytes: u64,
     settings: &PlacementSettings,
 ) -> u64 {
     let delay = match engine.tier(artifact) {
-        SourceTier::Remote => wanted.store_delay,
+        SourceTier::Remote => request.store_delay,
         SourceTier::Memory | SourceTier::Disk => 0,
     };
     delay + engine.load_time(artifact, bytes, settings)
 }
 
-/// How room is made for `missing`: in the standby share, in free memory, or in
-/// either after idle artifacts are gone.
-fn make_room(
-    wanted: &Wanted<'_>,
+/// Finds memory for `missing` in the standby share, in free memory, or in either
+/// after evictions. Returns the artifacts to evict, and the cost in milliseconds.
+fn find_memory(
+    request: &PlacementRequest<'_>,
     engine: &Engine,
     missing: &[&(Artifact, u64)],
     bytes: u64,
-    idle: &IdleTimes<'_>,
+    idle_time: &IdleTimes<'_>,
 ) -> Option<(Vec<Artifact>, u64)> {
-    let all_standby = missing
+    let is_all_standby = missing
         .iter()
         .all(|(artifact, _)| engine.is_standby(artifact));
-    if all_standby && engine.standby_to_spare() >= bytes {
+    if is_all_standby && engine.spare_standby() >= bytes {
         return Some((Vec::new(), 0));
     }
-    if wanted.table_works && engine.free_to_reserve() >= bytes {
-        return Some((Vec::new(), TRANSACTION_COST));
+    if request.is_table_available && engine.free_to_reserve() >= bytes {
+        return Some((Vec::new(), TRANSACTION_COST_MS));
     }
-    let standby = all_standby
+    let standby = is_all_standby
         .then(|| {
-            evict(
-                wanted,
+            select_victims(
+                request,
                 engine,
                 bytes,
-                engine.standby_to_spare(),
+                engine.spare_standby(),
                 false,
-                idle,
+                idle_time,
             )
         })
         .flatten();
-    let reserved = wanted
-        .table_works
-        .then(|| evict(wanted, engine, bytes, engine.free_to_reserve(), true, idle))
+    let reserved = request
+        .is_table_available
+        .then(|| {
+            select_victims(
+                request,
+                engine,
+                bytes,
+                engine.free_to_reserve(),
+                true,
+                idle_time,
+            )
+        })
         .flatten();
     let victims = [standby, reserved]
         .into_iter()
         .flatten()
         .min_by_key(Vec::len)?;
-    let cost = EVICTION_COST * victims.len() as u64;
+    let cost = EVICTION_COST_MS * victims.len() as u64;
     Some((victims, cost))
 }
 
-/// The longest idle artifacts whose memory, with `free`, makes `bytes`.
-fn evict(
-    wanted: &Wanted<'_>,
+/// Selects the artifacts with the longest idle times, until the bytes of their
+/// memory and `free` add up to `bytes`.
+fn select_victims(
+    request: &PlacementRequest<'_>,
     engine: &Engine,
     bytes: u64,
     free: u64,
     reserved: bool,
-    idle: &IdleTimes<'_>,
+    idle_time: &IdleTimes<'_>,
 ) -> Option<Vec<Artifact>> {
     let loaded = &engine.inventory.loaded;
     let mut candidates: Vec<(u64, &Artifact, u64)> = loaded
         .iter()
-        .filter(|(artifact, _)| engine.wants(artifact))
+        .filter(|(artifact, _)| engine.is_target(artifact))
         .filter(|(artifact, _)| engine.is_reserved(artifact) == reserved)
-        .filter(|(artifact, _)| !wanted.parts.iter().any(|(part, _)| part == *artifact))
+        .filter(|(artifact, _)| !request.parts.iter().any(|(part, _)| part == *artifact))
         .filter_map(|(artifact, bytes)| {
-            idle(&engine.machine.id, artifact).map(|time| (time, artifact, *bytes))
+            idle_time(&engine.machine.id, artifact).map(|time| (time, artifact, *bytes))
         })
         .collect();
     candidates.sort_by(|one, other| other.0.cmp(&one.0).then(one.1.cmp(other.1)));
--- a/crates/coordination/src/placement/standby.rs
+++ b/crates/coordination/src/placement/standby.rs
@@ -1,8 +1,10 @@
-//! Standing decisions: where dormant artifacts may wake without a transaction.
+//! Standby decisions: engines on which unloaded artifacts may be loaded without a
+//! further transaction.
 //!
 //! In: deployed artifacts and the engines. Out: members added to the engines'
 //! standby shares, to be written with the holder's next transaction. While the
-//! table service is down, these decisions are all that models can wake under.
+//! table service is down, an artifact without a reservation can be loaded only
+//! under these decisions.
 
 use crate::collections::HashMap;
 use std::collections::BTreeMap;
@@ -13,22 +15,24 @@
 use crate::placement::engine::Engine;
 use crate::settings::PlacementSettings;
 
-/// Members that are added in one round, to bound a transaction's size.
-pub const MEMBERS_PER_ROUND: usize = 4_000;
+/// Upper limit of the artifacts that are assigned in one review. It limits the
+/// size of a transaction.
+pub const MAX_MEMBERS_PER_REVIEW: usize = 4_000;
 
-/// An artifact with the engines it may be placed on.
-pub struct Dormant {
-    /// The artifact and what it needs, base first, with their bytes.
+/// An artifact without a standby engine, with the engines that are permitted for
+/// it.
+pub struct StandbyCandidate {
+    /// The artifact and its base, base first, with their bytes.
     pub parts: Vec<(Artifact, u64)>,
-    /// Engines that its deployment selects.
-    pub allowed: Vec<BackEndId>,
+    /// Engines that the artifact's deployment selects.
+    pub permitted_engines: Vec<BackEndId>,
 }
 
-/// Engines by the artifact that stands by on them.
-pub type Homes = HashMap<Artifact, BackEndId>;
+/// The standby engine of each artifact.
+pub type StandbyEngines = HashMap<Artifact, BackEndId>;
 
-/// Where each artifact stands by.
-pub fn homes_of(engines: &BTreeMap<BackEndId, Engine>) -> Homes {
+/// Finds the standby engines of all artifacts.
+pub fn standby_engines_of(engines: &BTreeMap<BackEndId, Engine>) -> StandbyEngines {
     engines
         .iter()
         .flat_map(|(id, engine)| {
@@ -38,70 +42,80 @@
         .collect()
 }
 
-/// Where these artifacts and their bases stand by.
-pub fn homes_among(engines: &BTreeMap<BackEndId, Engine>, artifacts: &[Artifact]) -> Homes {
-    let mut homes = Homes::default();
+/// Finds the standby engines of these artifacts and their bases.
+pub fn standby_engines_among(
+    engines: &BTreeMap<BackEndId, Engine>,
+    artifacts: &[Artifact],
+) -> StandbyEngines {
+    let mut standby_engines = StandbyEngines::default();
     for part in artifacts.iter().flat_map(Artifact::required) {
-        let home = engines
+        let standby_engine = engines
             .iter()
             .find(|(_, engine)| engine.next.standby.members.contains_key(&part));
-        if let Some((id, _)) = home {
-            homes.insert(part, id.clone());
+        if let Some((id, _)) = standby_engine {
+            standby_engines.insert(part, id.clone());
         }
     }
-    homes
+    standby_engines
 }
 
-/// Gives each of these artifacts a home, as far as there is room; says whether
-/// some are left for another round.
+/// Assigns a standby engine to each of these artifacts as far as memory permits,
+/// and returns whether some have none.
 pub fn assign(
-    dormant: &[Dormant],
+    candidates: &[StandbyCandidate],
     engines: &mut BTreeMap<BackEndId, Engine>,
-    homes: &mut Homes,
+    standby_engines: &mut StandbyEngines,
     settings: &PlacementSettings,
 ) -> bool {
     let mut added = 0;
-    let mut is_left = false;
-    for artifact in dormant {
-        if added >= MEMBERS_PER_ROUND {
+    let mut has_unassigned = false;
+    for candidate in candidates {
+        if added >= MAX_MEMBERS_PER_REVIEW {
             return true;
         }
-        let Some(home) = find_home(artifact, engines, homes, settings) else {
-            is_left = true;
+        let Some(engine_id) = choose_standby_engine(candidate, engines, standby_engines, settings)
+        else {
+            has_unassigned = true;
             continue;
         };
-        if let Some(engine) = engines.get_mut(&home) {
-            add_member(engine, &artifact.parts);
+        if let Some(engine) = engines.get_mut(&engine_id) {
+            add_member(engine, &candidate.parts);
             added += 1;
-            for (part, _) in &artifact.parts {
-                homes.entry(part.clone()).or_insert_with(|| home.clone());
+            for (part, _) in &candidate.parts {
+                standby_engines
+                    .entry(part.clone())
+                    .or_insert_with(|| engine_id.clone());
             }
         }
     }
-    is_left
+    has_unassigned
 }
 
-/// An adapter goes where its base stands by; others where fewest members are.
-fn find_home(
-    artifact: &Dormant,
+/// Chooses the standby engine of the base for an adapter, if it has capacity, and
+/// otherwise the permitted engine with the fewest members.
+fn choose_standby_engine(
+    candidate: &StandbyCandidate,
     engines: &BTreeMap<BackEndId, Engine>,
-    homes: &Homes,
+    standby_engines: &StandbyEngines,
     settings: &PlacementSettings,
 ) -> Option<BackEndId> {
-    let bytes: u64 = artifact.parts.iter().map(|(_, bytes)| bytes).sum();
+    let bytes: u64 = candidate.parts.iter().map(|(_, bytes)| bytes).sum();
     let fits = |id: &BackEndId| {
-        engines
-            .get(id)
-            .is_some_and(|engine| engine.is_eligible() && share_can_hold(engine, bytes, settings))
+        engines.get(id).is_some_and(|engine| {
+            engine.is_eligible() && has_share_capacity(engine, bytes, settings)
+        })
     };
-    let base_home = artifact.parts.first().and_then(|(base, _)| homes.get(base));
-    if let Some(home) = base_home
-        && fits(home)
+    let base_engine = candidate
+        .parts
+        .first()
+        .and_then(|(base, _)| standby_engines.get(base));
+    if let Some(engine_id) = base_engine
+        && fits(engine_id)
     {
-        return Some(home.clone());
+        return Some(engine_id.clone());
     }
-    artifact
-        .allowed
+    candidate
+        .permitted_engines
         .iter()
         .filter(|id| fits(id))
         .min_by_key(|id| {
@@ -113,8 +127,9 @@
         .cloned()
 }
 
-/// Whether the share is large enough, or can grow within its limit.
-fn share_can_hold(engine: &Engine, bytes: u64, settings: &PlacementSettings) -> bool {
+/// Whether the standby share is large enough for `bytes`, or can grow within its
+/// limit.
+fn has_share_capacity(engine: &Engine, bytes: u64, settings: &PlacementSettings) -> bool {
     let share = engine.next.standby.bytes;
     let limit = (engine.next.capacity as f64 * settings.standby_share) as u64;
     let growth = bytes.saturating_sub(share);
--- a/crates/coordination/src/placement/store_budget.rs
+++ b/crates/coordination/src/placement/store_budget.rs
@@ -1,9 +1,13 @@
-//! The one budget for loads from the rate-limited weight store.
+//! The budget for loads from the rate-limited weight store, shared by all
+//! engines of the cell.
+//!
+//! In: the limits of the weight store, the number of running loads, time. Out:
+//! whether a load may start, and the delay of queued loads.
 
 use crate::settings::PlacementSettings;
 use crate::time::Timestamp;
 
-/// Starts a second and loads at once, over all engines of the cell.
+/// Limits the starts of loads per second and the concurrent loads of the cell.
 #[derive(Clone, Debug)]
 pub struct StoreBudget {
     starts_per_second: f64,
@@ -13,7 +17,7 @@
 }
 
 impl StoreBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(settings: &PlacementSettings) -> Self {
         StoreBudget {
             starts_per_second: settings.store_starts_per_second,
@@ -23,8 +27,9 @@
         }
     }
 
-    /// Takes one start, if the store can take it beside `running` loads.
-    pub fn take(&mut self, now: Timestamp, running: u32) -> bool {
+    /// Consumes one start if the limits permit it beside `running` loads, and
+    /// returns whether they do.
+    pub fn try_start(&mut self, now: Timestamp, running: u32) -> bool {
         self.refill(now);
         if running >= self.concurrency || self.tokens < 1.0 {
             return false;
@@ -33,9 +38,9 @@
         true
     }
 
-    /// Milliseconds until `ahead` further loads have started.
-    pub fn delay(&self, ahead: u32) -> u64 {
-        (f64::from(ahead) * 1_000.0 / self.starts_per_second) as u64
+    /// Milliseconds until `queued` loads have started.
+    pub fn delay(&self, queued: u32) -> u64 {
+        (f64::from(queued) * 1_000.0 / self.starts_per_second) as u64
     }
 
     fn refill(&mut self, now: Timestamp) {
--- a/crates/coordination/src/queue.rs
+++ b/crates/coordination/src/queue.rs
@@ -1,9 +1,9 @@
-//! The one waiting queue of a model, kept by its owner.
+//! The request queue of one model or service, on the node that owns the queue.
 //!
-//! In: tickets, released slots, the replica set, time. Out: grants and
-//! refusals, each as soon as it is known. Interactive tickets go before batch
-//! tickets, and within a class the earliest deadline goes first. A ticket that
-//! can no longer be served in time is refused the moment that is known.
+//! In: tickets, released slots, the replica set, time. Out: grants, refusals and
+//! recalls of slots. Interactive tickets precede batch tickets, and within a
+//! class the earliest deadline comes first. A ticket that cannot be served by its
+//! deadline is refused as soon as that is known.
 
 use crate::collections::HashMap;
 use std::collections::BTreeMap;
@@ -16,19 +16,21 @@
 use crate::settings::RoutingSettings;
 use crate::time::Timestamp;
 
-/// A front's account of its slots is not taken for so long after a grant to
-/// it, in milliseconds: it may have been written before the grant came.
-const ACCOUNT_DELAY: u64 = 2_000;
-/// Weight of the newest service time in the running mean.
+/// Time after a grant during which the front's report of held slots is ignored,
+/// in milliseconds. The report may have been written before the grant arrived.
+const REPORT_IGNORE_MS: u64 = 2_000;
+/// Weight of the newest service time in the moving average.
 const SERVICE_TIME_WEIGHT: f64 = 0.1;
-/// Least `Retry-After`, in milliseconds.
-const MIN_RETRY_AFTER: u64 = 1_000;
-/// Fronts are asked for unused slots so often while requests wait.
-const RECALL_INTERVAL: u64 = 1_000;
-/// A front that got so many grants within the life of one gets credits.
-const STEADY_GRANTS: u32 = 4;
-/// Queues without tickets and running requests are dropped after so long.
-const IDLE_QUEUE_LIFE: u64 = 60_000;
+/// Minimum `Retry-After`, in milliseconds.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
+/// Interval between two recalls of unused slots while requests wait, in
+/// milliseconds.
+const RECALL_INTERVAL_MS: u64 = 1_000;
+/// Number of grants within the grant validity from which a front gets credits.
+const MIN_GRANTS_FOR_CREDITS: u32 = 4;
+/// Time after which a queue without tickets and running requests is removed, in
+/// milliseconds.
+const IDLE_QUEUE_RETENTION_MS: u64 = 60_000;
 
 /// A decision about one ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -37,7 +39,7 @@
     Grant(NodeId, Grant),
     /// The front must refuse the request.
     Refuse(NodeId, TicketId, Refusal),
-    /// The front must give back slots that are not in use.
+    /// The front must return its unused slots.
     Recall(NodeId, QueueKey),
 }
 
@@ -46,12 +48,12 @@
 pub struct Replica {
     /// The back end.
     pub back_end: BackEndId,
-    /// Requests that it runs at once at full speed.
+    /// Number of concurrent requests at full speed.
     pub slots: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct QueuePosition {
     class: PriorityClass,
     deadline: Timestamp,
     number: u64,
@@ -66,7 +68,7 @@
 #[derive(Clone, Debug)]
 struct ReplicaUse {
     slots: u32,
-    /// Slots that each front holds.
+    /// Number of slots that each front holds.
     held: BTreeMap<NodeId, u32>,
     suspended_until: Timestamp,
 }
@@ -81,7 +83,8 @@
     }
 }
 
-/// Grants to one front: the last, and how many since when.
+/// Grants to one front: the time of the last grant, and the number of grants since
+/// a time.
 #[derive(Clone, Copy, Debug)]
 struct GrantRecord {
     last: Timestamp,
@@ -89,48 +92,49 @@
     count: u32,
 }
 
-/// One model's waiting queue and the use of its replicas.
+/// The request queue of one model or service, and the use of its replicas.
 #[derive(Debug)]
 pub struct ModelQueue {
     key: QueueKey,
-    waiting: BTreeMap<Place, Waiting>,
-    places: HashMap<TicketId, Place>,
+    waiting: BTreeMap<QueuePosition, Waiting>,
+    positions: HashMap<TicketId, QueuePosition>,
     replicas: BTreeMap<BackEndId, ReplicaUse>,
     replica_version: (Fence, u64),
     expected: Option<Timestamp>,
     no_place_until: Option<Timestamp>,
-    numbers: u64,
-    /// Mean service time in milliseconds, once any was seen.
+    last_number: u64,
+    /// Mean service time in milliseconds, once a service time was recorded.
     service_time: Option<f64>,
     granted: BTreeMap<NodeId, GrantRecord>,
     last_recall: Timestamp,
-    reported_use: bool,
+    has_reported_use: bool,
     last_used: Timestamp,
     last_demand: Option<Timestamp>,
 }
 
 impl ModelQueue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(key: QueueKey, now: Timestamp) -> Self {
         ModelQueue {
             key,
             waiting: BTreeMap::new(),
-            places: HashMap::default(),
+            positions: HashMap::default(),
             replicas: BTreeMap::new(),
             replica_version: (Fence(0), 0),
             expected: None,
             no_place_until: None,
-            numbers: 0,
+            last_number: 0,
             service_time: None,
             granted: BTreeMap::new(),
             last_recall: Timestamp(0),
-            reported_use: false,
+            has_reported_use: false,
             last_used: now,
             last_demand: None,
         }
     }
 
-    /// Takes in a ticket; one that waits already is left where it is.
+    /// Adds a ticket, or refuses it if the queue is full. A ticket that waits
+    /// already keeps its position.
     pub fn offer(
         &mut self,
         now: Timestamp,
@@ -139,20 +143,20 @@
         settings: &RoutingSettings,
     ) -> Option<Decision> {
         self.last_used = now;
-        if self.places.contains_key(&ticket.id) {
+        if self.positions.contains_key(&ticket.id) {
             return None;
         }
         if self.waiting.len() >= settings.queue_limit {
             let refusal = Refusal::not_run(RefusalReason::NoCapacity, Some(self.retry_after(now)));
             return Some(Decision::Refuse(front, ticket.id, refusal));
         }
-        self.numbers += 1;
-        let place = Place {
+        self.last_number += 1;
+        let place = QueuePosition {
             class: ticket.class,
             deadline: now + ticket.remaining,
-            number: self.numbers,
+            number: self.last_number,
         };
-        self.places.insert(ticket.id, place);
+        self.positions.insert(ticket.id, place);
         self.waiting.insert(
             place,
             Waiting {
@@ -163,23 +167,23 @@
         None
     }
 
-    /// Takes a ticket out.
+    /// Removes a ticket.
     pub fn cancel(&mut self, id: TicketId) {
-        if let Some(place) = self.places.remove(&id) {
+        if let Some(place) = self.positions.remove(&id) {
             self.waiting.remove(&place);
         }
     }
 
-    /// Takes all tickets out, to be offered elsewhere.
-    pub fn hand_back(&mut self) -> Vec<(NodeId, TicketId)> {
-        self.places.clear();
+    /// Removes all tickets and returns them, to be offered to another owner.
+    pub fn return_tickets(&mut self) -> Vec<(NodeId, TicketId)> {
+        self.positions.clear();
         std::mem::take(&mut self.waiting)
             .into_values()
             .map(|waiting| (waiting.front, waiting.id))
             .collect()
     }
 
-    /// Gives slots back that a front held.
+    /// Releases slots that a front held.
     pub fn release(&mut self, now: Timestamp, front: &NodeId, back_end: &BackEndId, slots: u32) {
         self.last_used = now;
         let Some(replica) = self.replicas.get_mut(back_end) else {
@@ -191,25 +195,25 @@
         replica.held.retain(|_, held| *held > 0);
     }
 
-    /// Notes how long a request took from grant to release.
-    pub fn note_service_time(&mut self, milliseconds: u64) {
+    /// Records the time of a request from its grant to the release of its slot.
+    pub fn record_service_time(&mut self, milliseconds: u64) {
         let newest = milliseconds as f64;
         let mean = self.service_time.unwrap_or(newest);
         self.service_time = Some(mean + SERVICE_TIME_WEIGHT * (newest - mean));
     }
 
-    /// Takes a front's own account of the slots that it holds.
-    pub fn correct_held(
+    /// Replaces the number of slots that a front holds by the front's own report.
+    pub fn apply_held_report(
         &mut self,
         now: Timestamp,
         front: &NodeId,
         held: &HashMap<&BackEndId, u32>,
     ) {
-        let is_fresh = self
+        let has_recent_grant = self
             .granted
             .get(front)
-            .is_some_and(|record| now.since(record.last) < ACCOUNT_DELAY);
-        if is_fresh {
+            .is_some_and(|record| now.since(record.last) < REPORT_IGNORE_MS);
+        if has_recent_grant {
             return;
         }
         for (back_end, replica) in &mut self.replicas {
@@ -224,31 +228,31 @@
         }
     }
 
-    /// Spares a back end that turned a request away.
+    /// Suspends grants for a back end that rejected a request.
     pub fn suspend(&mut self, back_end: &BackEndId, until: Timestamp) {
         if let Some(replica) = self.replicas.get_mut(back_end) {
             replica.suspended_until = until;
         }
     }
 
-    /// Forgets what a front held that is gone, and the tickets it offered.
-    pub fn forget_front(&mut self, front: &NodeId) {
+    /// Removes the slots and the tickets of a front that is no longer alive.
+    pub fn remove_front(&mut self, front: &NodeId) {
         for replica in self.replicas.values_mut() {
             replica.held.remove(front);
         }
         self.granted.remove(front);
-        let gone: Vec<TicketId> = self
+        let removed: Vec<TicketId> = self
             .waiting
             .values()
             .filter(|waiting| waiting.front == *front)
             .map(|waiting| waiting.id)
             .collect();
-        for id in gone {
+        for id in removed {
             self.cancel(id);
         }
     }
 
-    /// Fronts that hold slots or wait.
+    /// Fronts that hold slots or have waiting tickets.
     pub fn fronts(&self) -> Vec<NodeId> {
         let holding = self
             .replicas
@@ -261,8 +265,8 @@
         fronts
     }
 
-    /// Takes in the placement holder's replica set, unless it is outdated.
-    /// `usable` are those of its back ends that may get work.
+    /// Applies the placement holder's replica set, and returns `false` if the set
+    /// is outdated. `usable` lists its replicas on back ends that accept requests.
     pub fn set_replicas(&mut self, now: Timestamp, set: &ReplicaSet, usable: Vec<Replica>) -> bool {
         let version = (set.fence, set.version);
         if version < self.replica_version {
@@ -275,11 +279,12 @@
         true
     }
 
-    /// Replaces the replicas, keeping what is known of their use.
+    /// Replaces the replicas. The held slots and the suspension of a back end that
+    /// stays in the list are kept.
     pub fn use_replicas(&mut self, usable: Vec<Replica>) {
-        let mut former = std::mem::take(&mut self.replicas);
+        let mut previous = std::mem::take(&mut self.replicas);
         for replica in usable {
-            let known = former.remove(&replica.back_end);
+            let known = previous.remove(&replica.back_end);
             let held = known.as_ref().map(|known| known.held.clone());
             let replica_use = ReplicaUse {
                 slots: replica.slots,
@@ -290,24 +295,25 @@
         }
     }
 
-    /// Takes a back end out that is leaving or gone.
+    /// Removes a back end that is draining or no longer listed.
     pub fn remove_back_end(&mut self, back_end: &BackEndId) {
         self.replicas.remove(back_end);
     }
 
-    /// Grants what can be granted and refuses what can no longer be served.
-    pub fn pump(&mut self, now: Timestamp, settings: &RoutingSettings) -> Vec<Decision> {
-        let mut decisions = self.refuse_hopeless(now);
-        while let Some(decision) = self.grant_next(now, settings) {
+    /// Grants free slots to waiting tickets, refuses the tickets that cannot be
+    /// served in time, and recalls unused slots.
+    pub fn process(&mut self, now: Timestamp, settings: &RoutingSettings) -> Vec<Decision> {
+        let mut decisions = self.refuse_unservable(now);
+        while let Some(decision) = self.grant_first(now, settings) {
             decisions.push(decision);
         }
         decisions.extend(self.recall(now));
         decisions
     }
 
-    /// While requests wait for want of slots, fronts give back what they keep.
+    /// Recalls unused slots from the fronts while requests wait for slots.
     fn recall(&mut self, now: Timestamp) -> Vec<Decision> {
-        let is_due = now.since(self.last_recall) >= RECALL_INTERVAL;
+        let is_due = now.since(self.last_recall) >= RECALL_INTERVAL_MS;
         if self.waiting.is_empty() || !is_due || self.running_count() == 0 {
             return Vec::new();
         }
@@ -318,13 +324,13 @@
             .collect()
     }
 
-    fn grant_next(&mut self, now: Timestamp, settings: &RoutingSettings) -> Option<Decision> {
+    fn grant_first(&mut self, now: Timestamp, settings: &RoutingSettings) -> Option<Decision> {
         let place = *self.waiting.first_key_value()?.0;
-        let back_end = self.choose(now, place.class, settings)?;
+        let back_end = self.choose_back_end(now, place.class, settings)?;
         let waiting = self.waiting.remove(&place)?;
-        self.places.remove(&waiting.id);
-        let record = self.note_grant(now, &waiting.front, settings.grant_validity);
-        let is_steady = record.count >= STEADY_GRANTS;
+        self.positions.remove(&waiting.id);
+        let record = self.record_grant(now, &waiting.front, settings.grant_validity);
+        let is_steady = record.count >= MIN_GRANTS_FOR_CREDITS;
         let free = self.replicas.get(&back_end).map_or(0, ReplicaUse::free);
         let slots = self.replicas.get(&back_end).map_or(0, |it| it.slots);
         let retainable = self.waiting.is_empty() && free > slots / 4;
@@ -345,7 +351,7 @@
         Some(Decision::Grant(waiting.front, grant))
     }
 
-    fn choose(
+    fn choose_back_end(
         &self,
         now: Timestamp,
         class: PriorityClass,
@@ -359,7 +365,7 @@
             .map(|(back_end, _)| back_end.clone())
     }
 
-    fn note_grant(&mut self, now: Timestamp, front: &NodeId, window: u64) -> GrantRecord {
+    fn record_grant(&mut self, now: Timestamp, front: &NodeId, window: u64) -> GrantRecord {
         let record = self.granted.entry(front.clone()).or_insert(GrantRecord {
             last: now,
             since: now,
@@ -374,27 +380,32 @@
         *record
     }
 
-    fn refuse_hopeless(&mut self, now: Timestamp) -> Vec<Decision> {
-        let hopeless: Vec<(Place, Refusal)> = self
+    fn refuse_unservable(&mut self, now: Timestamp) -> Vec<Decision> {
+        let unservable: Vec<(QueuePosition, Refusal)> = self
             .waiting
             .keys()
             .enumerate()
             .filter_map(|(position, place)| {
-                self.judge(now, position, place)
+                self.refusal_for(now, position, place)
                     .map(|refusal| (*place, refusal))
             })
             .collect();
         let mut decisions = Vec::new();
-        for (place, refusal) in hopeless {
+        for (place, refusal) in unservable {
             if let Some(waiting) = self.waiting.remove(&place) {
-                self.places.remove(&waiting.id);
+                self.positions.remove(&waiting.id);
                 decisions.push(Decision::Refuse(waiting.front, waiting.id, refusal));
             }
         }
         decisions
     }
 
-    fn judge(&self, now: Timestamp, position: usize, place: &Place) -> Option<Refusal> {
+    fn refusal_for(
+        &self,
+        now: Timestamp,
+        position: usize,
+        place: &QueuePosition,
+    ) -> Option<Refusal> {
         if place.deadline <= now {
             let retry_after = Some(self.retry_after(now));
             return Some(Refusal::not_run(RefusalReason::DeadlinePassed, retry_after));
@@ -403,7 +414,7 @@
             && until > now
             && self.replicas.is_empty()
         {
-            let retry_after = Some(until.since(now).max(MIN_RETRY_AFTER));
+            let retry_after = Some(until.since(now).max(MIN_RETRY_AFTER_MS));
             return Some(Refusal::not_run(RefusalReason::NoPlace, retry_after));
         }
         let start = self.expected_start(now, position)?;
@@ -414,7 +425,7 @@
         Some(Refusal::not_run(RefusalReason::NoCapacity, retry_after))
     }
 
-    /// When the ticket at `position` is expected to start, if that is known.
+    /// The expected start of the ticket at `position`, if it can be estimated.
     fn expected_start(&self, now: Timestamp, position: usize) -> Option<Timestamp> {
         let slots: u32 = self.replicas.values().map(|replica| replica.slots).sum();
         if slots == 0 {
@@ -424,11 +435,12 @@
         Some(now + (rounds * self.service_time?) as u64)
     }
 
-    /// When a new ticket would be expected to start, in milliseconds from now.
+    /// Expected time until a new ticket would start, in milliseconds, and at least
+    /// the minimum `Retry-After`.
     fn retry_after(&self, now: Timestamp) -> u64 {
         self.expected_start(now, self.waiting.len())
-            .map_or(MIN_RETRY_AFTER, |start| start.since(now))
-            .max(MIN_RETRY_AFTER)
+            .map_or(MIN_RETRY_AFTER_MS, |start| start.since(now))
+            .max(MIN_RETRY_AFTER_MS)
     }
 
     /// Fence and version of the replica set that is in use.
@@ -436,18 +448,18 @@
         self.replica_version
     }
 
-    /// Tickets that wait.
+    /// Number of waiting tickets.
     pub fn waiting_count(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Slots that fronts hold.
+    /// Number of slots that fronts hold.
     pub fn running_count(&self) -> u32 {
         self.replicas.values().map(ReplicaUse::used).sum()
     }
 
-    /// Time left of the most urgent ticket.
-    pub fn most_urgent(&self, now: Timestamp) -> Option<u64> {
+    /// Milliseconds until the earliest deadline of a waiting ticket.
+    pub fn time_to_earliest_deadline(&self, now: Timestamp) -> Option<u64> {
         self.waiting
             .keys()
             .map(|place| place.deadline)
@@ -455,32 +467,32 @@
             .map(|deadline| deadline.since(now))
     }
 
-    /// Whether the placement holder should hear of this queue now: soon after
-    /// a ticket waits, now and then while the model is in use, and at once when
-    /// it is no more.
-    pub fn demand_due(&mut self, now: Timestamp, waiting_every: u64, used_every: u64) -> bool {
+    /// Whether a demand report to the placement holder is due. Reports are sent
+    /// every `waiting_every` milliseconds while tickets wait, every `used_every`
+    /// milliseconds while only requests run, and once when the use has ended.
+    pub fn take_due_report(&mut self, now: Timestamp, waiting_every: u64, used_every: u64) -> bool {
         let interval = if !self.waiting.is_empty() {
             waiting_every
         } else if self.running_count() > 0 {
             used_every
         } else {
-            return std::mem::take(&mut self.reported_use);
+            return std::mem::take(&mut self.has_reported_use);
         };
-        let due = self
+        let is_due = self
             .last_demand
             .is_none_or(|last| now.since(last) >= interval);
-        if due {
+        if is_due {
             self.last_demand = Some(now);
-            self.reported_use = true;
+            self.has_reported_use = true;
         }
-        due
+        is_due
     }
 
-    /// Whether the queue can be dropped.
-    pub fn is_forgettable(&self, now: Timestamp) -> bool {
+    /// Whether the queue is unused for long enough to be removed.
+    pub fn is_removable(&self, now: Timestamp) -> bool {
         self.waiting.is_empty()
             && self.running_count() == 0
-            && now.since(self.last_used) > IDLE_QUEUE_LIFE
+            && now.since(self.last_used) > IDLE_QUEUE_RETENTION_MS
     }
 }
 
--- a/crates/coordination/src/queues.rs
+++ b/crates/coordination/src/queues.rs
@@ -1,7 +1,7 @@
-//! The queues that this node owns.
+//! The request queues that this node owns.
 //!
 //! In: tickets, releases, replica sets, the machine list, time. Out: decisions
-//! about tickets, and demand for the placement holder.
+//! about tickets, and demand reports for the placement holder.
 
 use crate::collections::HashMap;
 use std::collections::BTreeSet;
@@ -17,49 +17,52 @@
 use crate::settings::RoutingSettings;
 use crate::time::{Periodic, Timestamp};
 
-/// A waiting model is reported to the holder so often, in milliseconds.
-const WAITING_DEMAND_INTERVAL: u64 = 400;
-/// A model in use is reported to the holder so often.
-const USED_DEMAND_INTERVAL: u64 = 10_000;
-/// Tickets are judged anew and idle queues dropped so often.
-const REVIEW_INTERVAL: u64 = 100;
+/// Interval of demand reports to the placement holder while tickets wait, in
+/// milliseconds.
+const WAITING_REPORT_INTERVAL_MS: u64 = 400;
+/// Interval of demand reports to the placement holder while requests run and none
+/// waits, in milliseconds.
+const USED_REPORT_INTERVAL_MS: u64 = 10_000;
+/// Interval at which waiting tickets are reviewed and idle queues are removed, in
+/// milliseconds.
+const REVIEW_INTERVAL_MS: u64 = 100;
 
-/// A queue's needs, for the placement holder.
+/// Demand report of a queue for the placement holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Demand {
-    /// What is wanted.
+    /// The demanded artifact.
     pub artifact: Artifact,
-    /// Tickets that wait.
+    /// Number of waiting tickets.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of slots that fronts hold.
     pub running: u32,
-    /// Time left of the most urgent, in milliseconds.
+    /// Time until the earliest deadline of a waiting ticket, in milliseconds.
     pub remaining: u64,
-    /// Fence and version of the replica set that the owner has.
+    /// Fencing token and version of the replica set that the owner has.
     pub known: (Fence, u64),
 }
 
-/// All queues of which this node is or was owner.
+/// All queues that this node owns or owned.
 #[derive(Debug)]
 pub struct Queues {
     settings: RoutingSettings,
     queues: HashMap<QueueKey, ModelQueue>,
     reviews: Periodic,
-    fronts_version: u64,
+    view_version: u64,
 }
 
 impl Queues {
-    /// No queues.
+    /// Creates an empty set of queues.
     pub fn new(settings: RoutingSettings) -> Self {
         Queues {
             settings,
             queues: HashMap::default(),
-            reviews: Periodic::every(REVIEW_INTERVAL),
-            fronts_version: 0,
+            reviews: Periodic::every(REVIEW_INTERVAL_MS),
+            view_version: 0,
         }
     }
 
-    /// Takes in tickets of one front.
+    /// Adds tickets of one front.
     pub fn offer(
         &mut self,
         now: Timestamp,
@@ -74,19 +77,19 @@
                 .entry(ticket.queue.clone())
                 .or_insert_with(|| new_queue(&ticket.queue, now, machines));
             decisions.extend(queue.offer(now, front.clone(), ticket, &self.settings));
-            decisions.extend(queue.pump(now, &self.settings));
+            decisions.extend(queue.process(now, &self.settings));
         }
         decisions
     }
 
-    /// Takes a ticket out.
+    /// Removes a ticket.
     pub fn cancel(&mut self, queue: &QueueKey, id: TicketId) {
         if let Some(queue) = self.queues.get_mut(queue) {
             queue.cancel(id);
         }
     }
 
-    /// Gives slots back that a front held.
+    /// Releases slots that a front held.
     pub fn release(&mut self, now: Timestamp, front: &NodeId, release: &Release) -> Vec<Decision> {
         let Some(queue) = self.queues.get_mut(&release.queue) else {
             return Vec::new();
@@ -96,28 +99,28 @@
             queue.suspend(&release.back_end, now + self.settings.suspension);
         }
         if let Some(milliseconds) = release.service_time {
-            queue.note_service_time(milliseconds);
+            queue.record_service_time(milliseconds);
         }
-        queue.pump(now, &self.settings)
+        queue.process(now, &self.settings)
     }
 
-    /// Takes a front's own account of the slots that it holds.
+    /// Replaces the number of slots that a front holds by the front's own report.
     pub fn correct_held(&mut self, now: Timestamp, front: &NodeId, held: &[HeldSlots]) {
-        let mut accounts: HashMap<&QueueKey, HashMap<&BackEndId, u32>> = HashMap::default();
+        let mut reports: HashMap<&QueueKey, HashMap<&BackEndId, u32>> = HashMap::default();
         for slots in held {
-            accounts
+            reports
                 .entry(&slots.queue)
                 .or_default()
                 .insert(&slots.back_end, slots.slots);
         }
-        let nothing = HashMap::default();
+        let empty_report = HashMap::default();
         for (key, queue) in &mut self.queues {
-            let account = accounts.get(key).unwrap_or(&nothing);
-            queue.correct_held(now, front, account);
+            let report = reports.get(key).unwrap_or(&empty_report);
+            queue.apply_held_report(now, front, report);
         }
     }
 
-    /// Takes in a replica set from the placement holder.
+    /// Applies a replica set from the placement holder.
     pub fn set_replicas(
         &mut self,
         now: Timestamp,
@@ -134,11 +137,11 @@
             .filter_map(|offer| offered_replica(machines, offer))
             .collect();
         queue.set_replicas(now, set, usable);
-        queue.pump(now, &self.settings)
+        queue.process(now, &self.settings)
     }
 
-    /// Applies a new machine list: leaving back ends get nothing more, and
-    /// application services get their present back ends.
+    /// Applies a new machine list. Draining back ends get no further requests, and
+    /// the queues of application services get the listed back ends.
     pub fn apply_machines(&mut self, now: Timestamp, machines: &MachineTable) -> Vec<Decision> {
         let mut decisions = Vec::new();
         for (key, queue) in &mut self.queues {
@@ -152,30 +155,30 @@
                     }
                 }
             }
-            decisions.extend(queue.pump(now, &self.settings));
+            decisions.extend(queue.process(now, &self.settings));
         }
         decisions
     }
 
-    /// Forgets what fronts held that are no longer alive.
+    /// Removes the slots and the tickets of fronts that are no longer alive.
     pub fn apply_view(&mut self, view: &View) {
-        if self.fronts_version == view.version {
+        if self.view_version == view.version {
             return;
         }
-        self.fronts_version = view.version;
+        self.view_version = view.version;
         for queue in self.queues.values_mut() {
             for front in queue.fronts() {
                 if !view.nodes.contains_key(&front) {
-                    queue.forget_front(&front);
+                    queue.remove_front(&front);
                 }
             }
         }
     }
 
-    /// Hands back the tickets of queues that another node owns now, or of all
-    /// queues if this node is leaving.
+    /// Returns the tickets of queues that another node owns now, or of all queues
+    /// if this node is draining.
     pub fn hand_back(&mut self, view: &View, this: &NodeId) -> Vec<(NodeId, TicketId)> {
-        let leaving = view
+        let is_draining = view
             .nodes
             .get(this)
             .is_none_or(|node| node.state == NodeState::Leaving);
@@ -184,15 +187,15 @@
             if queue.waiting_count() == 0 {
                 continue;
             }
-            let owned = view.owner(&key.to_string()) == Some(this);
-            if leaving || !owned {
-                returned.extend(queue.hand_back());
+            let is_owned = view.owner(&key.to_string()) == Some(this);
+            if is_draining || !is_owned {
+                returned.extend(queue.return_tickets());
             }
         }
         returned
     }
 
-    /// Judges waiting tickets anew.
+    /// Reviews the waiting tickets, and removes idle queues.
     pub fn review(&mut self, now: Timestamp) -> Vec<Decision> {
         if !self.reviews.due(now) {
             return Vec::new();
@@ -200,57 +203,59 @@
         let mut decisions = Vec::new();
         for queue in self.queues.values_mut() {
             if queue.waiting_count() > 0 {
-                decisions.extend(queue.pump(now, &self.settings));
+                decisions.extend(queue.process(now, &self.settings));
             }
         }
-        self.queues.retain(|_, queue| !queue.is_forgettable(now));
+        self.queues.retain(|_, queue| !queue.is_removable(now));
         decisions
     }
 
-    /// What the placement holder should hear now.
+    /// Demand reports that are due.
     pub fn demands(&mut self, now: Timestamp) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (key, queue) in &mut self.queues {
             let Some(artifact) = key.artifact() else {
                 continue;
             };
-            if !queue.demand_due(now, WAITING_DEMAND_INTERVAL, USED_DEMAND_INTERVAL) {
+            if !queue.take_due_report(now, WAITING_REPORT_INTERVAL_MS, USED_REPORT_INTERVAL_MS) {
                 continue;
             }
             demands.push(Demand {
                 artifact: artifact.clone(),
                 waiting: queue.waiting_count() as u32,
                 running: queue.running_count(),
-                remaining: queue.most_urgent(now).unwrap_or(0),
+                remaining: queue.time_to_earliest_deadline(now).unwrap_or(0),
                 known: queue.replica_version(),
             });
         }
         demands
     }
 
-    /// Tickets that wait in all queues.
+    /// Number of waiting tickets in all queues.
     pub fn waiting_count(&self) -> usize {
         self.queues.values().map(ModelQueue::waiting_count).sum()
     }
 
-    /// Queues that are kept.
+    /// Number of queues.
     pub fn queue_count(&self) -> usize {
         self.queues.len()
     }
 }
 
-/// Slots that a front gives back to the owner.
+/// Slots that a front returns to the owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Release {
     /// The queue.
     pub queue: QueueKey,
     /// The back end.
     pub back_end: BackEndId,
-    /// How many slots.
+    /// Number of returned slots.
     pub slots: u32,
-    /// Mean service time of requests that ended, if any did.
+    /// Mean service time of the completed requests in milliseconds, if there were
+    /// any.
     pub service_time: Option<u64>,
-    /// The back end turned a request away or could not be reached.
+    /// Whether the back end rejected a request, could not be reached, or lost the
+    /// connection before its response.
     pub troubled: bool,
 }
 
