--- a/crates/coordination/src/front/mod.rs
+++ b/crates/coordination/src/front/mod.rs
@@ -164,7 +164,7 @@
     /// retained.
     recalled: HashMap<QueueKey, Timestamp>,
     account_reports: Periodic,
-    /// Owners that the last report listed as owners of held slots.
+    /// Owners to which the last reports listed at least one held slot.
     reported_owners: HashSet<NodeId>,
     budget: RetryBudget,
     random: ChaCha8Rng,
--- a/crates/coordination/src/placement/announce.rs
+++ b/crates/coordination/src/placement/announce.rs
@@ -173,7 +173,7 @@
             expected,
             no_place: target_engines.is_empty()
                 && is_settled
-                && demand.has_waiting()
+                && demand.has_waiting_requests()
                 && !self.has_fitting_engine(artifact, configuration),
         })
     }
--- a/crates/coordination/src/placement/need.rs
+++ b/crates/coordination/src/placement/need.rs
@@ -51,7 +51,7 @@
     }
 
     /// Whether requests wait for the artifact.
-    pub fn has_waiting(&self) -> bool {
+    pub fn has_waiting_requests(&self) -> bool {
         self.waiting > 0
     }
 
--- a/crates/coordination/src/placement/orders.rs
+++ b/crates/coordination/src/placement/orders.rs
@@ -107,7 +107,7 @@
             .targets()
             .filter(|other| *other == artifact || other.base() == *artifact)
             .filter_map(|other| self.demands.get(other))
-            .filter(|demand| demand.has_waiting())
+            .filter(|demand| demand.has_waiting_requests())
             .map(|demand| demand.deadline)
             .min()
             .unwrap_or(now + NOT_URGENT_MS)
--- a/crates/coordination/src/queue.rs
+++ b/crates/coordination/src/queue.rs
@@ -52,8 +52,9 @@
     pub slots: u32,
 }
 
+/// Sort key of a waiting ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct QueuePosition {
+struct TicketSortKey {
     class: PriorityClass,
     deadline: Timestamp,
     number: u64,
@@ -96,8 +97,8 @@
 #[derive(Debug)]
 pub struct ModelQueue {
     key: QueueKey,
-    waiting: BTreeMap<QueuePosition, Waiting>,
-    positions: HashMap<TicketId, QueuePosition>,
+    waiting: BTreeMap<TicketSortKey, Waiting>,
+    sort_keys: HashMap<TicketId, TicketSortKey>,
     replicas: BTreeMap<BackEndId, ReplicaUse>,
     replica_version: (Fence, u64),
     expected: Option<Timestamp>,
@@ -118,7 +119,7 @@
         ModelQueue {
             key,
             waiting: BTreeMap::new(),
-            positions: HashMap::default(),
+            sort_keys: HashMap::default(),
             replicas: BTreeMap::new(),
             replica_version: (Fence(0), 0),
             expected: None,
@@ -143,7 +144,7 @@
         settings: &RoutingSettings,
     ) -> Option<Decision> {
         self.last_used = now;
-        if self.positions.contains_key(&ticket.id) {
+        if self.sort_keys.contains_key(&ticket.id) {
             return None;
         }
         if self.waiting.len() >= settings.queue_limit {
@@ -151,14 +152,14 @@
             return Some(Decision::Refuse(front, ticket.id, refusal));
         }
         self.last_number += 1;
-        let place = QueuePosition {
+        let sort_key = TicketSortKey {
             class: ticket.class,
             deadline: now + ticket.remaining,
             number: self.last_number,
         };
-        self.positions.insert(ticket.id, place);
+        self.sort_keys.insert(ticket.id, sort_key);
         self.waiting.insert(
-            place,
+            sort_key,
             Waiting {
                 front,
                 id: ticket.id,
@@ -169,14 +170,14 @@
 
     /// Removes a ticket.
     pub fn cancel(&mut self, id: TicketId) {
-        if let Some(place) = self.positions.remove(&id) {
-            self.waiting.remove(&place);
+        if let Some(sort_key) = self.sort_keys.remove(&id) {
+            self.waiting.remove(&sort_key);
         }
     }
 
     /// Removes all tickets and returns them, to be offered to another owner.
     pub fn return_tickets(&mut self) -> Vec<(NodeId, TicketId)> {
-        self.positions.clear();
+        self.sort_keys.clear();
         std::mem::take(&mut self.waiting)
             .into_values()
             .map(|waiting| (waiting.front, waiting.id))
@@ -325,10 +326,10 @@
     }
 
     fn grant_first(&mut self, now: Timestamp, settings: &RoutingSettings) -> Option<Decision> {
-        let place = *self.waiting.first_key_value()?.0;
-        let back_end = self.choose_back_end(now, place.class, settings)?;
-        let waiting = self.waiting.remove(&place)?;
-        self.positions.remove(&waiting.id);
+        let sort_key = *self.waiting.first_key_value()?.0;
+        let back_end = self.choose_back_end(now, sort_key.class, settings)?;
+        let waiting = self.waiting.remove(&sort_key)?;
+        self.sort_keys.remove(&waiting.id);
         let record = self.record_grant(now, &waiting.front, settings.grant_validity);
         let is_steady = record.count >= MIN_GRANTS_FOR_CREDITS;
         let free = self.replicas.get(&back_end).map_or(0, ReplicaUse::free);
@@ -381,19 +382,19 @@
     }
 
     fn refuse_unservable(&mut self, now: Timestamp) -> Vec<Decision> {
-        let unservable: Vec<(QueuePosition, Refusal)> = self
+        let unservable: Vec<(TicketSortKey, Refusal)> = self
             .waiting
             .keys()
             .enumerate()
-            .filter_map(|(position, place)| {
-                self.refusal_for(now, position, place)
-                    .map(|refusal| (*place, refusal))
+            .filter_map(|(position, sort_key)| {
+                self.refusal_for(now, position, sort_key)
+                    .map(|refusal| (*sort_key, refusal))
             })
             .collect();
         let mut decisions = Vec::new();
-        for (place, refusal) in unservable {
-            if let Some(waiting) = self.waiting.remove(&place) {
-                self.positions.remove(&waiting.id);
+        for (sort_key, refusal) in unservable {
+            if let Some(waiting) = self.waiting.remove(&sort_key) {
+                self.sort_keys.remove(&waiting.id);
                 decisions.push(Decision::Refuse(waiting.front, waiting.id, refusal));
             }
         }
@@ -404,9 +405,9 @@
         &self,
         now: Timestamp,
         position: usize,
-        place: &QueuePosition,
+        sort_key: &TicketSortKey,
     ) -> Option<Refusal> {
-        if place.deadline <= now {
+        if sort_key.deadline <= now {
             let retry_after = Some(self.retry_after(now));
             return Some(Refusal::not_run(RefusalReason::DeadlinePassed, retry_after));
         }
@@ -418,7 +419,7 @@
             return Some(Refusal::not_run(RefusalReason::NoPlace, retry_after));
         }
         let start = self.expected_start(now, position)?;
-        if start <= place.deadline {
+        if start <= sort_key.deadline {
             return None;
         }
         let retry_after = Some(self.retry_after(now));
@@ -462,7 +463,7 @@
     pub fn time_to_earliest_deadline(&self, now: Timestamp) -> Option<u64> {
         self.waiting
             .keys()
-            .map(|place| place.deadline)
+            .map(|sort_key| sort_key.deadline)
             .min()
             .map(|deadline| deadline.since(now))
     }
