--- a/crates/world/src/artifact.rs
+++ b/crates/world/src/artifact.rs
@@ -1,4 +1,6 @@
-//! Artifacts: weights that occupy accelerator memory, and the queues before them.
+//! Names of artifacts (weights that occupy accelerator memory) and keys of request queues.
+//!
+//! Both types are parsed from text and written as the same text.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,12 +10,12 @@
 
 use crate::identity::{AdapterId, ModelId, ServiceId, VersionId};
 
-/// Prefix that marks a [`QueueKey`] of an application service in its text form.
+/// Prefix of the text form of a [`QueueKey`] for an application service.
 const SERVICE_PREFIX: &str = "service:";
 
 /// The weights of one model version, or of one adapter on top of it.
 ///
-/// Its text form is `model@version` or `model@version+adapter`.
+/// The text form is `model@version` or `model@version+adapter`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Artifact {
@@ -26,7 +28,7 @@
 }
 
 impl Artifact {
-    /// The base weights that this artifact needs beside it; itself for base weights.
+    /// The base weights on which this artifact depends; base weights return a copy of themselves.
     pub fn base(&self) -> Artifact {
         Artifact {
             adapter: None,
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Everything that must be loaded on a back end to serve this artifact, base first.
+    /// All artifacts that a back end must load to serve this artifact, the base weights first.
     pub fn required(&self) -> Vec<Artifact> {
         match self.adapter {
             None => vec![self.clone()],
@@ -53,23 +55,23 @@
     }
 }
 
-/// A text that is not an artifact name.
+/// The text is not a valid artifact name.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is not an artifact: expected `model@version` or `model@version+adapter`")]
+#[error("`{0}` is not a valid artifact name: expected `model@version` or `model@version+adapter`")]
 pub struct ArtifactError(String);
 
 impl FromStr for Artifact {
     type Err = ArtifactError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refuse = || ArtifactError(text.to_owned());
-        let (model, rest) = text.split_once('@').ok_or_else(refuse)?;
+        let invalid = || ArtifactError(text.to_owned());
+        let (model, rest) = text.split_once('@').ok_or_else(invalid)?;
         let (version, adapter) = match rest.split_once('+') {
             Some((version, adapter)) => (version, Some(adapter)),
             None => (rest, None),
         };
         if model.is_empty() || version.is_empty() || adapter == Some("") {
-            return Err(refuse());
+            return Err(invalid());
         }
         Ok(Artifact {
             model: model.into(),
@@ -93,18 +95,18 @@
     }
 }
 
-/// What requests wait for: an artifact to be served, or an application service.
+/// The key of a request queue: the artifact or the application service that serves its requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub enum QueueKey {
-    /// A model, a version of it, or an adapter.
+    /// A version of a model, or an adapter on it.
     Artifact(Artifact),
-    /// A pool of application back ends, which need no loading.
+    /// A pool of application back ends, which load no artifacts.
     Service(ServiceId),
 }
 
 impl QueueKey {
-    /// The artifact, if the queue is for one.
+    /// The artifact; `None` for the queue of an application service.
     pub fn artifact(&self) -> Option<&Artifact> {
         match self {
             QueueKey::Artifact(artifact) => Some(artifact),
--- a/crates/world/src/configuration.rs
+++ b/crates/world/src/configuration.rs
@@ -1,4 +1,7 @@
-//! Configuration rows: what operators create, label and delete.
+//! Configuration rows, which operators create, label and delete.
+//!
+//! The module defines the rows as they are stored and replicated, and their keys. Evaluating a
+//! row is left to other crates.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,7 +19,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RowKind {
-    /// Which models are served on which back ends, and how.
+    /// A rule that assigns models to back ends and sets their placement parameters.
     Deployment,
     /// A base model.
     Model,
@@ -24,12 +27,12 @@
     Version,
     /// An adapter, named `model+adapter`.
     Adapter,
-    /// Operators' labels on a back end.
+    /// A back end, for which operators set labels only.
     BackEnd,
 }
 
 impl RowKind {
-    /// The kind's name in paths and commands.
+    /// The name of the kind in URL paths and commands.
     pub fn as_str(self) -> &'static str {
         match self {
             RowKind::Deployment => "deployment",
@@ -47,9 +50,9 @@
     }
 }
 
-/// A text that names no kind of row.
+/// The text is not the name of a row kind.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is not a kind: expected deployment, model, version, adapter or back_end")]
+#[error("`{0}` is not a row kind: expected deployment, model, version, adapter or back_end")]
 pub struct RowKindError(String);
 
 impl FromStr for RowKind {
@@ -67,12 +70,12 @@
     }
 }
 
-/// Kind and name of a row; unique.
+/// The unique key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RowKey {
-    /// The kind.
     pub kind: RowKind,
-    /// The name within the kind; shared, since every node holds every row.
+    /// The name, unique within the kind. The text is reference-counted because every node holds
+    /// every row.
     pub name: Arc<str>,
 }
 
@@ -82,24 +85,24 @@
     }
 }
 
-/// What a deployment states.
+/// The content of a deployment row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct DeploymentSpec {
-    /// Models that are served.
+    /// Selects the models that are served.
     #[serde(default)]
     pub models: Selector,
-    /// Versions that may be served; the one created last wins.
+    /// Selects the versions that may be served; the most recently created one is used.
     #[serde(default)]
     pub versions: Selector,
-    /// Back ends that may hold the models.
+    /// Selects the back ends that may load the models.
     #[serde(default)]
     pub back_ends: Selector,
-    /// Most replicas of one model among reachable back ends.
+    /// Maximum number of replicas of one model on reachable back ends.
     #[serde(default = "default_max_replicas")]
     pub max_replicas: u32,
-    /// Weight of tail cold-start time against idle accelerator hours, from 0
-    /// (only idle hours count) to 1 (only cold starts count).
+    /// Weight of the tail latency of cold starts relative to idle accelerator hours, from 0 (only
+    /// idle hours count) to 1 (only cold starts count).
     #[serde(default = "default_cold_start_weight")]
     pub cold_start_weight: f64,
 }
@@ -112,40 +115,40 @@
     0.5
 }
 
-/// What a base model states.
+/// The content of a model row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ModelSpec {
-    /// Accelerator memory of one replica.
+    /// Accelerator memory that one replica occupies.
     pub memory: ByteSize,
 }
 
-/// What a version states.
+/// The content of a version row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct VersionSpec {
     /// The base model.
     pub model: ModelId,
-    /// Accelerator memory of one replica.
+    /// Accelerator memory that one replica occupies.
     pub memory: ByteSize,
 }
 
-/// What an adapter states.
+/// The content of an adapter row.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AdapterSpec {
     /// The base model.
     pub model: ModelId,
-    /// Accelerator memory beside the base weights.
+    /// Accelerator memory that the adapter occupies in addition to the base weights.
     pub memory: ByteSize,
 }
 
-/// What operators state about a back end: only labels.
+/// The content of a back-end row, which is empty: operators set only labels on back ends.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackEndSpec {}
 
-/// The typed content of a row.
+/// The content of a row, by kind.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Spec {
@@ -162,7 +165,7 @@
 }
 
 impl Spec {
-    /// The kind of row this content belongs to.
+    /// The kind of the rows that have this content.
     pub fn kind(&self) -> RowKind {
         match self {
             Spec::Deployment(_) => RowKind::Deployment,
@@ -174,17 +177,16 @@
     }
 }
 
-/// One configuration row as stored and spread.
+/// A configuration row as it is stored and replicated to the nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    /// Kind and name.
     pub key: RowKey,
-    /// The configuration revision that wrote this row; also its version for
-    /// compare-and-set. Revisions are dense: 1, 2, 3, ...
+    /// The configuration revision that wrote this row, which compare-and-set updates use as the
+    /// version of the row. Revisions are consecutive: 1, 2, 3, ...
     pub revision: u64,
-    /// Operators' labels.
+    /// Labels that operators set.
     #[serde(default)]
     pub labels: Labels,
-    /// The content, or `None` once the row was deleted.
+    /// The content; `None` marks a deleted row.
     pub spec: Option<Spec>,
 }
--- a/crates/world/src/identity.rs
+++ b/crates/world/src/identity.rs
@@ -1,10 +1,14 @@
-//! Names of things in the world. Each is a distinct type, cheap to clone.
+//! Identifiers of nodes, back ends, models and other entities.
+//!
+//! Each kind of identifier has a type of its own. The text is reference-counted, so that clones
+//! are cheap.
 
 use std::fmt;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
+/// Defines an identifier type whose serialised form is its plain text.
 macro_rules! identifier {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
@@ -13,7 +17,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The name as text.
+            /// The identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -54,11 +58,11 @@
     BackEndId
 );
 identifier!(
-    /// A failure zone, such as one hall of a data centre.
+    /// A failure zone, such as a data centre hall.
     ZoneId
 );
 identifier!(
-    /// The set of zones that one placement holder decides for.
+    /// The set of zones in which one placement holder decides the placement.
     CellId
 );
 identifier!(
@@ -66,7 +70,7 @@
     ModelId
 );
 identifier!(
-    /// Whose callers use the deployment under keys and a limit of their own.
+    /// A tenant, whose callers have API keys and a quota of their own.
     TenantId
 );
 identifier!(
--- a/crates/world/src/labels.rs
+++ b/crates/world/src/labels.rs
@@ -1,31 +1,30 @@
-//! Labels: the key-value marks that operators put on rows and machines.
+//! Labels: key-value pairs that operators attach to rows and machines.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Labels of one row or machine, ordered by key.
+/// The labels of a row or a machine, ordered by key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Labels(BTreeMap<String, String>);
 
 impl Labels {
-    /// The value under `key`.
+    /// The value of `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.0.get(key).map(String::as_str)
     }
 
-    /// Sets `key` to `value`.
     pub fn set(&mut self, key: &str, value: &str) {
         self.0.insert(key.to_owned(), value.to_owned());
     }
 
-    /// Removes `key`; says whether it was there.
+    /// Removes `key` and returns whether it was present.
     pub fn remove(&mut self, key: &str) -> bool {
         self.0.remove(key).is_some()
     }
 
-    /// All labels, by key.
+    /// All labels, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         self.0
             .iter()
--- a/crates/world/src/lib.rs
+++ b/crates/world/src/lib.rs
@@ -1,7 +1,7 @@
-//! Values that mirror the world gorsebank runs in.
+//! Data types for machines, models and configuration.
 //!
-//! Nothing here decides anything or performs I/O. The types are shared by the
-//! decision logic, the node, the stand-ins and the replay tool.
+//! The crate contains no decision logic and performs no I/O. Its types are shared by the
+//! coordination logic, the node, the emulator and the replay tool.
 
 pub mod artifact;
 pub mod configuration;
--- a/crates/world/src/machine.rs
+++ b/crates/world/src/machine.rs
@@ -1,4 +1,4 @@
-//! Machines as the platform's machine list describes them.
+//! Machines and gorsebank nodes as the platform's machine list describes them.
 
 use std::net::SocketAddr;
 
@@ -7,67 +7,67 @@
 use crate::identity::{BackEndId, CellId, NodeId, ServiceId, ZoneId};
 use crate::labels::Labels;
 
-/// What a machine does.
+/// The role of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineRole {
-    /// A model engine that takes fenced orders.
+    /// A model engine, which executes fenced orders.
     Engine,
-    /// An application service, which needs no loading.
+    /// An application service, which loads no models.
     Application,
 }
 
-/// Whether the platform lets a machine take new work.
+/// Whether a machine accepts new requests, as set by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// Takes work.
+    /// The machine accepts requests.
     Live,
-    /// Finishes what it has and takes nothing new.
+    /// The machine is draining: it finishes its open requests and accepts no new ones.
+    #[serde(rename = "leaving")]
     Leaving,
 }
 
 /// One back end of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// The back end's name.
+    /// The name of the back end.
     pub id: BackEndId,
-    /// Where it answers HTTP.
+    /// The address on which the back end serves HTTP.
     pub address: SocketAddr,
-    /// Its failure zone.
+    /// The failure zone of the back end.
     pub zone: ZoneId,
-    /// The pool it belongs to.
+    /// The pool to which the back end belongs.
     pub service: ServiceId,
-    /// Engine or application.
     pub role: MachineRole,
-    /// Accelerator memory in bytes; 0 for applications.
+    /// Accelerator memory in bytes; 0 for an application.
     pub memory: u64,
-    /// Requests it runs at once at full speed.
+    /// Number of requests that the back end can run concurrently at full speed.
     pub slots: u32,
-    /// Live or leaving.
+    /// Whether the back end is live or draining.
     pub state: MachineState,
-    /// Labels that the platform gives it.
+    /// Labels that the platform assigns to the back end.
     pub labels: Labels,
 }
 
 /// One gorsebank node of the platform's machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeEntry {
-    /// The node's name.
+    /// The name of the node.
     pub id: NodeId,
-    /// Where it listens for other nodes.
+    /// The address on which the node accepts connections from other nodes.
     pub address: SocketAddr,
-    /// Its failure zone.
+    /// The failure zone of the node.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell of the node.
     pub cell: CellId,
 }
 
-/// The platform's machine list, which lags behind the machines.
+/// The platform's machine list, which may lag behind the actual state of the machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// gorsebank nodes.
+    /// The gorsebank nodes.
     pub nodes: Vec<NodeEntry>,
-    /// Engines and application services.
+    /// The model engines and application services.
     pub back_ends: Vec<Machine>,
 }
--- a/crates/world/src/selector.rs
+++ b/crates/world/src/selector.rs
@@ -1,8 +1,8 @@
-//! Selectors: which labels a deployment matches.
+//! Label selectors, by which a deployment selects models, versions and back ends.
 //!
-//! The syntax is the one operators know: `key=value`, `key!=value`,
-//! `key in (a,b)`, `key notin (a,b)`, `key`, `!key`, joined by commas.
-//! An empty selector matches everything.
+//! The syntax is that of Kubernetes label selectors: `key=value`, `key==value`, `key!=value`,
+//! `key in (a,b)`, `key notin (a,b)`, `key` and `!key`, joined by commas. All requirements must
+//! hold. An empty selector matches everything.
 
 use std::fmt;
 use std::str::FromStr;
@@ -16,7 +16,7 @@
 
 use crate::labels::Labels;
 
-/// One requirement of a selector.
+/// A requirement on the labels of one row or machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Requirement {
     Exists(String),
@@ -27,7 +27,7 @@
 
 impl Requirement {
     fn matches(&self, labels: &Labels) -> bool {
-        let among = |key: &str, values: &[String]| {
+        let has_one_of = |key: &str, values: &[String]| {
             labels
                 .get(key)
                 .is_some_and(|value| values.iter().any(|candidate| candidate == value))
@@ -35,8 +35,8 @@
         match self {
             Requirement::Exists(key) => labels.get(key).is_some(),
             Requirement::Absent(key) => labels.get(key).is_none(),
-            Requirement::In(key, values) => among(key, values),
-            Requirement::NotIn(key, values) => !among(key, values),
+            Requirement::In(key, values) => has_one_of(key, values),
+            Requirement::NotIn(key, values) => !has_one_of(key, values),
         }
     }
 }
@@ -50,7 +50,7 @@
 }
 
 impl Selector {
-    /// Whether every requirement holds for `labels`.
+    /// Whether `labels` meet every requirement.
     pub fn matches(&self, labels: &Labels) -> bool {
         self.requirements
             .iter()
@@ -58,9 +58,10 @@
     }
 }
 
-/// A text that is not a selector, with the place where reading stopped.
+/// The text is not a valid selector. The position is that at which parsing stopped, counted in
+/// bytes from 1.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("selector `{text}` is wrong at character {position}")]
+#[error("selector `{text}` has a syntax error at position {position}")]
 pub struct SelectorError {
     text: String,
     position: usize,
@@ -73,10 +74,12 @@
         if text.trim().is_empty() {
             return Ok(Selector::default());
         }
-        let requirements = requirements.parse(text).map_err(|error| SelectorError {
-            text: text.to_owned(),
-            position: error.offset() + 1,
-        })?;
+        let requirements = parse_requirements
+            .parse(text)
+            .map_err(|error| SelectorError {
+                text: text.to_owned(),
+                position: error.offset() + 1,
+            })?;
         Ok(Selector {
             text: text.to_owned(),
             requirements,
@@ -104,34 +107,34 @@
     }
 }
 
-fn requirements(input: &mut &str) -> winnow::Result<Vec<Requirement>> {
-    separated(1.., padded_requirement, ',').parse_next(input)
+fn parse_requirements(input: &mut &str) -> winnow::Result<Vec<Requirement>> {
+    separated(1.., parse_padded_requirement, ',').parse_next(input)
 }
 
-fn padded_requirement(input: &mut &str) -> winnow::Result<Requirement> {
-    delimited(multispace0, requirement, multispace0).parse_next(input)
+fn parse_padded_requirement(input: &mut &str) -> winnow::Result<Requirement> {
+    delimited(multispace0, parse_requirement, multispace0).parse_next(input)
 }
 
-fn requirement(input: &mut &str) -> winnow::Result<Requirement> {
-    alt((absent, set, equality, exists)).parse_next(input)
+fn parse_requirement(input: &mut &str) -> winnow::Result<Requirement> {
+    alt((parse_absent, parse_set, parse_equality, parse_exists)).parse_next(input)
 }
 
-fn absent(input: &mut &str) -> winnow::Result<Requirement> {
-    preceded(('!', multispace0), word)
+fn parse_absent(input: &mut &str) -> winnow::Result<Requirement> {
+    preceded(('!', multispace0), parse_word)
         .map(Requirement::Absent)
         .parse_next(input)
 }
 
-fn exists(input: &mut &str) -> winnow::Result<Requirement> {
-    word.map(Requirement::Exists).parse_next(input)
+fn parse_exists(input: &mut &str) -> winnow::Result<Requirement> {
+    parse_word.map(Requirement::Exists).parse_next(input)
 }
 
-fn set(input: &mut &str) -> winnow::Result<Requirement> {
-    let key = word.parse_next(input)?;
+fn parse_set(input: &mut &str) -> winnow::Result<Requirement> {
+    let key = parse_word.parse_next(input)?;
     multispace1.parse_next(input)?;
     let operator = alt(("notin", "in")).parse_next(input)?;
     multispace0.parse_next(input)?;
-    let padded_word = delimited(multispace0, word, multispace0);
+    let padded_word = delimited(multispace0, parse_word, multispace0);
     let values: Vec<String> =
         delimited('(', separated(1.., padded_word, ','), ')').parse_next(input)?;
     Ok(match operator {
@@ -140,21 +143,21 @@
     })
 }
 
-fn equality(input: &mut &str) -> winnow::Result<Requirement> {
-    let key = word.parse_next(input)?;
+fn parse_equality(input: &mut &str) -> winnow::Result<Requirement> {
+    let key = parse_word.parse_next(input)?;
     multispace0.parse_next(input)?;
     let operator = alt(("!=", "==", "=")).parse_next(input)?;
     multispace0.parse_next(input)?;
-    let value = word.parse_next(input)?;
+    let value = parse_word.parse_next(input)?;
     Ok(match operator {
         "!=" => Requirement::NotIn(key, vec![value]),
         _ => Requirement::In(key, vec![value]),
     })
 }
 
-fn word(input: &mut &str) -> winnow::Result<String> {
-    let allowed = |character: char| character.is_alphanumeric() || "-_./".contains(character);
-    take_while(1.., allowed)
+fn parse_word(input: &mut &str) -> winnow::Result<String> {
+    let is_allowed = |character: char| character.is_alphanumeric() || "-_./".contains(character);
+    take_while(1.., is_allowed)
         .map(str::to_owned)
         .parse_next(input)
 }
--- a/crates/world/tests/selectors.rs
+++ b/crates/world/tests/selectors.rs
@@ -1,4 +1,4 @@
-//! Selectors and artifact names, as operators write them.
+//! Checks the parsing and matching of label selectors and the parsing of artifact names.
 
 use gorsebank_world::{Artifact, Labels, QueueKey, Selector};
 use proptest::prelude::*;
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn requirements_are_joined() {
+fn selector_matches_only_if_all_requirements_hold() {
     let labels = Labels::from([("team", "call-centre"), ("stage", "canary")]);
     for selector in [
         "",
@@ -36,32 +36,36 @@
 }
 
 #[test]
-fn errors_name_the_place() {
-    for (selector, place) in [("team=", 5), ("a,,b", 2), ("team in ()", 5), ("a b", 2)] {
+fn syntax_errors_give_the_selector_and_position() {
+    for (selector, expected_position) in [("team=", 5), ("a,,b", 2), ("team in ()", 5), ("a b", 2)]
+    {
         let error = selector
             .parse::<Selector>()
-            .expect_err("refused")
+            .expect_err("the selector is invalid")
             .to_string();
         assert!(error.contains(selector), "{error}");
-        let stated: usize = error
+        let position: usize = error
             .rsplit(' ')
             .next()
             .and_then(|number| number.parse().ok())
-            .expect("the error ends in a position");
-        assert!(stated.abs_diff(place) <= 1, "{error} (about {place})");
+            .expect("the error message ends in a position");
+        assert!(
+            position.abs_diff(expected_position) <= 1,
+            "{error} (about {expected_position})"
+        );
     }
 }
 
 #[test]
-fn artifact_names_are_checked() {
-    for wrong in ["", "m", "@1", "m@", "m@1+", "+a"] {
-        assert!(wrong.parse::<Artifact>().is_err(), "{wrong}");
+fn invalid_artifact_names_are_rejected() {
+    for invalid in ["", "m", "@1", "m@", "m@1+", "+a"] {
+        assert!(invalid.parse::<Artifact>().is_err(), "{invalid}");
     }
 }
 
 proptest! {
     #[test]
-    fn artifacts_survive_their_text(
+    fn artifact_round_trips_through_text(
         model in "[a-z0-9.-]{1,12}",
         version in "[a-z0-9.]{1,6}",
         adapter in proptest::option::of("[a-z0-9-]{1,12}"),
@@ -70,7 +74,7 @@
             Some(adapter) => format!("{model}@{version}+{adapter}"),
             None => format!("{model}@{version}"),
         };
-        let artifact: Artifact = text.parse().expect("a name");
+        let artifact: Artifact = text.parse().expect("the text is a valid artifact name");
         prop_assert_eq!(artifact.to_string(), text);
         let queue = QueueKey::Artifact(artifact.clone());
         prop_assert_eq!(QueueKey::try_from(queue.to_string()), Ok(queue));
@@ -79,7 +83,7 @@
     }
 
     #[test]
-    fn any_text_is_read_or_refused(text in ".{0,40}") {
+    fn parsing_a_selector_never_panics(text in ".{0,40}") {
         let _ = text.parse::<Selector>();
     }
 }
