--- a/crates/clients/src/engine_client.rs
+++ b/crates/clients/src/engine_client.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to engines, as JSON over HTTP.
+//! Client that sends fenced orders to engines and reads their reports, as JSON over HTTP.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,62 +9,62 @@
 
 use crate::http_client::HttpClient;
 
-/// Where engines take orders.
+/// URL path on which engines accept orders.
 pub const ORDERS_PATH: &str = "/v1/orders";
-/// Where engines report.
+/// URL path on which engines return their short report.
 pub const REPORT_PATH: &str = "/v1/report";
-/// An inspection is answered within this time.
+/// Time within which an engine must respond to an inspection or a request for its report.
 const INSPECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A load or unload is answered, when done, within this time.
+/// Time within which an engine must complete a load, an unload or a change of role and respond.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(1_800);
 
-/// An engine's answer to an order.
+/// The response of an engine to an order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct OrderAnswer {
-    /// Why the order was not carried out, if it was not.
+    /// The reason why the order was not executed; `None` if it was executed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<OrderError>,
-    /// The inventory after it.
+    /// The inventory after the order.
     pub inventory: Inventory,
 }
 
-/// Sends orders.
+/// A client of the engines.
 #[derive(Clone, Debug)]
 pub struct EngineClient {
     http: HttpClient,
 }
 
 impl EngineClient {
-    /// A client over `http`.
+    /// Creates a client that sends its requests through `http`.
     pub fn new(http: HttpClient) -> Self {
         EngineClient { http }
     }
 
-    /// Reads an engine's short report.
+    /// Reads the short report of an engine; `None` if the call fails.
     pub async fn report(&self, address: SocketAddr) -> Option<EngineReport> {
-        let answer = self
+        let result = self
             .http
             .call::<(), EngineReport>(Method::GET, address, REPORT_PATH, None, INSPECT_TIMEOUT)
             .await;
-        match answer {
+        match result {
             Ok((status, report)) if status.is_success() => Some(report),
             _ => None,
         }
     }
 
-    /// Sends an order and waits until it is carried out or refused.
+    /// Sends an order and waits until the engine has executed or refused it.
     pub async fn order(&self, address: SocketAddr, order: &Order) -> OrderResult {
-        let limit = match order.action {
+        let time_limit = match order.action {
             OrderAction::Inspect => INSPECT_TIMEOUT,
             OrderAction::Load { .. }
             | OrderAction::Unload { .. }
             | OrderAction::ChangeRole { .. } => CHANGE_TIMEOUT,
         };
-        let answer = self
+        let result = self
             .http
-            .call::<_, OrderAnswer>(Method::POST, address, ORDERS_PATH, Some(order), limit)
+            .call::<_, OrderAnswer>(Method::POST, address, ORDERS_PATH, Some(order), time_limit)
             .await;
-        match answer {
+        match result {
             Ok((
                 _,
                 OrderAnswer {
--- a/crates/clients/src/etcd.rs
+++ b/crates/clients/src/etcd.rs
@@ -1,14 +1,13 @@
-//! Messages of etcd's v3 JSON gateway, as far as transactions need them.
+//! The messages of the JSON gateway of etcd v3 that are needed for transactions.
 //!
-//! Keys and values are base64, and 64-bit numbers are text, as the gateway's
-//! published mapping of protocol buffers to JSON has it. Fields with default
-//! values may be absent.
+//! The messages follow the JSON mapping of Protocol Buffers: keys and values are encoded in base64,
+//! 64-bit numbers are written as text, and fields with default values may be absent.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Bytes that travel as base64.
+/// Bytes that are serialised as base64 text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Base64(pub Vec<u8>);
 
@@ -28,7 +27,7 @@
     }
 }
 
-/// A 64-bit number that travels as text.
+/// A 64-bit number that is serialised as text. A JSON number is accepted as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Number(pub u64);
 
@@ -42,13 +41,13 @@
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         #[derive(Deserialize)]
         #[serde(untagged)]
-        enum Either {
+        enum TextOrNumber {
             Text(String),
             Number(u64),
         }
-        match Either::deserialize(deserializer)? {
-            Either::Number(number) => Ok(Number(number)),
-            Either::Text(text) => text.parse().map(Number).map_err(serde::de::Error::custom),
+        match TextOrNumber::deserialize(deserializer)? {
+            TextOrNumber::Number(number) => Ok(Number(number)),
+            TextOrNumber::Text(text) => text.parse().map(Number).map_err(serde::de::Error::custom),
         }
     }
 }
@@ -58,21 +57,21 @@
 pub struct CompareMessage {
     /// The key.
     pub key: Base64,
-    /// Always `MOD`.
+    /// The compared property: always `MOD`, the revision.
     pub target: String,
-    /// Always `EQUAL`.
+    /// The relation: always `EQUAL`.
     pub result: String,
-    /// The revision; 0 if the key must not exist.
+    /// The required revision; 0 if the key must not exist.
     #[serde(default)]
     pub mod_revision: Number,
 }
 
-/// Reads a key, or all keys up to `range_end`.
+/// A read of one key, or of all keys from `key` to `range_end`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RangeRequest {
     /// The first key.
     pub key: Base64,
-    /// The end, exclusive; empty for one key.
+    /// The end of the range, exclusive; empty to read one key.
     #[serde(default, skip_serializing_if = "is_empty")]
     pub range_end: Base64,
 }
@@ -81,7 +80,7 @@
     bytes.0.is_empty()
 }
 
-/// Writes a key.
+/// A write of one key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PutRequest {
     /// The key.
@@ -95,30 +94,30 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RequestOp {
-    /// Read.
+    /// A read.
     RequestRange(RangeRequest),
-    /// Write.
+    /// A write.
     RequestPut(PutRequest),
 }
 
 /// A transaction.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TxnRequest {
-    /// Conditions.
+    /// Conditions on keys.
     #[serde(default)]
     pub compare: Vec<CompareMessage>,
-    /// Run when all hold.
+    /// Operations that are executed if all conditions hold.
     #[serde(default)]
     pub success: Vec<RequestOp>,
-    /// Run otherwise.
+    /// Operations that are executed otherwise.
     #[serde(default)]
     pub failure: Vec<RequestOp>,
 }
 
-/// The store's state when it answered.
+/// The state of the store at the time of the response.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct ResponseHeader {
-    /// Its revision.
+    /// The revision of the store.
     #[serde(default)]
     pub revision: Number,
 }
@@ -131,20 +130,20 @@
     /// The value.
     #[serde(default)]
     pub value: Base64,
-    /// The revision that last wrote it.
+    /// The revision that last wrote the key.
     #[serde(default)]
     pub mod_revision: Number,
 }
 
-/// Keys that were read.
+/// The result of a read.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RangeResponse {
-    /// The keys.
+    /// The keys that were read, with their values.
     #[serde(default)]
     pub kvs: Vec<KeyValue>,
 }
 
-/// The result of a write, of which nothing is needed.
+/// The result of a write. None of its fields is needed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct PutResponse {}
 
@@ -152,27 +151,28 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResponseOp {
-    /// Of a read.
+    /// The result of a read.
     ResponseRange(RangeResponse),
-    /// Of a write.
+    /// The result of a write.
     ResponsePut(PutResponse),
 }
 
 /// The result of a transaction.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct TxnResponse {
-    /// The store's state.
+    /// The state of the store.
     #[serde(default)]
     pub header: ResponseHeader,
-    /// Whether the conditions held.
+    /// Whether all conditions held.
     #[serde(default)]
     pub succeeded: bool,
-    /// One result an operation.
+    /// The result of each executed operation, in order.
     #[serde(default)]
     pub responses: Vec<ResponseOp>,
 }
 
-/// The end of the range of all keys that start with `prefix`.
+/// The exclusive end of the range of all keys that start with `prefix`. The result is a zero byte,
+/// by which etcd denotes the end of all keys, if no key is greater than all keys with the prefix.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/clients/src/http_client.rs
+++ b/crates/clients/src/http_client.rs
@@ -1,4 +1,5 @@
-//! A JSON client over HTTP/1.1 with a limit on time and size.
+//! HTTP/1.1 client that sends and receives JSON, with limits on the time of a call and on the size of
+//! a response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,34 +16,34 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
-/// An idle connection is kept for so long.
+/// Maximum length of a response body.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// A connection must be established within this time.
+/// Time within which a connection must be established.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// What went wrong with a call.
+/// The reason why a call failed.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// No answer within the time allowed.
-    #[error("no answer within {0:?}")]
+    /// No complete response arrived within the time limit.
+    #[error("no complete response within {0:?}")]
     Timeout(Duration),
-    /// The connection could not be made; nothing was sent.
-    #[error("connection refused: {0}")]
+    /// The connection could not be established, so nothing was sent.
+    #[error("connection could not be established: {0}")]
     Connect(String),
     /// The connection failed after the request may have been sent.
     #[error("connection lost: {0}")]
     Lost(String),
-    /// The answer is not what the protocol says.
-    #[error("answer is not understood: {0}")]
+    /// The request or the response does not conform to the protocol.
+    #[error("invalid request or response: {0}")]
     Content(String),
-    /// The server answered with an error.
-    #[error("status {0}")]
+    /// The server returned an error status.
+    #[error("server returned status {0}")]
     Status(StatusCode),
 }
 
-/// A client that keeps connections open.
+/// An HTTP client that reuses connections. Clones share the connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -62,7 +63,8 @@
 }
 
 impl HttpClient {
-    /// Sends a request; the answer's body is still to come.
+    /// Sends a request and returns the response once its headers have arrived. The body is still
+    /// unread.
     pub async fn send(
         &self,
         request: Request<Full<Bytes>>,
@@ -76,23 +78,24 @@
         })
     }
 
-    /// Sends JSON and reads a JSON answer, whatever its status.
+    /// Sends `body` as JSON and decodes the JSON response, whatever its status, within
+    /// `time_limit`.
     pub async fn call<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
         path: &str,
         body: Option<&Q>,
-        limit: Duration,
+        time_limit: Duration,
     ) -> Result<(StatusCode, A), HttpError> {
-        let exchange = self.exchange(method, address, path, body);
-        match timeout(limit, exchange).await {
+        let exchange = self.send_json(method, address, path, body);
+        match timeout(time_limit, exchange).await {
             Ok(result) => result,
-            Err(_) => Err(HttpError::Timeout(limit)),
+            Err(_) => Err(HttpError::Timeout(time_limit)),
         }
     }
 
-    async fn exchange<Q: Serialize, A: DeserializeOwned>(
+    async fn send_json<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         address: SocketAddr,
@@ -112,13 +115,13 @@
             .map_err(|error| HttpError::Content(error.to_string()))?;
         let response = self.send(request).await?;
         let status = response.status();
-        let bytes = Limited::new(response.into_body(), MAX_ANSWER_BYTES)
+        let bytes = Limited::new(response.into_body(), MAX_RESPONSE_BYTES)
             .collect()
             .await
             .map_err(|error| HttpError::Lost(error.to_string()))?
             .to_bytes();
-        let answer = serde_json::from_slice(&bytes)
+        let decoded = serde_json::from_slice(&bytes)
             .map_err(|error| HttpError::Content(format!("{status}: {error}")))?;
-        Ok((status, answer))
+        Ok((status, decoded))
     }
 }
--- a/crates/clients/src/lib.rs
+++ b/crates/clients/src/lib.rs
@@ -1,7 +1,7 @@
-//! Clients of the platform and of back ends, by published protocols.
+//! Clients of the platform's services and of back ends.
 //!
-//! The table service speaks the JSON gateway of etcd v3, the machine list is
-//! Prometheus HTTP service discovery, and engines take orders as JSON.
+//! The table service is accessed through the JSON gateway of etcd v3, the machine list is read by
+//! Prometheus HTTP service discovery, and engines accept orders as JSON over HTTP.
 
 pub mod engine_client;
 pub mod etcd;
--- a/crates/clients/src/machine_list.rs
+++ b/crates/clients/src/machine_list.rs
@@ -1,9 +1,8 @@
-//! The platform's machine list, by Prometheus HTTP service discovery.
+//! Client that reads the platform's machine list by Prometheus HTTP service discovery.
 //!
-//! Each target group is one machine: its address as the only target, and the
-//! labels `role` (`node`, `engine`, `application`), `id`, `zone`, `cell`,
-//! `service`, `memory` (such as `80GiB`), `slots` and `state` (`live`,
-//! `leaving`). Other labels are the platform's marks on a back end.
+//! Each target group describes one machine. Its only target is the address of the machine. Its labels
+//! are `role` (`node`, `engine`, `application`), `id`, `zone`, `cell`, `service`, `memory` (such as
+//! `80GiB`), `slots` and `state` (`live`, `leaving`). All other labels become labels of the back end.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,30 +16,30 @@
 
 use crate::http_client::{HttpClient, HttpError};
 
-/// Labels that describe a machine; all others are marks.
-const DESCRIPTIVE: [&str; 8] = [
+/// Labels that set the fields of a machine. All other labels are copied to the back end.
+const FIELD_LABELS: [&str; 8] = [
     "role", "id", "zone", "cell", "service", "memory", "slots", "state",
 ];
-/// Requests that a back end runs at once if the list does not say.
+/// Number of requests that a back end runs concurrently if the list gives no number.
 const DEFAULT_SLOTS: u32 = 16;
 
-/// One group of the list.
+/// A target group of the list.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct TargetGroup {
-    /// Addresses; exactly one here.
+    /// Addresses. The machine list has exactly one in each group.
     pub targets: Vec<String>,
-    /// Labels.
+    /// Labels of the target.
     #[serde(default)]
     pub labels: BTreeMap<String, String>,
 }
 
-/// What is wrong with an entry of the list.
+/// An entry of the machine list is invalid.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("machine list entry {position}: {reason}")]
 pub struct MachineListError {
-    /// Position in the list, from 1.
+    /// Position of the entry in the list, starting at 1.
     pub position: usize,
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
@@ -49,7 +48,7 @@
     BackEnd(Machine),
 }
 
-/// Reads the machine list.
+/// A client of the machine list.
 #[derive(Debug)]
 pub struct MachineListClient {
     http: HttpClient,
@@ -59,7 +58,7 @@
 }
 
 impl MachineListClient {
-    /// A client of the list at `address` and `path`.
+    /// Creates a client that reads the list from `path` on the server at `address`.
     pub fn new(http: HttpClient, address: SocketAddr, path: String, timeout: Duration) -> Self {
         MachineListClient {
             http,
@@ -69,16 +68,16 @@
         }
     }
 
-    /// The list, with the entries that are wrong left out and named.
+    /// Reads the list. Invalid entries are omitted from the list and returned as errors.
     pub async fn read(&self) -> Result<(MachineList, Vec<MachineListError>), HttpError> {
-        let answer = self.http.call::<(), Vec<TargetGroup>>(
+        let response = self.http.call::<(), Vec<TargetGroup>>(
             Method::GET,
             self.address,
             &self.path,
             None,
             self.timeout,
         );
-        let (status, groups) = answer.await?;
+        let (status, groups) = response.await?;
         if !status.is_success() {
             return Err(HttpError::Status(status));
         }
@@ -86,12 +85,12 @@
     }
 }
 
-/// The machines of the groups, and what is wrong with the rest.
+/// Converts target groups into machines. Invalid groups are returned as errors.
 pub fn parse(groups: &[TargetGroup]) -> (MachineList, Vec<MachineListError>) {
     let mut list = MachineList::default();
     let mut errors = Vec::new();
     for (index, group) in groups.iter().enumerate() {
-        match entry(group) {
+        match parse_entry(group) {
             Ok(Entry::Node(node)) => list.nodes.push(node),
             Ok(Entry::BackEnd(machine)) => list.back_ends.push(machine),
             Err(reason) => errors.push(MachineListError {
@@ -105,20 +104,23 @@
     (list, errors)
 }
 
-fn entry(group: &TargetGroup) -> Result<Entry, String> {
+fn parse_entry(group: &TargetGroup) -> Result<Entry, String> {
     let [target] = group.targets.as_slice() else {
-        return Err(format!("has {} targets, not 1", group.targets.len()));
+        return Err(format!(
+            "group has {} targets instead of 1",
+            group.targets.len()
+        ));
     };
     let address: SocketAddr = target
         .parse()
         .map_err(|_| format!("target `{target}` is not an IP address with a port"))?;
-    let role = match label(group, "role")? {
+    let role = match required_label(group, "role")? {
         "node" => {
             return Ok(Entry::Node(NodeEntry {
-                id: label(group, "id")?.into(),
+                id: required_label(group, "id")?.into(),
                 address,
-                zone: label(group, "zone")?.into(),
-                cell: label(group, "cell")?.into(),
+                zone: required_label(group, "zone")?.into(),
+                cell: required_label(group, "cell")?.into(),
             }));
         }
         "engine" => MachineRole::Engine,
@@ -127,24 +129,24 @@
     };
     let mut labels = Labels::default();
     for (key, value) in &group.labels {
-        if !DESCRIPTIVE.contains(&key.as_str()) {
+        if !FIELD_LABELS.contains(&key.as_str()) {
             labels.set(key, value);
         }
     }
     Ok(Entry::BackEnd(Machine {
-        id: label(group, "id")?.into(),
+        id: required_label(group, "id")?.into(),
         address,
-        zone: label(group, "zone")?.into(),
-        service: label(group, "service")?.into(),
+        zone: required_label(group, "zone")?.into(),
+        service: required_label(group, "service")?.into(),
         role,
-        memory: memory(group, role)?,
-        slots: slots(group)?,
-        state: state(group)?,
+        memory: parse_memory(group, role)?,
+        slots: parse_slots(group)?,
+        state: parse_state(group)?,
         labels,
     }))
 }
 
-fn label<'a>(group: &'a TargetGroup, key: &str) -> Result<&'a str, String> {
+fn required_label<'a>(group: &'a TargetGroup, key: &str) -> Result<&'a str, String> {
     group
         .labels
         .get(key)
@@ -153,17 +155,17 @@
         .ok_or_else(|| format!("label `{key}` is missing"))
 }
 
-fn memory(group: &TargetGroup, role: MachineRole) -> Result<u64, String> {
+fn parse_memory(group: &TargetGroup, role: MachineRole) -> Result<u64, String> {
     if role == MachineRole::Application {
         return Ok(0);
     }
-    let text = label(group, "memory")?;
+    let text = required_label(group, "memory")?;
     text.parse::<ByteSize>()
         .map(|size| size.as_u64())
         .map_err(|_| format!("label memory=`{text}` is not a size such as 80GiB"))
 }
 
-fn slots(group: &TargetGroup) -> Result<u32, String> {
+fn parse_slots(group: &TargetGroup) -> Result<u32, String> {
     match group.labels.get("slots") {
         None => Ok(DEFAULT_SLOTS),
         Some(text) => text
@@ -172,7 +174,7 @@
     }
 }
 
-fn state(group: &TargetGroup) -> Result<MachineState, String> {
+fn parse_state(group: &TargetGroup) -> Result<MachineState, String> {
     match group.labels.get("state").map(String::as_str) {
         None | Some("live") => Ok(MachineState::Live),
         Some("leaving") => Ok(MachineState::Leaving),
--- a/crates/clients/src/table_client.rs
+++ b/crates/clients/src/table_client.rs
@@ -1,4 +1,4 @@
-//! The platform's table service, by etcd's v3 JSON gateway.
+//! Client of the platform's table service, through the JSON gateway of etcd v3.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,18 +15,18 @@
 
 const TXN_PATH: &str = "/v3/kv/txn";
 
-/// A client of the table service; takes the next address when one fails.
+/// A client of the table service. After a failed call, the next call uses the next address.
 #[derive(Debug)]
 pub struct TableClient {
     http: HttpClient,
     addresses: Vec<SocketAddr>,
-    current: AtomicUsize,
+    address_index: AtomicUsize,
     prefix: String,
     timeout: Duration,
 }
 
 impl TableClient {
-    /// A client that keeps its rows under `prefix`.
+    /// Creates a client that stores its rows under the key prefix `prefix`.
     pub fn new(
         http: HttpClient,
         addresses: Vec<SocketAddr>,
@@ -36,21 +36,21 @@
         TableClient {
             http,
             addresses,
-            current: AtomicUsize::new(0),
+            address_index: AtomicUsize::new(0),
             prefix,
             timeout,
         }
     }
 
-    /// Runs a transaction. Any failure counts as unknown: the service may have
-    /// carried the transaction out, or may yet.
+    /// Runs a transaction. Any failure yields [`TableAnswer::Unknown`], because the service may have
+    /// committed the transaction or may still commit it.
     pub async fn transact(&self, transaction: &Transaction) -> TableAnswer {
-        let request = self.request(transaction);
-        let index = self.current.load(Ordering::Relaxed);
+        let request = self.build_request(transaction);
+        let index = self.address_index.load(Ordering::Relaxed);
         let Some(address) = self.addresses.get(index % self.addresses.len().max(1)) else {
             return TableAnswer::Unknown;
         };
-        let answer = self
+        let result = self
             .http
             .call::<_, TxnResponse>(
                 Method::POST,
@@ -60,21 +60,22 @@
                 self.timeout,
             )
             .await;
-        match answer {
-            Ok((status, response)) if status.is_success() => self.answer(response),
+        match result {
+            Ok((status, response)) if status.is_success() => self.decode_response(response),
             _ => {
-                self.current.store(index.wrapping_add(1), Ordering::Relaxed);
+                self.address_index
+                    .store(index.wrapping_add(1), Ordering::Relaxed);
                 TableAnswer::Unknown
             }
         }
     }
 
-    fn request(&self, transaction: &Transaction) -> TxnRequest {
+    fn build_request(&self, transaction: &Transaction) -> TxnRequest {
         let compare = transaction
             .compares
             .iter()
             .map(|compare| CompareMessage {
-                key: self.key(&compare.key),
+                key: self.encode_key(&compare.key),
                 target: "MOD".to_owned(),
                 result: "EQUAL".to_owned(),
                 mod_revision: Number(compare.modified),
@@ -82,11 +83,11 @@
             .collect();
         let puts = transaction.puts.iter().map(|put| {
             RequestOp::RequestPut(PutRequest {
-                key: self.key(&put.key),
+                key: self.encode_key(&put.key),
                 value: Base64(put.value.clone().into_bytes()),
             })
         });
-        let reads = || transaction.reads.iter().map(|read| self.range(read));
+        let reads = || transaction.reads.iter().map(|read| self.build_range(read));
         TxnRequest {
             compare,
             success: puts.chain(reads()).collect(),
@@ -94,12 +95,12 @@
         }
     }
 
-    fn key(&self, key: &str) -> Base64 {
+    fn encode_key(&self, key: &str) -> Base64 {
         Base64(format!("{}{key}", self.prefix).into_bytes())
     }
 
-    fn range(&self, read: &str) -> RequestOp {
-        let key = self.key(read);
+    fn build_range(&self, read: &str) -> RequestOp {
+        let key = self.encode_key(read);
         let range_end = if read.ends_with('/') {
             Base64(prefix_end(&key.0))
         } else {
@@ -108,7 +109,7 @@
         RequestOp::RequestRange(RangeRequest { key, range_end })
     }
 
-    fn answer(&self, response: TxnResponse) -> TableAnswer {
+    fn decode_response(&self, response: TxnResponse) -> TableAnswer {
         let rows = response
             .responses
             .into_iter()
@@ -117,7 +118,7 @@
                 ResponseOp::ResponsePut(_) => None,
             })
             .flatten()
-            .filter_map(|pair| self.row(pair))
+            .filter_map(|pair| self.decode_row(pair))
             .collect();
         if response.succeeded {
             TableAnswer::Committed {
@@ -129,7 +130,7 @@
         }
     }
 
-    fn row(&self, pair: KeyValue) -> Option<TableRow> {
+    fn decode_row(&self, pair: KeyValue) -> Option<TableRow> {
         let key = String::from_utf8(pair.key.0).ok()?;
         let key = key.strip_prefix(&self.prefix)?.to_owned();
         let value = String::from_utf8(pair.value.0).ok()?;
--- a/crates/contract/src/claim.rs
+++ b/crates/contract/src/claim.rs
@@ -1,4 +1,5 @@
-//! Claims: the right to run a request that may not be repeated.
+//! Claims of idempotency keys. A node sends a request that must not run twice only after it has
+//! claimed the key of the request.
 
 use std::collections::BTreeMap;
 
@@ -8,55 +9,55 @@
 use crate::fence::{Epoch, Incarnation};
 use crate::request::RequestId;
 
-/// The nodes that keep a cell's claims, a row of the table service. A claim
-/// holds once a majority of the members recorded it under the same epoch.
+/// The nodes that store the claims of a cell, as a row of the table service. A claim takes effect
+/// once a majority of the members has recorded it under the same epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimGroup {
-    /// Grows with every change of members.
+    /// The generation of the group, which increases with every change of the members.
     pub epoch: Epoch,
-    /// Members and the lives in which they joined: a restarted member has
-    /// lost its claims and is no member until it joins again.
+    /// The members, each with the incarnation in which it joined. A restarted node has lost its
+    /// claims and is not a member until it joins again.
     pub members: BTreeMap<NodeId, Incarnation>,
 }
 
 impl ClaimGroup {
-    /// Members that make a majority.
+    /// Number of members that form a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 }
 
-/// What became of a claimed request.
+/// The state of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ClaimState {
-    /// Claimed; it may be running.
+    /// The key is claimed, and the request may be running.
     Claimed,
-    /// It ran to its end.
+    /// The request ran to completion.
     Completed,
 }
 
-/// One claim as a member records it.
+/// A claim as a member of the group records it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The request that claimed the key.
+    /// The request for which the key was claimed.
     #[serde(rename = "r")]
     pub request: RequestId,
-    /// Its state.
     #[serde(rename = "s")]
     pub state: ClaimState,
 }
 
-/// A member's answer to a claim.
+/// The response of a group member to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimAnswer {
-    /// Recorded for this request.
+    /// The key is recorded for this request.
     Recorded,
-    /// Another request has the key.
+    /// The key is recorded for another request.
     Taken(ClaimRecord),
-    /// Claims of former members may be lost; for so many milliseconds more no
-    /// unknown key is certain to be unused.
+    /// Claims of previous groups may be lost, so an unknown key may have been used. The value is the
+    /// time in milliseconds for which this remains so.
     InDoubt(u64),
-    /// The member keeps no claims under that epoch; the group it knows of.
+    /// The member records no claims under the epoch of the claim. The value is the group that the
+    /// member knows.
     WrongEpoch(ClaimGroup),
 }
--- a/crates/contract/src/fence.rs
+++ b/crates/contract/src/fence.rs
@@ -1,8 +1,9 @@
-//! Growing numbers that order events across processes.
+//! Monotonically increasing numbers that order events across processes.
 
 use serde::{Deserialize, Serialize};
 
-macro_rules! growing_number {
+/// Defines a number type that is serialised as a plain integer.
+macro_rules! monotonic_number {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(
@@ -26,23 +27,23 @@
     };
 }
 
-growing_number!(
-    /// The generation of a placement holder. Back ends and the table refuse lower ones.
+monotonic_number!(
+    /// The fencing token of a placement holder. Back ends and the table reject lower ones.
     Fence
 );
-growing_number!(
-    /// The number of an order under one fence.
+monotonic_number!(
+    /// The number of an order, increasing under one fence.
     Sequence
 );
-growing_number!(
-    /// A dense revision of the configuration.
+monotonic_number!(
+    /// A revision of the configuration. Revisions are consecutive.
     Revision
 );
-growing_number!(
+monotonic_number!(
     /// The generation of a claim group.
     Epoch
 );
-growing_number!(
-    /// One life of a process; a restarted process has another.
+monotonic_number!(
+    /// One run of a process; a restarted process has another incarnation.
     Incarnation
 );
--- a/crates/contract/src/frame.rs
+++ b/crates/contract/src/frame.rs
@@ -1,4 +1,6 @@
-//! Frames between nodes: a length of four bytes, then a value in CBOR.
+//! Encoding and decoding of the frames that nodes exchange.
+//!
+//! A frame is a length of four bytes followed by a value in CBOR.
 
 use std::marker::PhantomData;
 
@@ -11,7 +13,7 @@
 
 use crate::message::PeerMessage;
 
-/// Longest frame that is accepted, in bytes.
+/// Maximum length of the content of an accepted frame.
 pub const MAX_FRAME_BYTES: usize = 8 * 1024 * 1024;
 
 /// A message with its sender.
@@ -25,18 +27,18 @@
     pub message: PeerMessage,
 }
 
-/// What is wrong with a frame.
+/// A frame cannot be read or written.
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The connection failed, or the frame is too long.
-    #[error("frame: {0}")]
+    #[error("frame cannot be transferred: {0}")]
     Io(#[from] std::io::Error),
-    /// The content is not what is expected.
-    #[error("frame content of {length} bytes is not understood: {reason}")]
+    /// The content is not a valid value of the expected type.
+    #[error("frame content of {length} bytes cannot be decoded: {reason}")]
     Content {
-        /// The frame's length in bytes.
+        /// The length of the content in bytes.
         length: usize,
-        /// What the codec says.
+        /// The error of the CBOR decoder.
         reason: String,
     },
     /// The value cannot be encoded.
@@ -44,10 +46,10 @@
     Encode(String),
 }
 
-/// Encodes and decodes values of one type, a frame each.
+/// Encodes and decodes values of one type, each as one frame.
 #[derive(Debug)]
 pub struct FrameCodec<T> {
-    frames: LengthDelimitedCodec,
+    length_codec: LengthDelimitedCodec,
     content: PhantomData<fn() -> T>,
 }
 
@@ -56,11 +58,11 @@
 
 impl<T> Default for FrameCodec<T> {
     fn default() -> Self {
-        let frames = LengthDelimitedCodec::builder()
+        let length_codec = LengthDelimitedCodec::builder()
             .max_frame_length(MAX_FRAME_BYTES)
             .new_codec();
         FrameCodec {
-            frames,
+            length_codec,
             content: PhantomData,
         }
     }
@@ -71,7 +73,7 @@
     type Error = FrameError;
 
     fn decode(&mut self, source: &mut BytesMut) -> Result<Option<T>, FrameError> {
-        let Some(frame) = self.frames.decode(source)? else {
+        let Some(frame) = self.length_codec.decode(source)? else {
             return Ok(None);
         };
         let length = frame.len();
@@ -89,12 +91,12 @@
 
     fn encode(&mut self, value: &T, target: &mut BytesMut) -> Result<(), FrameError> {
         let content = encode(value)?;
-        self.frames.encode(content, target)?;
+        self.length_codec.encode(content, target)?;
         Ok(())
     }
 }
 
-/// The content of a frame.
+/// Encodes `value` as the content of a frame, without the length.
 pub fn encode<T: Serialize>(value: &T) -> Result<Bytes, FrameError> {
     let mut writer = BytesMut::new().writer();
     ciborium::into_writer(value, &mut writer)
--- a/crates/contract/src/lease.rs
+++ b/crates/contract/src/lease.rs
@@ -1,4 +1,4 @@
-//! The placement lease of a cell, a row of the table service.
+//! The placement lease of a cell, which is a row of the table service.
 
 use gorsebank_world::NodeId;
 use serde::{Deserialize, Serialize};
@@ -6,15 +6,15 @@
 use crate::fence::Fence;
 use crate::table::TransactionId;
 
-/// The lease row. Every transaction of the holder compares and rewrites it, so
-/// a lost transaction can be told from one that never happened, and a former
-/// holder's transaction can no longer commit.
+/// The lease row. Every transaction of the holder compares and rewrites this row. So the holder can
+/// find out whether a transaction without a response has committed, and a transaction of a previous
+/// holder can no longer commit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The node that decides for the cell.
+    /// The node that decides the placement in the cell.
     pub holder: NodeId,
-    /// Its fence.
+    /// The fencing token of the holder.
     pub fence: Fence,
-    /// The transaction that wrote the row.
+    /// The transaction that last wrote the row.
     pub transaction: TransactionId,
 }
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -1,7 +1,7 @@
-//! What processes promise each other.
+//! The protocols between nodes, engines and the table service, as data types.
 //!
-//! Values only: fences, leases, plans, orders, tickets, grants, claims and the
-//! messages between nodes that carry them, with their encoding.
+//! The crate defines fences, leases, plans, orders, tickets, grants and claims, the messages in which
+//! nodes exchange them, and the encoding of these messages. It performs no I/O.
 
 pub mod claim;
 pub mod fence;
--- a/crates/contract/src/message.rs
+++ b/crates/contract/src/message.rs
@@ -1,7 +1,12 @@
 //! Messages between nodes.
 //!
-//! Field names are shortened on the wire, where each costs bytes in every
-//! message; the names in the code are whole.
+//! A node has several roles. The front of a request is the node that received the request from its
+//! caller. The owner of a queue decides which of the waiting requests are sent. The placement holder
+//! of a cell decides which engine loads which artifact. A watcher polls engines for their reports. A
+//! claim member stores claims of idempotency keys.
+//!
+//! Names of variants and of frequently sent fields are abbreviated on the wire, because each name
+//! adds its length to every message.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,62 +20,62 @@
 use crate::outcome::Refusal;
 use crate::request::{Grant, RequestId, Ticket, TicketId};
 
-/// Whether a node takes new work.
+/// Whether a node accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum NodeState {
-    /// Takes work.
+    /// The node accepts requests.
     #[serde(rename = "a")]
     Active,
-    /// Finishes what it has and takes nothing new.
+    /// The node is draining: it finishes its open requests and accepts no new ones.
     #[serde(rename = "l")]
     Leaving,
 }
 
-/// A node's sign of life.
+/// A periodic message by which a node announces that it is alive, and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its life.
+    /// The incarnation of the node.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Its cell.
+    /// The cell of the node.
     #[serde(rename = "c")]
     pub cell: CellId,
-    /// Its zone.
+    /// The failure zone of the node.
     #[serde(rename = "z")]
     pub zone: ZoneId,
-    /// Active or leaving.
+    /// Whether the node is active or draining.
     #[serde(rename = "s")]
     pub state: NodeState,
-    /// The configuration revision it is complete to.
+    /// The configuration revision up to which the node has every row.
     #[serde(rename = "r")]
     pub revision: Revision,
-    /// The highest fence it knows of in its cell.
+    /// The highest fence that the node knows in its cell.
     #[serde(rename = "f")]
     pub fence: Fence,
-    /// Whether it holds the cell's placement lease under that fence.
+    /// Whether the node holds the placement lease of the cell under that fence.
     #[serde(rename = "h", default, skip_serializing_if = "std::ops::Not::not")]
     pub holder: bool,
-    /// The claim epoch it knows of.
+    /// The epoch of the claim group that the node knows.
     #[serde(rename = "e")]
     pub epoch: Epoch,
-    /// The version of the machine list it has.
+    /// The version of the machine list that the node has.
     #[serde(rename = "m")]
     pub machines: u64,
 }
 
-/// A replica that may be given work.
+/// A replica to which requests may be sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaOffer {
     /// The back end.
     #[serde(rename = "b")]
     pub back_end: BackEndId,
-    /// Requests that it runs at once for this artifact: its slots, shared with
-    /// the other artifacts that are in use on it.
+    /// Number of requests that the back end may run concurrently for this artifact: its fraction
+    /// of the slots of the back end, which all artifacts in use there share.
     #[serde(rename = "n")]
     pub slots: u32,
 }
 
-/// Slots that a front holds.
+/// Slots of one back end that a front holds for one queue.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeldSlots {
     /// The queue.
@@ -79,7 +84,7 @@
     /// The back end.
     #[serde(rename = "b")]
     pub back_end: BackEndId,
-    /// How many.
+    /// Number of slots.
     #[serde(rename = "n")]
     pub slots: u32,
 }
@@ -90,50 +95,53 @@
     /// The artifact.
     #[serde(rename = "a")]
     pub artifact: Artifact,
-    /// The holder's fence.
+    /// The fence of the placement holder.
     #[serde(rename = "f")]
     pub fence: Fence,
-    /// Grows within a fence; older sets are dropped.
+    /// Version of the set, which increases under one fence. A receiver discards a set that is
+    /// older than its own.
     #[serde(rename = "v")]
     pub version: u64,
-    /// Back ends that have it loaded and may be given work.
+    /// Back ends that have loaded the artifact and to which requests may be sent.
     #[serde(rename = "b")]
     pub ready: Vec<ReplicaOffer>,
-    /// When another replica is expected, in milliseconds from now.
+    /// Time in milliseconds until another replica is expected to be ready.
     #[serde(rename = "x")]
     pub expected: Option<u64>,
-    /// The artifact cannot be placed now: come back after so many milliseconds.
+    /// Set if the artifact cannot be placed at present: the time in milliseconds after which a
+    /// retry makes sense.
     #[serde(rename = "n")]
     pub no_place: Option<u64>,
 }
 
-/// What one node tells another.
+/// A message from one node to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Sign of life, every heartbeat interval.
+    /// The state of the sender, sent in every heartbeat interval.
     #[serde(rename = "hb")]
     Heartbeat(Heartbeat),
-    /// Front to queue owner: requests that wait.
+    /// Front to owner: waiting requests.
     #[serde(rename = "tk")]
     Tickets(Vec<Ticket>),
     /// Owner to front: requests that may be sent.
     #[serde(rename = "gr")]
     Grants(Vec<Grant>),
-    /// Owner to front: the request is refused.
+    /// Owner to front: the request is rejected.
     #[serde(rename = "rf")]
     Refused {
         /// The ticket.
         id: TicketId,
-        /// The refusal.
+        /// The reason and its details.
         refusal: Refusal,
     },
-    /// Owner to front: offer these again, this node owns the queue no more.
+    /// Owner to front: this node no longer owns the queue of these tickets, so the front has to send
+    /// them to the new owner.
     #[serde(rename = "rt")]
     Returned(Vec<TicketId>),
-    /// Owner to front: requests wait; give back slots that are not in use.
+    /// Owner to front: other requests are waiting, so the front should release unused slots.
     #[serde(rename = "rc")]
     Recall(QueueKey),
-    /// Front to owner: the request waits no more.
+    /// Front to owner: the request no longer waits.
     #[serde(rename = "cx")]
     Cancel {
         /// The queue.
@@ -141,8 +149,7 @@
         /// The ticket.
         id: TicketId,
     },
-    /// Front to owner: slots given back, each by a request that ended or a
-    /// credit that was not used.
+    /// Front to owner: released slots, each of a request that ended or of an unused credit.
     #[serde(rename = "us")]
     Released {
         /// The queue.
@@ -151,111 +158,114 @@
         /// The back end.
         #[serde(rename = "b")]
         back_end: BackEndId,
-        /// How many slots.
+        /// Number of released slots.
         #[serde(rename = "n")]
         slots: u32,
-        /// Mean service time of requests that ended, in milliseconds, if any did.
+        /// Mean service time in milliseconds of the requests that ended; `None` if none did.
         #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
         service_time: Option<u64>,
-        /// The back end turned a request away or could not be reached.
+        /// Whether the back end rejected a request, could not be reached or failed before it
+        /// responded.
         #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
         troubled: bool,
     },
-    /// Front to owner, now and then: all slots that it holds of that owner, so
-    /// that a lost grant or release does not take a slot for good.
+    /// Front to owner, periodically: all slots that the front holds from this owner. The owner
+    /// corrects its counts by this message, because a lost grant or release would otherwise occupy
+    /// a slot permanently.
     #[serde(rename = "hs")]
     Held(Vec<HeldSlots>),
-    /// Owner to holder: requests wait for an artifact, or keep using it.
+    /// Owner to holder: requests are waiting for an artifact or use it.
     #[serde(rename = "dm")]
     Demand {
         /// The artifact.
         #[serde(rename = "a")]
         artifact: Artifact,
-        /// Requests that wait.
+        /// Number of waiting requests.
         #[serde(rename = "w")]
         waiting: u32,
-        /// Requests that run.
+        /// Number of running requests.
         #[serde(rename = "r")]
         running: u32,
-        /// Time left of the most urgent, in milliseconds.
+        /// Time in milliseconds until the earliest deadline among the requests.
         #[serde(rename = "d")]
         remaining: u64,
-        /// Fence and version of the replica set that the owner has, so that it
-        /// is told again if it has lost one.
+        /// Fence and version of the replica set that the owner has, so that the holder sends the
+        /// current set again if the owner missed it.
         #[serde(rename = "k")]
         known: (Fence, u64),
     },
-    /// Holder to owner: the artifact's replicas.
+    /// Holder to owner: the replicas of an artifact.
     #[serde(rename = "rs")]
     Replicas(ReplicaSet),
-    /// Owner to holder: fronts have trouble with this engine.
+    /// Owner to holder: fronts reported failures of this engine.
     #[serde(rename = "sp")]
     Suspect {
         /// The engine.
         #[serde(rename = "b")]
         back_end: BackEndId,
     },
-    /// Watcher to holder: an engine's report changed, or it does not answer.
+    /// Watcher to holder: the report of an engine changed, or the engine does not respond.
     #[serde(rename = "rp")]
     Report {
         /// The engine.
         #[serde(rename = "b")]
         back_end: BackEndId,
-        /// Its report, or `None` if it did not answer.
+        /// The report of the engine; `None` if the engine did not respond.
         #[serde(rename = "r")]
         report: Option<EngineReport>,
     },
-    /// The machine list, spread by those that read it.
+    /// The machine list, distributed by the nodes that read it from the platform.
     #[serde(rename = "ml")]
     Machines {
-        /// Grows with every change the reader saw.
+        /// Version of the list, which increases with every change that its reader observed.
         #[serde(rename = "v")]
         version: u64,
-        /// Nodes and back ends.
+        /// The nodes and back ends in the list.
         #[serde(rename = "m")]
         machines: MachineList,
     },
-    /// Ask for the machine list.
+    /// Requests the machine list.
     #[serde(rename = "mq")]
     MachinesWanted,
-    /// Ask for configuration rows above a revision.
+    /// Requests the configuration rows above a revision.
     #[serde(rename = "cq")]
     ConfigurationWanted {
-        /// The revision that the asker is complete to.
+        /// The revision up to which the sender has every row.
         above: Revision,
     },
-    /// Configuration rows: everything above `above`, up to `complete`.
+    /// All configuration rows written after revision `above`, up to revision `complete`.
     #[serde(rename = "cf")]
     Configuration {
-        /// Lower end, exclusive.
+        /// The lower bound, exclusive.
         above: Revision,
-        /// Upper end, inclusive.
+        /// The upper bound, inclusive.
         complete: Revision,
-        /// The rows; a row written several times appears once.
+        /// The rows. A row that was written several times appears once.
         rows: Vec<Arc<Row>>,
     },
-    /// Front to claim member: record this key for this request.
+    /// Front to claim member: asks the member to record the key for the request.
     #[serde(rename = "cl")]
     Claim {
-        /// The epoch under which it is claimed.
+        /// The epoch under which the key is claimed.
         epoch: Epoch,
-        /// The idempotency key with its scope.
+        /// The idempotency key together with its scope.
         key: String,
         /// The request.
         request: RequestId,
     },
-    /// Claim member to front.
+    /// Claim member to front: the response to a claim.
     #[serde(rename = "ca")]
     ClaimAnswered {
         /// The epoch.
         epoch: Epoch,
         /// The request.
         request: RequestId,
-        /// The answer.
+        /// The response.
+        #[serde(rename = "answer")]
         answer: ClaimAnswer,
     },
-    /// Front to claim member: the request ran to its end, or (if `withdrawn`)
-    /// the claim was never used and the key is free again.
+    /// Front to claim member: the request ran to completion, or (if `withdrawn`) the request was
+    /// never sent and the key is free again.
     #[serde(rename = "ce")]
     ClaimEnded {
         /// The key.
@@ -265,50 +275,50 @@
         /// Whether the request was never sent.
         withdrawn: bool,
     },
-    /// Holder to claim member: record nothing more under epochs below this
-    /// one and send what you have.
+    /// Holder to claim member: the member must record no more claims under epochs below `next` and
+    /// must send its records.
     #[serde(rename = "cs")]
     ClaimSeal {
-        /// The epoch in force, as the table has it.
+        /// The current epoch according to the table.
         current: Epoch,
-        /// The epoch that shall follow.
+        /// The epoch that is to follow.
         next: Epoch,
     },
-    /// Claim member to holder: what it had when it was sealed.
+    /// Claim member to holder: the records of the member at the time of the seal.
     #[serde(rename = "cd")]
     ClaimSealed {
-        /// The epoch that shall follow.
+        /// The epoch that is to follow.
         next: Epoch,
-        /// Its claims under the epoch in force, or `None` if it lost them.
+        /// The claims under the current epoch, by key; `None` if the member lost them.
         records: Option<BTreeMap<String, ClaimRecord>>,
     },
-    /// Holder to claim member: these are the claims at the start of a group.
+    /// Holder to claim member: the claims with which a new group starts.
     #[serde(rename = "ci")]
     ClaimInstall {
         /// The new group.
         group: ClaimGroup,
-        /// Claims of the former groups.
+        /// The claims of previous groups, by key.
         records: BTreeMap<String, ClaimRecord>,
-        /// Claims of former groups may be missing: refuse for that long, in
-        /// milliseconds.
+        /// Time in milliseconds for which the member rejects claims of unknown keys, because claims
+        /// of previous groups may be missing.
         quarantine: u64,
     },
-    /// Claim member to holder: installed.
+    /// Claim member to holder: the group is installed.
     #[serde(rename = "cj")]
     ClaimInstalled {
         /// The epoch.
         epoch: Epoch,
     },
-    /// Holder to everyone: the group is in the table and in force.
+    /// Holder to all nodes: the group is written to the table and in force.
     #[serde(rename = "cg")]
     ClaimGroupChanged(ClaimGroup),
-    /// Ask for the claim group.
+    /// Requests the claim group.
     #[serde(rename = "cw")]
     ClaimGroupWanted,
 }
 
 impl PeerMessage {
-    /// A short name for counters.
+    /// The name of the kind of message, as a metric label.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Heartbeat(_) => "heartbeat",
--- a/crates/contract/src/order.rs
+++ b/crates/contract/src/order.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to model engines, and what engines answer.
+//! Fenced orders to model engines, and the results and reports of engines.
 
 use std::collections::BTreeMap;
 use std::str::FromStr;
@@ -9,40 +9,40 @@
 
 use crate::fence::{Fence, Incarnation, Sequence};
 
-/// Where an engine finds a checkpoint, from fast to slow.
+/// Storage tiers from which an engine loads a checkpoint, from the fastest to the slowest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SourceTier {
-    /// The engine machine's main memory.
+    /// The main memory of the engine's machine.
     Memory,
-    /// The engine machine's disk.
+    /// The disk of the engine's machine.
     Disk,
     /// The rate-limited weight store.
     Remote,
 }
 
-/// What an engine does with its accelerators. Models are placed only on
-/// engines that serve; any other role takes all of the memory.
+/// The work that an engine does on its accelerators. Models are placed only on engines with the role
+/// `Serve`; any other role occupies all of the memory.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EngineRole {
     /// Loads models and serves requests.
     #[default]
     Serve,
-    /// Computes prompts for other engines.
+    /// Prefills prompts for other engines.
     Prefill,
-    /// Generates from prompts that other engines computed.
+    /// Generates tokens for prompts that other engines have prefilled.
     Decode,
 }
 
 impl EngineRole {
-    /// The label of a back end by which operators choose its role.
+    /// Key of the label by which operators set the role of a back end.
     pub const LABEL: &'static str = "engine_role";
 }
 
-/// A text that is no role.
+/// The text is not the name of an engine role.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no role: expected serve, prefill or decode")]
+#[error("`{0}` is not an engine role: expected serve, prefill or decode")]
 pub struct EngineRoleError(String);
 
 impl FromStr for EngineRole {
@@ -58,25 +58,25 @@
     }
 }
 
-/// What an engine is told to do.
+/// The action of an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Take note of the fence and report the inventory.
+    /// Record the fence and report the inventory.
     Inspect,
-    /// Load an artifact; its base must be loaded.
+    /// Load an artifact. The base weights of an adapter must be loaded already.
     Load {
         /// The artifact.
         artifact: Artifact,
         /// Accelerator memory in bytes.
         bytes: u64,
     },
-    /// Take another role; refused unless nothing is loaded.
+    /// Change the role. The engine refuses the order if any artifact is loaded.
     ChangeRole {
-        /// The role.
+        /// The new role.
         role: EngineRole,
     },
-    /// Unload an artifact; refused while requests run on it.
+    /// Unload an artifact. The engine refuses the order while requests run on the artifact.
     Unload {
         /// The artifact.
         artifact: Artifact,
@@ -86,86 +86,88 @@
 /// An order to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// The holder's fence; an engine refuses one lower than it has seen.
+    /// The fence of the placement holder. An engine refuses a fence lower than the highest that it
+    /// has received.
     pub fence: Fence,
-    /// Grows within a fence; an engine refuses one it has seen.
+    /// The number of the order, which increases under one fence. An engine refuses a number that it
+    /// has already received.
     pub sequence: Sequence,
-    /// The life of the engine that the order is meant for; an engine that was
-    /// restarted since refuses it. `None` only for [`OrderAction::Inspect`].
+    /// The incarnation of the engine for which the order is meant. An engine that has restarted
+    /// since then refuses the order. `None` only for [`OrderAction::Inspect`].
     pub incarnation: Option<Incarnation>,
-    /// What to do.
     #[serde(flatten)]
     pub action: OrderAction,
 }
 
-/// What an engine holds.
+/// The artifacts and the state of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Inventory {
-    /// The life of the engine process; memory is empty at its start.
+    /// The incarnation of the engine, which starts with empty accelerator memory.
     pub incarnation: Incarnation,
-    /// Grows with every change within that life, so that a late report is known.
+    /// Increases with every change within the incarnation, so that a delayed report is recognised
+    /// as outdated.
     pub version: u64,
-    /// What the engine does with its accelerators.
+    /// The role of the engine.
     #[serde(default)]
     pub role: EngineRole,
-    /// Loaded artifacts with their bytes.
+    /// Loaded artifacts, each with its size in bytes.
     pub loaded: BTreeMap<Artifact, u64>,
-    /// Artifacts whose load is running, with their bytes.
+    /// Artifacts that are being loaded, each with its size in bytes.
     pub loading: BTreeMap<Artifact, u64>,
-    /// Checkpoints cached on the engine's machine.
+    /// Checkpoints cached on the engine's machine, each with its storage tier.
     pub cached: BTreeMap<Artifact, SourceTier>,
-    /// Requests that run or wait on the engine, as last reported.
+    /// Number of requests that ran or waited on the engine at the time of the report.
     pub active: u32,
 }
 
 impl Inventory {
-    /// Whether the artifact takes or is about to take memory.
+    /// Whether the artifact is loaded or being loaded.
     pub fn holds(&self, artifact: &Artifact) -> bool {
         self.loaded.contains_key(artifact) || self.loading.contains_key(artifact)
     }
 }
 
-/// What an engine reports of itself, in short.
+/// Short report of an engine, by which a node recognises that the inventory has changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineReport {
-    /// The life of the engine process.
+    /// The incarnation of the engine.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// The version of its inventory.
+    /// The version of the engine's inventory.
     #[serde(rename = "v")]
     pub version: u64,
 }
 
-/// Why an engine did not carry out an order.
+/// The reason why an engine did not execute an order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "error", rename_all = "snake_case")]
 pub enum OrderError {
-    /// A higher fence was seen.
+    /// The engine has received a higher fence.
     Fenced {
-        /// That fence.
+        /// The highest fence that the engine has received.
         highest: Fence,
     },
-    /// The order was meant for an earlier life of the engine.
+    /// The order was meant for a previous incarnation of the engine.
     Restarted,
-    /// The sequence number was seen before.
+    /// The engine has already received the sequence number.
     Repeated,
-    /// Not enough free memory.
+    /// The free accelerator memory is not sufficient.
     OutOfMemory,
-    /// Requests still run on the artifact, or an adapter needs it.
+    /// Requests still run on the artifact, or a loaded adapter depends on it.
     Busy,
-    /// The base is missing, or the artifact is not here.
+    /// The base weights are not loaded, or the artifact is not on the engine.
     Missing,
     /// The load failed.
     LoadFailed,
 }
 
-/// What became of an order.
+/// The result of an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OrderResult {
-    /// Carried out; the inventory after it.
+    /// The order was executed. The value is the inventory afterwards.
     Done(Inventory),
-    /// Not carried out; the inventory as it stands.
+    /// The order was not executed. The values are the reason and the present inventory.
     Refused(OrderError, Inventory),
-    /// No answer: it may have been carried out, or may be later.
+    /// No response arrived. The order may have been executed, or may still be executed later.
     Unknown,
 }
--- a/crates/contract/src/outcome.rs
+++ b/crates/contract/src/outcome.rs
@@ -1,53 +1,52 @@
-//! Outcomes of attempts and requests, as values.
+//! Outcomes of requests and of the attempts to send them to back ends.
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a request that was not answered ran.
+/// Whether a request without a complete response ran on a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// It did not run and will not.
+    /// The request did not run and will not run.
     No,
-    /// It may have run, or may be running.
+    /// The request may have run or may still be running.
     Unknown,
 }
 
-/// Why a request was not answered.
+/// The reason why a request was rejected or failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
-    /// No capacity is expected before the deadline.
+    /// No capacity is expected to become available before the deadline.
     NoCapacity,
     /// The deadline passed.
     DeadlinePassed,
-    /// The model cannot be loaded anywhere now.
+    /// No engine can load the model at present.
     NoPlace,
-    /// Attempts or the retry budget are used up.
+    /// The attempts of the request or the retry budget are exhausted.
     RetriesExhausted,
-    /// The request's idempotency key was used before.
+    /// The idempotency key of the request has been used before.
     KeyUsed,
-    /// It cannot be made certain that the idempotency key is unused.
+    /// The node cannot determine whether the idempotency key has been used before.
     KeyInDoubt,
     /// The connection to the back end broke after the request was sent.
     ConnectionLost,
-    /// The node is stopping.
+    /// The node is shutting down.
     Stopping,
 }
 
-/// The final answer to a request that was not answered by a back end.
+/// The final response to a request for which no back end returned a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: RefusalReason,
-    /// Whether it ran.
+    /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back, in milliseconds from now, worked out from the
-    /// capacity that is expected.
+    /// Time in milliseconds after which a retry makes sense, computed from the expected capacity.
     pub retry_after: Option<u64>,
 }
 
 impl Refusal {
-    /// A refusal of a request that did not run.
+    /// Creates a refusal of a request that did not run.
     pub fn not_run(reason: RefusalReason, retry_after: Option<u64>) -> Self {
         Refusal {
             reason,
@@ -56,8 +55,8 @@
         }
     }
 
-    /// A refusal of a request that may have run.
-    pub fn maybe_run(reason: RefusalReason) -> Self {
+    /// Creates a refusal of a request that may have run.
+    pub fn may_have_run(reason: RefusalReason) -> Self {
         Refusal {
             reason,
             ran: Ran::Unknown,
@@ -66,20 +65,23 @@
     }
 }
 
-/// How an attempt at a back end ended, as the front saw it.
+/// The end of an attempt to run a request on a back end, as observed by the front.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptOutcome {
-    /// The whole answer went to the caller.
+    /// The complete response was sent to the caller.
     Completed,
     /// No byte of the request reached the back end.
     NotSent,
-    /// The back end attests that it did not start the request.
+    /// The back end stated that it did not start the request.
     NotStarted,
-    /// The request was sent and the connection broke before any of the answer
-    /// went to the caller.
+    /// The request was sent, and the connection failed before any part of the response was sent to
+    /// the caller.
+    #[serde(rename = "LostBeforeAnswer")]
     LostBeforeAnswer,
-    /// The answer broke off after part of it went to the caller.
+    /// The response was interrupted after part of it was sent to the caller.
+    #[serde(rename = "LostDuringAnswer")]
     LostDuringAnswer,
-    /// The caller went away.
+    /// The caller disconnected.
+    #[serde(rename = "CallerGone")]
     CallerGone,
 }
--- a/crates/contract/src/plan.rs
+++ b/crates/contract/src/plan.rs
@@ -1,45 +1,46 @@
-//! The placement decision of one back end, a row of the table service.
+//! The placement decision for one back end, which is a row of the table service.
 
 use std::collections::BTreeMap;
 
 use gorsebank_world::Artifact;
 use serde::{Deserialize, Serialize};
 
-/// Which artifacts a back end may hold, and the memory set aside for them.
+/// The artifacts that a back end may load, and the memory that is reserved for them.
 ///
-/// Invariant: reservations and the standby share never exceed `capacity`.
-/// A reservation ends only once the back end confirmed that the memory is free.
+/// Invariant: the sum of the reservations and of the standby memory never exceeds `capacity`. A
+/// reservation ends only once the back end has confirmed that the memory is free.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndPlan {
     /// Accelerator memory in bytes.
     pub capacity: u64,
-    /// Artifacts that are decided to be here, with their bytes.
+    /// Artifacts that are placed on the back end, each with its size in bytes.
     pub reservations: BTreeMap<Artifact, u64>,
-    /// Dormant artifacts that may wake here without another transaction.
+    /// Unused artifacts that may be loaded on the back end without another transaction.
     pub standby: Standby,
 }
 
-/// A share of memory that dormant artifacts take turns in.
+/// Memory that several unused artifacts share. Together they may need more than this memory, so only
+/// some of them may be loaded at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standby {
-    /// Bytes set aside: members that are loaded at one time fit in them.
+    /// Reserved bytes. The members that are loaded at the same time must fit into them.
     pub bytes: u64,
-    /// Members with their bytes.
+    /// The artifacts that may use the memory, each with its size in bytes.
     pub members: BTreeMap<Artifact, u64>,
 }
 
 impl BackEndPlan {
-    /// Bytes that are spoken for.
+    /// Reserved bytes, including the standby memory.
     pub fn booked(&self) -> u64 {
         self.reservations.values().sum::<u64>() + self.standby.bytes
     }
 
-    /// Bytes that are not spoken for.
+    /// Bytes that are not reserved.
     pub fn free(&self) -> u64 {
         self.capacity.saturating_sub(self.booked())
     }
 
-    /// Whether the decision lets this back end hold `artifact`.
+    /// Whether the plan allows the back end to load `artifact`.
     pub fn permits(&self, artifact: &Artifact) -> bool {
         self.reservations.contains_key(artifact) || self.standby.members.contains_key(artifact)
     }
--- a/crates/contract/src/request.rs
+++ b/crates/contract/src/request.rs
@@ -1,4 +1,5 @@
-//! Requests on their way: tickets and grants.
+//! Identifiers of requests, the tickets by which requests wait in a queue, and the grants that permit
+//! a front to send them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Names a request; unique over all nodes and their lives.
+/// Identifies a request uniquely across all nodes and their incarnations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId(pub u64, pub u64);
 
@@ -17,9 +18,9 @@
     }
 }
 
-/// A text that is no request id.
+/// The text is not a valid request ID.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is no request id")]
+#[error("`{0}` is not a request ID")]
 pub struct RequestIdError(String);
 
 impl FromStr for RequestId {
@@ -27,54 +28,52 @@
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         const SCOPE_DIGITS: usize = 16;
-        let refuse = || RequestIdError(text.to_owned());
-        let (scope, number) = text.split_at_checked(SCOPE_DIGITS).ok_or_else(refuse)?;
-        let digits = |digits: &str| u64::from_str_radix(digits, 16).map_err(|_| refuse());
-        Ok(RequestId(digits(scope)?, digits(number)?))
+        let invalid = || RequestIdError(text.to_owned());
+        let (scope, number) = text.split_at_checked(SCOPE_DIGITS).ok_or_else(invalid)?;
+        let parse_hex = |digits: &str| u64::from_str_radix(digits, 16).map_err(|_| invalid());
+        Ok(RequestId(parse_hex(scope)?, parse_hex(number)?))
     }
 }
 
-/// The number of a try of one request, from 1.
+/// The number of an attempt to run a request, starting at 1.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct Attempt(pub u32);
 
-/// Names one try of one request.
+/// Identifies one attempt of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TicketId {
     /// The request.
     #[serde(rename = "r")]
     pub request: RequestId,
-    /// The try.
     #[serde(rename = "a")]
     pub attempt: Attempt,
 }
 
-/// Priority of a request. Lower classes are served first.
+/// Priority of a request. Classes that compare as lower are served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum PriorityClass {
-    /// Somebody waits for the answer.
+    /// A user waits for the response.
     #[default]
     Interactive,
-    /// Work that can wait, such as night summaries.
+    /// The response is not urgent, as for nightly summaries.
     Batch,
 }
 
-/// A request's place in the queue of its model. The body stays at the front.
+/// The entry of a request in its queue. The body of the request stays on the front.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ticket {
-    /// Request and try.
+    /// The request and its attempt.
     #[serde(rename = "t")]
     pub id: TicketId,
     /// The queue.
     #[serde(rename = "q")]
     pub queue: QueueKey,
-    /// Priority.
     #[serde(rename = "c")]
     pub class: PriorityClass,
     /// Time left until the deadline, in milliseconds.
@@ -82,24 +81,24 @@
     pub remaining: u64,
 }
 
-/// Leave to send one request to one back end.
+/// Permission to send one request to one back end.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Request and try.
+    /// The request and its attempt.
     #[serde(rename = "t")]
     pub id: TicketId,
     /// The queue.
     #[serde(rename = "q")]
     pub queue: QueueKey,
-    /// Where to send it.
+    /// The back end to which the request is sent.
     #[serde(rename = "b")]
     pub back_end: BackEndId,
-    /// Further requests of the same queue that the front may send there
-    /// within the grant's validity, without asking.
+    /// Number of further requests of the same queue that the front may send to the back end while
+    /// the grant is valid, without a ticket for each.
     #[serde(rename = "n", default, skip_serializing_if = "is_zero")]
     pub credits: u32,
-    /// Nothing waits: once the request has ended, the front may keep the slot
-    /// for its next request instead of giving it back.
+    /// Whether the front may keep the slot for its next request after this one has ended, instead of
+    /// releasing it. True only if no request is waiting.
     #[serde(rename = "k", default, skip_serializing_if = "std::ops::Not::not")]
     pub retainable: bool,
 }
--- a/crates/contract/src/table.rs
+++ b/crates/contract/src/table.rs
@@ -1,54 +1,53 @@
-//! Transactions of the platform's table service.
+//! Transactions of the platform's table service, and their results.
 
 use gorsebank_world::NodeId;
 use serde::{Deserialize, Serialize};
 
 use crate::fence::Incarnation;
 
-/// Names a transaction, so that its writer can find out whether it took effect.
+/// Identifies a transaction, so that its writer can find out whether it was committed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TransactionId {
-    /// The writing node.
+    /// The node that writes the transaction.
     pub node: NodeId,
-    /// The life of that node.
+    /// The incarnation of that node.
     pub incarnation: Incarnation,
-    /// A number that grows within that life.
+    /// A number that increases within that incarnation.
     pub number: u64,
 }
 
-/// A condition on one row.
+/// A condition on the revision of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Compare {
-    /// The row.
+    /// The key of the row.
     pub key: String,
-    /// The table revision that last wrote the row; 0 if it must not exist.
+    /// The table revision that must have last written the row; 0 if the row must not exist.
     pub modified: u64,
 }
 
 /// A row to write.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Put {
-    /// The row.
+    /// The key of the row.
     pub key: String,
-    /// JSON text.
+    /// The content as JSON text.
     pub value: String,
 }
 
-/// A transaction: when all conditions hold, all rows are written. In either
-/// case the rows under `read` prefixes are returned from one snapshot.
+/// A transaction. If all conditions hold, all rows are written. In either case, the rows named by
+/// `reads` are returned from one snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// Conditions.
     pub compares: Vec<Compare>,
-    /// Rows written when they hold.
+    /// Rows that are written if all conditions hold.
     pub puts: Vec<Put>,
-    /// Rows and prefixes (ending in `/`) that are read.
+    /// Keys of rows that are read. A key that ends in `/` is a prefix and reads all rows under it.
     pub reads: Vec<String>,
 }
 
 impl Transaction {
-    /// Writes one row if the table revision that last wrote it is `modified`
-    /// (0: the row must not exist).
+    /// Creates a transaction that writes one row if the table revision that last wrote the row is
+    /// `modified` (0: the row must not exist).
     pub fn put_if(key: String, modified: u64, value: String) -> Self {
         Transaction {
             compares: vec![Compare {
@@ -64,40 +63,39 @@
 /// A row read from the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRow {
-    /// The row's key.
+    /// The key of the row.
     pub key: String,
-    /// JSON text.
+    /// The content as JSON text.
     pub value: String,
-    /// The table revision that last wrote it.
+    /// The table revision that last wrote the row.
     pub modified: u64,
 }
 
-/// What became of a transaction.
+/// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TableAnswer {
     /// All conditions held and all rows were written at this table revision.
     Committed {
-        /// The table revision.
         revision: u64,
-        /// Rows read.
+        /// The rows that were read.
         rows: Vec<TableRow>,
     },
     /// A condition did not hold; nothing was written.
     Conflict {
-        /// Rows read.
+        /// The rows that were read.
         rows: Vec<TableRow>,
     },
-    /// The table turned the call away: nothing was written, and never will be.
+    /// The table rejected the call. Nothing was written or will be written later.
     Refused {
-        /// It has too many calls at the moment; otherwise it is out of order.
+        /// Whether the table limited the rate of calls; otherwise the table is unavailable.
         throttled: bool,
     },
-    /// No answer came: the transaction may or may not take effect, even later.
+    /// No response arrived. The transaction may have been committed, or may still be committed later.
     Unknown,
 }
 
 impl TableAnswer {
-    /// Rows that were read; none if there was no answer.
+    /// The rows that were read; empty if the call was rejected or got no response.
     pub fn into_rows(self) -> Vec<TableRow> {
         match self {
             TableAnswer::Committed { rows, .. } | TableAnswer::Conflict { rows } => rows,
--- a/crates/contract/tests/frames.rs
+++ b/crates/contract/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames between nodes: what is written is read, and garbage is an error.
+//! Checks that frames between nodes round-trip, and that invalid frames are rejected with an error.
 
 use bytes::{BufMut, BytesMut};
 use gorsebank_contract::frame::{Envelope, EnvelopeCodec, FrameError, MAX_FRAME_BYTES};
@@ -24,46 +24,46 @@
 }
 
 #[test]
-fn envelopes_survive_being_cut_into_pieces() {
+fn envelopes_are_decoded_from_single_bytes() {
     let mut codec = EnvelopeCodec::default();
-    let mut whole = BytesMut::new();
+    let mut encoded = BytesMut::new();
     for number in 0..3 {
         codec
-            .encode(&envelope(number), &mut whole)
-            .expect("it encodes");
+            .encode(&envelope(number), &mut encoded)
+            .expect("the envelope is encoded");
     }
     let mut source = BytesMut::new();
-    let mut read = Vec::new();
-    for byte in whole {
+    let mut decoded = Vec::new();
+    for byte in encoded {
         source.put_u8(byte);
-        read.extend(codec.decode(&mut source).expect("no garbage"));
+        decoded.extend(codec.decode(&mut source).expect("the frame is valid"));
     }
-    assert_eq!(read, [envelope(0), envelope(1), envelope(2)]);
+    assert_eq!(decoded, [envelope(0), envelope(1), envelope(2)]);
 }
 
 #[test]
-fn frames_over_length_are_refused() {
+fn frame_over_the_maximum_length_is_rejected() {
     let mut source = BytesMut::new();
     source.put_u32(MAX_FRAME_BYTES as u32 + 1);
-    let error = EnvelopeCodec::default().decode(&mut source);
-    assert!(matches!(error, Err(FrameError::Io(_))));
+    let result = EnvelopeCodec::default().decode(&mut source);
+    assert!(matches!(result, Err(FrameError::Io(_))));
 }
 
 #[test]
-fn the_error_names_the_length() {
+fn decoding_error_gives_the_length() {
     let mut source = BytesMut::new();
     source.put_u32(3);
     source.put_slice(&[0xff, 0xff, 0xff]);
     let error = EnvelopeCodec::default()
         .decode(&mut source)
-        .expect_err("garbage")
+        .expect_err("the frame is invalid")
         .to_string();
     assert!(error.contains("3 bytes"), "{error}");
 }
 
 proptest! {
     #[test]
-    fn garbage_never_panics(content in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_of_arbitrary_bytes_never_panics(content in proptest::collection::vec(any::<u8>(), 0..200)) {
         let mut source = BytesMut::new();
         source.put_u32(content.len() as u32);
         source.put_slice(&content);
@@ -71,14 +71,14 @@
     }
 
     #[test]
-    fn revisions_survive(above in any::<u64>()) {
+    fn revision_round_trips_through_a_frame(above in any::<u64>()) {
         let envelope = Envelope {
             from: "n".into(),
             message: PeerMessage::ConfigurationWanted { above: Revision(above) },
         };
         let mut bytes = BytesMut::new();
         let mut codec = EnvelopeCodec::default();
-        codec.encode(&envelope, &mut bytes).expect("it encodes");
-        prop_assert_eq!(codec.decode(&mut bytes).expect("no garbage"), Some(envelope));
+        codec.encode(&envelope, &mut bytes).expect("the envelope is encoded");
+        prop_assert_eq!(codec.decode(&mut bytes).expect("the frame is valid"), Some(envelope));
     }
 }
--- a/crates/world/src/configuration.rs
+++ b/crates/world/src/configuration.rs
@@ -92,7 +92,8 @@
     /// Selects the models that are served.
     #[serde(default)]
     pub models: Selector,
-    /// Selects the versions that may be served; the most recently created one is used.
+    /// Selects the versions that may be served. If several match, the one whose row was written
+    /// last is used.
     #[serde(default)]
     pub versions: Selector,
     /// Selects the back ends that may load the models.
