--- a/crates/contract/src/plan.rs
+++ b/crates/contract/src/plan.rs
@@ -15,11 +15,11 @@
     pub capacity: u64,
     /// Artifacts that are placed on the back end, each with its size in bytes.
     pub reservations: BTreeMap<Artifact, u64>,
-    /// Unused artifacts that may be loaded on the back end without another transaction.
+    /// Unloaded artifacts that may be loaded on the back end without another transaction.
     pub standby: Standby,
 }
 
-/// Memory that several unused artifacts share. Together they may need more than this memory, so only
+/// Memory that several standby artifacts share. Together they may need more than this memory, so only
 /// some of them may be loaded at the same time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Standby {
