--- a/crates/replay/src/checker/configuration.rs
+++ b/crates/replay/src/checker/configuration.rs
@@ -1,6 +1,9 @@
-//! An accepted configuration is in force everywhere within seconds and never
-//! reverts: no row's version falls within a node's life, and every node that
-//! was reachable has the accepted version soon.
+//! Checks that accepted configuration changes reach all nodes and are never
+//! reverted.
+//!
+//! The version of a row never decreases within one incarnation of a node, every
+//! node that no fault touches has an accepted version within a fixed time, and
+//! no two changes are accepted at the same revision.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +12,26 @@
 use crate::checker::{Rule, Violation};
 use crate::history::{ChangeRecord, History};
 
-/// Within this time, in microseconds; the target allows 14 s.
-const IN_FORCE: u64 = 7_000_000;
+/// Time within which a node without faults has an accepted version, in
+/// microseconds. The system's target allows 14 s.
+const PROPAGATION_BOUND_US: u64 = 7_000_000;
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Configuration`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
-    let mut violations = reversions(history);
+    let mut violations = find_reversions(history);
     violations.extend(
         history
             .changes
             .iter()
-            .flat_map(|change| missing(history, change)),
+            .flat_map(|change| find_missing_update(history, change)),
     );
-    violations.extend(lost_updates(history));
+    violations.extend(find_duplicate_revisions(history));
     violations
 }
 
-fn reversions(history: &History) -> Vec<Violation> {
+/// Returns the readings in which a row's version is lower than in an earlier
+/// reading at the same incarnation of the node.
+fn find_reversions(history: &History) -> Vec<Violation> {
     let mut seen: BTreeMap<(&NodeId, u32, &RowKey), u64> = BTreeMap::new();
     let mut violations = Vec::new();
     for reading in &history.readings {
@@ -35,7 +41,10 @@
                 violations.push(Violation {
                     rule: Rule::Configuration,
                     at: reading.at,
-                    what: format!("{key} fell from {highest} to {version} at {}", reading.node),
+                    what: format!(
+                        "version of {key} decreased from {highest} to {version} at {}",
+                        reading.node
+                    ),
                 });
             }
             *highest = (*highest).max(*version);
@@ -44,22 +53,28 @@
     violations
 }
 
-fn missing(history: &History, change: &ChangeRecord) -> Option<Violation> {
+/// Returns the first reading that lacks the accepted change after the
+/// propagation bound.
+fn find_missing_update(history: &History, change: &ChangeRecord) -> Option<Violation> {
     let (revision, accepted) = change.accepted?;
     let late = history.readings.iter().find(|reading| {
         let since = accepted.max(reading.undisturbed_since);
         let version = reading.versions.get(&change.key).copied().unwrap_or(0);
-        reading.at > since + IN_FORCE && version < revision
+        reading.at > since + PROPAGATION_BOUND_US && version < revision
     })?;
     Some(Violation {
         rule: Rule::Configuration,
         at: late.at,
-        what: format!("{} has not version {revision} of {}", late.node, change.key),
+        what: format!(
+            "{} does not have version {revision} of {}",
+            late.node, change.key
+        ),
     })
 }
 
-/// Two changes that were both accepted have different revisions.
-fn lost_updates(history: &History) -> Vec<Violation> {
+/// Returns accepted changes whose revision another accepted change has too: one
+/// of the two updates is lost.
+fn find_duplicate_revisions(history: &History) -> Vec<Violation> {
     let mut by_revision: BTreeMap<u64, &ChangeRecord> = BTreeMap::new();
     let mut violations = Vec::new();
     for change in &history.changes {
--- a/crates/replay/src/checker/leaving.rs
+++ b/crates/replay/src/checker/leaving.rs
@@ -1,27 +1,28 @@
-//! A back end that is leaving gets no new work after a few seconds.
+//! Checks that a draining back end gets no new requests after a fixed time.
 
 use crate::checker::{Rule, Violation};
 use crate::history::History;
 
-/// From the moment at which the machine list shows it, in microseconds: a
-/// reading of the list, its way to all nodes, and the life of a grant.
-const FEW_SECONDS: u64 = 5_000_000;
+/// Time after which a draining back end gets no new requests, in microseconds
+/// from the moment at which the machine list shows the drain. It covers a poll
+/// of the list, its distribution to all nodes, and the validity of a grant.
+const DRAIN_BOUND_US: u64 = 5_000_000;
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Leaving`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for leave in &history.leaves {
+    for drain in &history.leaves {
         let late = history.executions.iter().find(|execution| {
-            execution.back_end == leave.back_end && execution.at > leave.visible + FEW_SECONDS
+            execution.back_end == drain.back_end && execution.at > drain.visible + DRAIN_BOUND_US
         });
         if let Some(execution) = late {
             violations.push(Violation {
                 rule: Rule::Leaving,
                 at: execution.at,
                 what: format!(
-                    "{} got work {} ms after it was listed as leaving",
-                    leave.back_end,
-                    (execution.at - leave.visible) / 1_000
+                    "{} got a request {} ms after the machine list showed its drain",
+                    drain.back_end,
+                    (execution.at - drain.visible) / 1_000
                 ),
             });
         }
--- a/crates/replay/src/checker/memory.rs
+++ b/crates/replay/src/checker/memory.rs
@@ -1,5 +1,7 @@
-//! Accelerator memory on a back end is never overcommitted: what an engine
-//! holds fits, and no order ever asks for more.
+//! Checks that the accelerator memory of a back end is never overcommitted.
+//!
+//! The artifacts that an engine holds fit into its memory, no plan reserves more
+//! than the capacity, and no order loads an artifact that does not fit.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +11,22 @@
 use crate::checker::{Rule, Violation};
 use crate::history::{EngineHistory, History};
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Memory`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let engines = history
         .engines
         .iter()
         .flat_map(|(id, engine)| check_engine(id, engine));
-    let decisions = history
+    let plans = history
         .decisions
         .iter()
-        .filter(|decision| decision.plan.booked() > decision.plan.capacity)
-        .map(|decision| Violation {
+        .filter(|record| record.plan.booked() > record.plan.capacity)
+        .map(|record| Violation {
             rule: Rule::Memory,
-            at: decision.at,
-            what: format!("the decision for {} is larger than it", decision.back_end),
+            at: record.at,
+            what: format!("the plan for {} exceeds its memory", record.back_end),
         });
-    engines.chain(decisions).collect()
+    engines.chain(plans).collect()
 }
 
 fn check_engine(id: &BackEndId, engine: &EngineHistory) -> Vec<Violation> {
@@ -54,7 +56,7 @@
                     "{id} uses {used} of {} bytes{}",
                     engine.memory,
                     refused.map_or_else(String::new, |artifact| format!(
-                        " and is ordered to load {artifact}"
+                        " and refused an order to load {artifact}"
                     ))
                 ),
             });
--- a/crates/replay/src/checker/mod.rs
+++ b/crates/replay/src/checker/mod.rs
@@ -1,7 +1,8 @@
-//! Judges a history: one file a rule, and one for stated outcomes.
+//! Checks a history against the system's guarantees and a trace's stated outcomes.
 //!
-//! The checker looks at nothing but what back ends, callers, operators and the
-//! platform saw, never at counters of the system itself.
+//! The input is a [`History`], the output a list of violations. Each rule has a
+//! module of its own. The checker uses only what back ends, callers, operators
+//! and the platform observed, never counters of the system itself.
 
 pub mod configuration;
 pub mod leaving;
@@ -19,39 +20,39 @@
 use crate::history::History;
 use crate::trace::format::Outcome;
 
-/// What must always hold.
+/// A guarantee that must hold in every history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// No more replicas are loaded than decided.
+    /// Engines load no replica that the table's plans do not permit.
     Replicas,
     /// Accelerator memory is never overcommitted.
     Memory,
-    /// Requests are served or refused in time.
+    /// Requests are served or refused by their deadline.
     Served,
-    /// The whole answer goes to its own request.
+    /// A request gets the complete response to it and nothing else.
     WholeAnswer,
-    /// A refusal that says it did not run is true.
+    /// A request that is refused as not run did not run.
     Refusal,
-    /// What may not be repeated runs at most once.
+    /// A request that may not be repeated runs at most once.
     Once,
-    /// A leaving back end gets no new work after a few seconds.
+    /// A draining back end gets no new requests after a fixed time.
     Leaving,
-    /// A planned stop cuts no request.
+    /// A planned stop of a node interrupts no request.
     PlannedStop,
-    /// Accepted configuration is everywhere in seconds and never reverts.
+    /// Accepted configuration reaches all nodes in time and is never reverted.
     Configuration,
-    /// An outcome that the trace states.
+    /// The outcomes that the trace states.
     Stated,
 }
 
-/// Something that must not be.
+/// An observation that breaks a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The rule that is broken.
     pub rule: Rule,
-    /// When, in microseconds.
+    /// Time in microseconds from the start of the replay.
     pub at: u64,
-    /// What was seen.
+    /// Description of the observation.
     pub what: String,
 }
 
@@ -66,7 +67,8 @@
     }
 }
 
-/// Violations of the rules that cannot depend on timing, for live replays.
+/// Returns the violations of the rules that do not depend on timing, for live
+/// replays.
 pub fn check_untimed(history: &History) -> Vec<Violation> {
     let rules = [
         memory::check(history),
@@ -78,7 +80,7 @@
     rules.into_iter().flatten().collect()
 }
 
-/// All violations of the rules and of the stated outcomes.
+/// Returns all violations of the rules and of the stated outcomes.
 pub fn check(history: &History, outcomes: &[Outcome]) -> Vec<Violation> {
     let rules = [
         replicas::check(history),
--- a/crates/replay/src/checker/once.rs
+++ b/crates/replay/src/checker/once.rs
@@ -1,12 +1,14 @@
-//! A request that may not be repeated runs at most once: by its key, if it has
-//! one, and by the node's id of it in any case.
+//! Checks that a request that may not be repeated runs at most once.
+//!
+//! Executions belong to the same request if they have the same idempotency key
+//! or, without a key, the same request id.
 
 use std::collections::HashMap;
 
 use crate::checker::{Rule, Violation};
 use crate::history::{Execution, History};
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Once`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut runs: HashMap<String, Vec<&Execution>> = HashMap::new();
     for execution in &history.executions {
--- a/crates/replay/src/checker/outcome.rs
+++ b/crates/replay/src/checker/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcomes that a trace states beside the rules.
+//! Checks the outcomes that a trace states in addition to the rules.
 
 use gorsebank_contract::PriorityClass;
 use gorsebank_emulator::model::engine::EngineEvent;
@@ -7,7 +7,7 @@
 use crate::history::{CallerEnd, CallerRecord, History};
 use crate::trace::format::Outcome;
 
-/// Checks every stated outcome.
+/// Returns a violation for every stated outcome that the history does not have.
 pub fn check(history: &History, outcomes: &[Outcome]) -> Vec<Violation> {
     outcomes
         .iter()
@@ -22,12 +22,14 @@
 
 fn check_one(history: &History, outcome: &Outcome) -> Option<String> {
     match outcome {
-        Outcome::Answered { of, class, share } => answered(history, of.as_deref(), *class, *share),
+        Outcome::Answered { of, class, share } => {
+            check_answered(history, of.as_deref(), *class, *share)
+        }
         Outcome::FirstToken {
             class,
             quantile,
             below,
-        } => first_token(history, *class, *quantile, below.as_micros() as u64),
+        } => check_first_token(history, *class, *quantile, below.as_micros() as u64),
         Outcome::Loads { at_most } => {
             let loads = load_count(history);
             (loads > *at_most).then(|| format!("{loads} loads, at most {at_most} were stated"))
@@ -47,9 +49,9 @@
                 format!("{accepted} changes were accepted, not {changes}: {errors:?}")
             })
         }
-        Outcome::RetryAfterStated { refused } => retry_after(history, *refused),
+        Outcome::RetryAfterStated { refused } => check_retry_after(history, *refused),
         Outcome::RefusedEarly { ahead, share } => {
-            refused_early(history, ahead.as_micros() as u64, *share)
+            check_refused_early(history, ahead.as_micros() as u64, *share)
         }
         Outcome::Executions { at_least } => {
             let executions = history.executions.len() as u32;
@@ -66,7 +68,7 @@
         .any(|attempt| matches!(attempt.end, Some((_, CallerEnd::Answered { .. }))))
 }
 
-fn answered(
+fn check_answered(
     history: &History,
     of: Option<&str>,
     class: Option<PriorityClass>,
@@ -79,16 +81,17 @@
         .filter(|caller| class.is_none_or(|class| caller.class == class))
         .collect();
     let count = callers.iter().filter(|caller| is_answered(caller)).count();
-    let wanted = callers.len() as f64 * share;
-    ((count as f64) < wanted).then(|| {
+    let required = callers.len() as f64 * share;
+    ((count as f64) < required).then(|| {
         format!(
-            "{count} of {} requests were answered, {share} of them were stated",
+            "{count} of {} requests were answered, a fraction of {share} was stated",
             callers.len()
         )
     })
 }
 
-/// Times to the first token of answered requests, in microseconds, sorted.
+/// Returns the sorted times to the first token of the attempts that got one, in
+/// microseconds.
 pub fn first_token_times(history: &History, class: Option<PriorityClass>) -> Vec<u64> {
     let mut times: Vec<u64> = history
         .callers
@@ -101,7 +104,8 @@
     times
 }
 
-/// The value that `quantile` of the sorted values do not exceed.
+/// Returns the smallest value that at least the fraction `quantile` of the sorted
+/// values does not exceed, or `u64::MAX` if there are no values.
 pub fn quantile_of(sorted: &[u64], quantile: f64) -> u64 {
     let rank = (sorted.len() as f64 * quantile).ceil() as usize;
     sorted
@@ -110,7 +114,7 @@
         .unwrap_or(u64::MAX)
 }
 
-fn first_token(
+fn check_first_token(
     history: &History,
     class: Option<PriorityClass>,
     quantile: f64,
@@ -120,14 +124,14 @@
     let time = quantile_of(&times, quantile);
     (time >= below).then(|| {
         format!(
-            "quantile {quantile} of the time to the first token is {} ms, below {} was stated",
+            "quantile {quantile} of the time to the first token is {} ms, below {} ms was stated",
             time / 1_000,
             below / 1_000
         )
     })
 }
 
-/// Loads that engines started.
+/// Returns the number of loads that engines started.
 pub fn load_count(history: &History) -> u32 {
     history
         .engines
@@ -137,8 +141,8 @@
         .count() as u32
 }
 
-fn refused_early(history: &History, ahead: u64, share: f64) -> Option<String> {
-    let times: Vec<bool> = history
+fn check_refused_early(history: &History, ahead: u64, share: f64) -> Option<String> {
+    let is_early: Vec<bool> = history
         .callers
         .iter()
         .flat_map(|caller| caller.tries.iter().map(move |attempt| (caller, attempt)))
@@ -147,16 +151,16 @@
             _ => None,
         })
         .collect();
-    let early = times.iter().filter(|early| **early).count();
-    ((early as f64) < times.len() as f64 * share).then(|| {
+    let early = is_early.iter().filter(|early| **early).count();
+    ((early as f64) < is_early.len() as f64 * share).then(|| {
         format!(
-            "{early} of {} refusals came early, {share} were stated",
-            times.len()
+            "{early} of {} refusals came early, a fraction of {share} was stated",
+            is_early.len()
         )
     })
 }
 
-fn retry_after(history: &History, least: u32) -> Option<String> {
+fn check_retry_after(history: &History, min_refusals: u32) -> Option<String> {
     let refusals: Vec<Option<u64>> = history
         .callers
         .iter()
@@ -167,8 +171,9 @@
         })
         .collect();
     if refusals.contains(&None) {
-        return Some("a refused request was not told when to come back".to_owned());
+        return Some("a refusal did not state when to retry".to_owned());
     }
     let count = refusals.len() as u32;
-    (count < least).then(|| format!("{count} requests were refused, {least} were stated"))
+    (count < min_refusals)
+        .then(|| format!("{count} requests were refused, at least {min_refusals} were stated"))
 }
--- a/crates/replay/src/checker/refusal.rs
+++ b/crates/replay/src/checker/refusal.rs
@@ -1,4 +1,4 @@
-//! A refusal that says a request did not run is true.
+//! Checks that a request that is refused as not run did not run.
 
 use std::collections::HashSet;
 
@@ -7,7 +7,7 @@
 use crate::checker::{Rule, Violation};
 use crate::history::{CallerEnd, History};
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Refusal`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let ran: HashSet<RequestId> = history
         .executions
@@ -22,14 +22,16 @@
             let (
                 at,
                 CallerEnd::Refused {
-                    ran: said, reason, ..
+                    ran: stated,
+                    reason,
+                    ..
                 },
             ) = attempt.end.as_ref()?
             else {
                 return None;
             };
-            let is_lie = *said == Ran::No && ran.contains(&attempt.request?);
-            is_lie.then(|| Violation {
+            let is_false = *stated == Ran::No && ran.contains(&attempt.request?);
+            is_false.then(|| Violation {
                 rule: Rule::Refusal,
                 at: *at,
                 what: format!(
--- a/crates/replay/src/checker/replicas.rs
+++ b/crates/replay/src/checker/replicas.rs
@@ -1,6 +1,8 @@
-//! No more replicas of a model are loaded than the system decided: whatever an
-//! engine loads, the decision in the table at that moment lets it hold, and no
-//! decision is taken back while the engine still holds it.
+//! Checks that no more replicas of a model are loaded than the table's plans permit.
+//!
+//! The plan in the table permits every artifact that the engine holds, both when
+//! a load starts and until the artifact is unloaded: a plan does not drop an
+//! artifact that the engine still holds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,11 +14,11 @@
 use crate::history::History;
 
 enum Step<'a> {
-    Decision(&'a BackEndPlan),
+    Plan(&'a BackEndPlan),
     Engine(&'a EngineEvent),
 }
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Replicas`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     history
         .engines
@@ -29,9 +31,9 @@
     let mut plan = BackEndPlan::default();
     let mut held: BTreeSet<Artifact> = BTreeSet::new();
     let mut violations = Vec::new();
-    for (at, step) in steps(history, id) {
+    for (at, step) in sorted_steps(history, id) {
         match step {
-            Step::Decision(decision) => plan = decision.clone(),
+            Step::Plan(new_plan) => plan = new_plan.clone(),
             Step::Engine(EngineEvent::Started) => held.clear(),
             Step::Engine(EngineEvent::LoadStarted { artifact, .. }) => {
                 held.insert(artifact.clone());
@@ -45,21 +47,23 @@
             violations.push(Violation {
                 rule: Rule::Replicas,
                 at,
-                what: format!("{id} holds {artifact}, which the table does not decide"),
+                what: format!("{id} holds {artifact}, which its plan does not permit"),
             });
         }
     }
     violations
 }
 
-/// Decisions and engine events in order. Engine times are whole milliseconds,
-/// so that decisions count from the beginning of theirs.
-fn steps<'a>(history: &'a History, id: &BackEndId) -> Vec<(u64, Step<'a>)> {
+/// Returns the plans and the events of an engine in the order of time.
+///
+/// Times of engine events are whole milliseconds, so a plan takes effect at the
+/// beginning of its millisecond.
+fn sorted_steps<'a>(history: &'a History, id: &BackEndId) -> Vec<(u64, Step<'a>)> {
     let mut steps: BTreeMap<(u64, u8, usize), Step<'a>> = BTreeMap::new();
-    for (number, decision) in history.decisions.iter().enumerate() {
-        if decision.back_end == *id {
-            let millisecond = decision.at / 1_000 * 1_000;
-            steps.insert((millisecond, 0, number), Step::Decision(&decision.plan));
+    for (number, record) in history.decisions.iter().enumerate() {
+        if record.back_end == *id {
+            let millisecond = record.at / 1_000 * 1_000;
+            steps.insert((millisecond, 0, number), Step::Plan(&record.plan));
         }
     }
     let records = history.engines.get(id).map(|engine| &engine.records);
--- a/crates/replay/src/checker/served.rs
+++ b/crates/replay/src/checker/served.rs
@@ -1,20 +1,22 @@
-//! A waiting request is served or refused in time and is never dropped. A
-//! connection that broke since its node died is an end that the caller sees;
-//! a node that stands still cannot answer while it does.
+//! Checks that every request is served or refused by its deadline and never dropped.
+//!
+//! A connection that breaks because its node died counts as an outcome, since
+//! the caller sees it. The time for which a node is paused is added to the
+//! deadline, since a paused node cannot respond.
 
 use crate::checker::{Rule, Violation};
 use crate::history::{CallerRecord, CallerTry, History};
 
-/// An end so long after the deadline is in time, in microseconds: a tick of
-/// the node and the way back.
-const SLACK: u64 = 250_000;
+/// Time after the deadline by which an outcome may still arrive, in microseconds:
+/// a tick of the node and the network delay to the caller.
+const DEADLINE_SLACK_US: u64 = 250_000;
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::Served`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
     for caller in &history.callers {
         for attempt in &caller.tries {
-            if let Some(what) = lateness(history, caller, attempt) {
+            if let Some(what) = describe_lateness(history, caller, attempt) {
                 violations.push(Violation {
                     rule: Rule::Served,
                     at: caller.deadline,
@@ -26,18 +28,23 @@
     violations
 }
 
-fn lateness(history: &History, caller: &CallerRecord, attempt: &CallerTry) -> Option<String> {
-    let latest = caller.deadline + SLACK + standstill(history, attempt);
-    let began = attempt.first_event.is_some_and(|at| at <= latest);
+/// Describes how the attempt missed the deadline, if it did.
+fn describe_lateness(
+    history: &History,
+    caller: &CallerRecord,
+    attempt: &CallerTry,
+) -> Option<String> {
+    let latest = caller.deadline + DEADLINE_SLACK_US + paused_time(history, attempt);
+    let has_begun = attempt.first_event.is_some_and(|at| at <= latest);
     match &attempt.end {
-        Some((at, _)) if *at <= latest || began => None,
+        Some((at, _)) if *at <= latest || has_begun => None,
         Some((at, end)) => Some(format!(
             "a request for {} at {} ended {} ms late: {end:?}",
             caller.of,
             attempt.node,
             (at - caller.deadline) / 1_000
         )),
-        None if history.end < latest || began => None,
+        None if history.end < latest || has_begun => None,
         None => Some(format!(
             "a request for {} at {} never ended",
             caller.of, attempt.node
@@ -45,8 +52,9 @@
     }
 }
 
-/// How long the node stood still while it had the request.
-fn standstill(history: &History, attempt: &CallerTry) -> u64 {
+/// Returns the total duration of the node's pauses that ended after the attempt
+/// began, in microseconds.
+fn paused_time(history: &History, attempt: &CallerTry) -> u64 {
     history
         .pauses
         .iter()
--- a/crates/replay/src/checker/whole_answer.rs
+++ b/crates/replay/src/checker/whole_answer.rs
@@ -1,10 +1,12 @@
-//! A caller gets the whole answer to its own request: an answer that ends well
-//! has every event of that request's stream, in order and once.
+//! Checks that a caller gets the complete response to its own request.
+//!
+//! A response that ends successfully has every event of that request's stream
+//! exactly once and in order.
 
 use crate::checker::{Rule, Violation};
 use crate::history::{CallerEnd, CallerTry, History};
 
-/// Checks the rule.
+/// Returns the violations of [`Rule::WholeAnswer`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     history
         .callers
@@ -12,10 +14,10 @@
         .flat_map(|caller| caller.tries.iter())
         .filter_map(|attempt| {
             let (at, CallerEnd::Answered { whole }) = attempt.end.as_ref()? else {
-                return foreign(attempt).map(|what| (attempt.at, what));
+                return find_foreign_event(attempt).map(|what| (attempt.at, what));
             };
-            foreign(attempt)
-                .or_else(|| incomplete(attempt, *whole))
+            find_foreign_event(attempt)
+                .or_else(|| describe_incomplete(attempt, *whole))
                 .map(|what| (*at, what))
         })
         .map(|(at, what)| Violation {
@@ -26,18 +28,22 @@
         .collect()
 }
 
-/// Events of another request, in an answer of whatever end.
-fn foreign(attempt: &CallerTry) -> Option<String> {
+/// Describes the first event of another request in the response, however the
+/// response ended.
+fn find_foreign_event(attempt: &CallerTry) -> Option<String> {
     let own = format!("{}-", attempt.request?);
     let (stream, _) = attempt
         .received
         .iter()
         .find(|(stream, _)| !stream.starts_with(&own))?;
-    Some(format!("the answer to {own} has an event of {stream}"))
+    Some(format!("the response to {own} has an event of {stream}"))
 }
 
-fn incomplete(attempt: &CallerTry, whole: u64) -> Option<String> {
+/// Describes the received events if they are not the `event_count` events of the
+/// complete response in order.
+fn describe_incomplete(attempt: &CallerTry, event_count: u64) -> Option<String> {
     let numbers: Vec<u64> = attempt.received.iter().map(|(_, number)| *number).collect();
-    let expected: Vec<u64> = (0..whole).collect();
-    (numbers != expected).then(|| format!("an answer of {whole} events came as {numbers:?}"))
+    let expected: Vec<u64> = (0..event_count).collect();
+    (numbers != expected)
+        .then(|| format!("a response of {event_count} events arrived as {numbers:?}"))
 }
--- a/crates/replay/src/compare/clairvoyant.rs
+++ b/crates/replay/src/compare/clairvoyant.rs
@@ -1,55 +1,57 @@
-//! The clairvoyant bound: a plan that knows the trace.
+//! Computes the clairvoyant bound: the metrics of a plan that knows the trace.
 //!
-//! It has all the memory it wants and loads each model from the fastest cache
-//! that any engine has, one load for each burst, begun when the first request
-//! asks. Between two uses of a model it knows the gap, and keeps the model loaded
-//! if the gap is at most `keep`. No policy that begins loads on request has
-//! shorter cold starts with fewer idle hours.
+//! The plan has unlimited memory and loads each model from the fastest cache that
+//! any engine has, once per burst, beginning with the first request of the burst.
+//! The plan knows the gap between two uses of a model, and keeps the model loaded
+//! if the gap is at most a given keep-alive time. No policy that begins loads on
+//! request has shorter cold starts with fewer idle hours.
 
 use std::collections::BTreeMap;
 
 use gorsebank_contract::{PriorityClass, SourceTier};
 use gorsebank_world::{Artifact, MachineRole, Spec};
 
-use crate::compare::figures::{Figures, milliseconds};
+use crate::compare::figures::{PolicyMetrics, quantile_ms};
 use crate::simulation::caller::plans;
 use crate::trace::Trace;
 use crate::trace::format::{BackEndEntry, Header, TraceEvent};
 
-/// Bytes a second from disk and main memory, as the simulator has them.
-const DISK_BANDWIDTH: u64 = 4_000_000_000;
-const MEMORY_BANDWIDTH: u64 = 20_000_000_000;
+/// Load bandwidths from disk and from main memory, equal to those of the simulator.
+const DISK_BYTES_PER_SECOND: u64 = 4_000_000_000;
+const MEMORY_BYTES_PER_SECOND: u64 = 20_000_000_000;
 /// Microseconds in an hour.
-const HOUR: f64 = 3.6e9;
+const MICROS_PER_HOUR: f64 = 3.6e9;
 
-/// One use of a model, in microseconds.
+/// One request for a model. Times are in microseconds from the start.
 struct Use {
     at: u64,
     until: u64,
     is_interactive: bool,
 }
 
-/// The figures of the bound; gaps of at most `keep` microseconds are kept.
-pub fn figures(trace: &Trace, keep: u64) -> Figures {
+/// Computes the metrics of the bound. The plan keeps a model loaded over gaps of
+/// at most `keep_us` microseconds.
+pub fn compute_metrics(trace: &Trace, keep_us: u64) -> PolicyMetrics {
     let mut cold = Vec::new();
     let mut all = Vec::new();
-    let mut result = Figures::default();
-    for (model, uses) in uses(trace) {
+    let mut result = PolicyMetrics::default();
+    for (model, uses) in uses_by_model(trace) {
         let Some(load) = fastest_load(&trace.header, &model) else {
             continue;
         };
         let mut loaded_until: Option<u64> = None;
         let mut ready_at = 0;
         for usage in &uses {
-            let is_kept = loaded_until.is_some_and(|until| usage.at <= until.saturating_add(keep));
+            let is_kept =
+                loaded_until.is_some_and(|until| usage.at <= until.saturating_add(keep_us));
             if is_kept {
                 let idle = usage.at.saturating_sub(loaded_until.unwrap_or(usage.at));
-                result.idle_hours += idle as f64 / HOUR * load.share;
+                result.idle_hours += idle as f64 / MICROS_PER_HOUR * load.memory_fraction;
             } else {
                 let time = if loaded_until.is_some() {
-                    load.again
+                    load.repeat_time
                 } else {
-                    load.time
+                    load.first_time
                 };
                 ready_at = usage.at + time;
                 result.loads += 1;
@@ -69,14 +71,15 @@
     cold.sort_unstable();
     all.sort_unstable();
     result.cold_requests = cold.len();
-    result.cold_p50 = milliseconds(&cold, 0.5);
-    result.cold_p99 = milliseconds(&cold, 0.99);
-    result.cold_max = milliseconds(&cold, 1.0);
-    result.all_p99 = milliseconds(&all, 0.99);
+    result.cold_p50 = quantile_ms(&cold, 0.5);
+    result.cold_p99 = quantile_ms(&cold, 0.99);
+    result.cold_max = quantile_ms(&cold, 1.0);
+    result.all_p99 = quantile_ms(&all, 0.99);
     result
 }
 
-fn uses(trace: &Trace) -> BTreeMap<String, Vec<Use>> {
+/// Returns the uses of each model, sorted by time.
+fn uses_by_model(trace: &Trace) -> BTreeMap<String, Vec<Use>> {
     let engine = trace
         .header
         .back_ends
@@ -111,19 +114,26 @@
     uses
 }
 
+/// Returns the time for which an engine runs a request that produces `tokens` tokens,
+/// in microseconds.
 fn service_time(engine: &BackEndEntry, tokens: u32) -> u64 {
     engine.prefill.as_micros() as u64 + engine.token.as_micros() as u64 * u64::from(tokens)
 }
 
+/// Load times of a model at the engine that loads it fastest, in microseconds.
 struct FastestLoad {
-    /// The first load, in microseconds.
-    time: u64,
-    /// Any later one: the checkpoint is in an engine's main memory.
-    again: u64,
+    /// Duration of the first load.
+    first_time: u64,
+    /// Duration of any later load, with the checkpoint in the engine's main memory.
+    repeat_time: u64,
+    /// Time to the first token once the model is loaded.
     prefill: u64,
-    share: f64,
+    /// Fraction of the engine's memory that the model occupies.
+    memory_fraction: f64,
 }
 
+/// Returns the fastest load of a model, or `None` if the model has no row or there
+/// is no engine.
 fn fastest_load(header: &Header, model: &str) -> Option<FastestLoad> {
     let bytes = header.rows.iter().find_map(|row| match &row.spec {
         Spec::Model(spec) if row.name == model => Some(spec.memory.as_u64()),
@@ -137,16 +147,16 @@
     engines
         .map(|engine| {
             let bandwidth = match engine.cached.get(&artifact) {
-                Some(SourceTier::Memory) => MEMORY_BANDWIDTH,
-                Some(SourceTier::Disk) => DISK_BANDWIDTH,
+                Some(SourceTier::Memory) => MEMORY_BYTES_PER_SECOND,
+                Some(SourceTier::Disk) => DISK_BYTES_PER_SECOND,
                 Some(SourceTier::Remote) | None => header.store.bandwidth.as_u64(),
             };
             FastestLoad {
-                time: bytes * 1_000 / (bandwidth / 1_000).max(1),
-                again: bytes * 1_000 / (MEMORY_BANDWIDTH / 1_000),
+                first_time: bytes * 1_000 / (bandwidth / 1_000).max(1),
+                repeat_time: bytes * 1_000 / (MEMORY_BYTES_PER_SECOND / 1_000),
                 prefill: engine.prefill.as_micros() as u64,
-                share: bytes as f64 / engine.memory.as_u64().max(1) as f64,
+                memory_fraction: bytes as f64 / engine.memory.as_u64().max(1) as f64,
             }
         })
-        .min_by_key(|load| load.time)
+        .min_by_key(|load| load.first_time)
 }
--- a/crates/replay/src/compare/figures.rs
+++ b/crates/replay/src/compare/figures.rs
@@ -1,4 +1,5 @@
-//! What a policy cost: cold starts, idle accelerator hours, refusals, loads.
+//! Computes the cost of a policy from a history: cold starts, idle accelerator
+//! hours, refusals and loads.
 
 use std::collections::BTreeMap;
 
@@ -11,69 +12,73 @@
 use crate::history::{CallerEnd, History};
 
 /// Microseconds in an hour.
-const HOUR: f64 = 3.6e9;
+const MICROS_PER_HOUR: f64 = 3.6e9;
 /// Version of the artifacts of generated traces.
 const VERSION: &str = "1";
 
-/// Figures of one policy on one trace.
+/// Metrics of one policy on one trace.
 #[derive(Clone, Debug, Default, Serialize)]
-pub struct Figures {
-    /// Interactive requests that came while their model was loaded nowhere.
+pub struct PolicyMetrics {
+    /// Number of interactive attempts that began while no engine had their model
+    /// loaded (cold requests).
     pub cold_requests: usize,
-    /// Their median time to the first token, in milliseconds.
+    /// Median time to the first token of cold requests, in milliseconds.
     pub cold_p50: u64,
-    /// The 99th percentile.
+    /// 99th percentile of the time to the first token of cold requests, in
+    /// milliseconds.
     pub cold_p99: u64,
-    /// The longest.
+    /// Longest time to the first token of a cold request, in milliseconds.
     pub cold_max: u64,
-    /// The 99th percentile over all interactive requests.
+    /// 99th percentile of the time to the first token of all interactive requests,
+    /// in milliseconds.
     pub all_p99: u64,
-    /// Accelerator hours that artifacts held memory without running anything:
-    /// hours times the share of an engine's memory.
+    /// Accelerator hours for which artifacts occupied memory without running a
+    /// request: hours times the fraction of the engine's memory.
     pub idle_hours: f64,
-    /// Requests that were refused.
+    /// Number of requests that were refused.
     pub refusals: usize,
-    /// Requests that ended without a whole answer in another way.
+    /// Number of requests that got neither a complete response nor a refusal.
     pub failures: usize,
-    /// Loads.
+    /// Number of loads that engines started.
     pub loads: u32,
 }
 
-/// A time during which an artifact was loaded on an engine.
+/// A period during which an artifact was loaded on an engine, in microseconds.
 struct Residence {
     back_end: BackEndId,
     artifact: Artifact,
     from: u64,
     until: u64,
-    share: f64,
+    /// Fraction of the engine's memory that the artifact occupies.
+    memory_fraction: f64,
 }
 
-impl Figures {
-    /// The figures of a history.
+impl PolicyMetrics {
+    /// Computes the metrics of a history.
     pub fn of(history: &History) -> Self {
-        let residences = residences(history);
-        let (cold, all) = first_tokens(history, &residences);
-        let ends = history
+        let residences = collect_residences(history);
+        let (cold, all) = first_token_times(history, &residences);
+        let outcomes = history
             .callers
             .iter()
             .filter_map(|caller| caller.tries.last())
             .map(|attempt| attempt.end.as_ref().map(|(_, end)| end));
         let mut refusals = 0;
         let mut failures = 0;
-        for end in ends {
-            match end {
+        for outcome in outcomes {
+            match outcome {
                 Some(CallerEnd::Answered { .. }) => {}
                 Some(CallerEnd::Refused { .. }) => refusals += 1,
                 _ => failures += 1,
             }
         }
-        Figures {
+        PolicyMetrics {
             cold_requests: cold.len(),
-            cold_p50: milliseconds(&cold, 0.5),
-            cold_p99: milliseconds(&cold, 0.99),
-            cold_max: milliseconds(&cold, 1.0),
-            all_p99: milliseconds(&all, 0.99),
-            idle_hours: idle_hours(history, &residences),
+            cold_p50: quantile_ms(&cold, 0.5),
+            cold_p99: quantile_ms(&cold, 0.99),
+            cold_max: quantile_ms(&cold, 1.0),
+            all_p99: quantile_ms(&all, 0.99),
+            idle_hours: compute_idle_hours(history, &residences),
             refusals,
             failures,
             loads: load_count(history),
@@ -81,17 +86,18 @@
     }
 }
 
-/// A quantile of sorted microseconds, in milliseconds; 0 if there are none.
-pub fn milliseconds(sorted: &[u64], quantile: f64) -> u64 {
+/// Returns a quantile of sorted times in microseconds, converted to milliseconds;
+/// 0 if there are no times.
+pub fn quantile_ms(sorted: &[u64], quantile: f64) -> u64 {
     if sorted.is_empty() {
         return 0;
     }
     quantile_of(sorted, quantile) / 1_000
 }
 
-/// Sorted times to the first token of interactive requests: those that came
-/// while their model was loaded nowhere, and all.
-fn first_tokens(history: &History, residences: &[Residence]) -> (Vec<u64>, Vec<u64>) {
+/// Returns the sorted times to the first token of interactive requests, in
+/// microseconds: of cold requests, and of all.
+fn first_token_times(history: &History, residences: &[Residence]) -> (Vec<u64>, Vec<u64>) {
     let mut by_model: BTreeMap<String, Vec<(u64, u64)>> = BTreeMap::new();
     for residence in residences {
         by_model
@@ -126,7 +132,8 @@
     (cold, all)
 }
 
-fn residences(history: &History) -> Vec<Residence> {
+/// Returns the periods during which artifacts were loaded on engines.
+fn collect_residences(history: &History) -> Vec<Residence> {
     let mut residences = Vec::new();
     for (back_end, engine) in &history.engines {
         let mut held: BTreeMap<&Artifact, (u64, u64)> = BTreeMap::new();
@@ -136,7 +143,7 @@
                 artifact: artifact.clone(),
                 from,
                 until,
-                share: bytes as f64 / engine.memory.max(1) as f64,
+                memory_fraction: bytes as f64 / engine.memory.max(1) as f64,
             });
         };
         let mut loading: BTreeMap<&Artifact, u64> = BTreeMap::new();
@@ -170,7 +177,9 @@
     residences
 }
 
-fn idle_hours(history: &History, residences: &[Residence]) -> f64 {
+/// Returns the accelerator hours for which loaded artifacts ran no request,
+/// weighted by the fraction of memory that the artifacts occupied.
+fn compute_idle_hours(history: &History, residences: &[Residence]) -> f64 {
     let mut runs: BTreeMap<(&BackEndId, &Artifact), Vec<(u64, u64)>> = BTreeMap::new();
     for execution in &history.executions {
         if let Some(artifact) = &execution.artifact {
@@ -183,18 +192,18 @@
         .iter()
         .map(|residence| {
             let key = (&residence.back_end, &residence.artifact);
-            let busy = runs
-                .get(&key)
-                .map_or(0, |runs| covered(runs, residence.from, residence.until));
+            let busy = runs.get(&key).map_or(0, |runs| {
+                covered_time(runs, residence.from, residence.until)
+            });
             let idle = (residence.until - residence.from).saturating_sub(busy);
-            idle as f64 / HOUR * residence.share
+            idle as f64 / MICROS_PER_HOUR * residence.memory_fraction
         })
         .sum()
 }
 
-/// Time between `from` and `until` that the runs, in order of their beginnings,
-/// cover.
-fn covered(runs: &[(u64, u64)], from: u64, until: u64) -> u64 {
+/// Returns the time between `from` and `until` that the runs cover. The runs are
+/// sorted by their start.
+fn covered_time(runs: &[(u64, u64)], from: u64, until: u64) -> u64 {
     let mut sum = 0;
     let mut reached = from;
     for (start, end) in runs {
--- a/crates/replay/src/compare/mod.rs
+++ b/crates/replay/src/compare/mod.rs
@@ -1,14 +1,15 @@
-//! Plays placement policies on the same trace, side by side.
+//! Compares placement policies on the same trace.
 //!
-//! Fixed keep-alive and our policy run in the same simulator with the same
-//! decision objects, so that only the policy differs. Routers that decide alone
-//! each have the engines of their own zone. The clairvoyant plan is a bound, not
-//! a policy: it knows the trace, has all the memory it wants and loads from the
-//! fastest cache that any engine has; it begins to load when a request asks.
+//! The fixed keep-alive baseline and the policy of gorsebank run in the same
+//! simulator with the same decision logic, so that only the policy differs. An
+//! independent router uses only the engines of its own zone. The clairvoyant plan
+//! is a bound, not a policy: it knows the trace, has unlimited memory, and loads
+//! from the fastest cache that any engine has, but begins a load only when a
+//! request arrives.
 
 pub mod clairvoyant;
 pub mod figures;
 pub mod policies;
 
-pub use figures::Figures;
-pub use policies::{Policy, play};
+pub use figures::PolicyMetrics;
+pub use policies::{Policy, run_policy};
--- a/crates/replay/src/compare/policies.rs
+++ b/crates/replay/src/compare/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The placement policies that are compared, and their runs on a trace.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,25 +6,26 @@
 use gorsebank_world::Spec;
 
 use crate::compare::clairvoyant;
-use crate::compare::figures::Figures;
+use crate::compare::figures::PolicyMetrics;
 use crate::history::History;
 use crate::simulation;
 use crate::trace::Trace;
 use crate::trace::format::{Header, TraceEvent};
 
-/// A policy.
+/// A placement policy, or the clairvoyant bound.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// Ours, at a weight of cold starts against idle hours from 0 to 1; `None`
-    /// for the weight that the trace's deployment states.
-    Ours(Option<f64>),
-    /// Every model stays loaded for so long after its last use; when memory is
-    /// short the one that was idle longest goes.
+    /// The policy of gorsebank, with a weight of cold starts against idle hours
+    /// from 0 to 1. `None` uses the weight that the trace's deployment states.
+    Gorsebank(Option<f64>),
+    /// Every model stays loaded for the given time after its last use. If memory is
+    /// short, the model that was idle longest is unloaded.
     FixedKeepAlive(Duration),
-    /// Each router decides alone over the engines of its zone, with a fixed
+    /// Each router places models on the engines of its own zone only, with a fixed
     /// keep-alive.
-    RoutersAlone(Duration),
-    /// The bound that knows the trace and keeps models over gaps up to this.
+    IndependentRouters(Duration),
+    /// The bound that knows the trace, and keeps models loaded over gaps up to the
+    /// given time.
     Clairvoyant(Duration),
 }
 
@@ -32,34 +33,34 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let time = |duration: &Duration| humantime::format_duration(*duration);
         match self {
-            Policy::Ours(None) => write!(formatter, "ours"),
-            Policy::Ours(Some(weight)) => write!(formatter, "ours, weight {weight}"),
+            Policy::Gorsebank(None) => write!(formatter, "ours"),
+            Policy::Gorsebank(Some(weight)) => write!(formatter, "ours, weight {weight}"),
             Policy::FixedKeepAlive(keep) => write!(formatter, "fixed {}", time(keep)),
-            Policy::RoutersAlone(keep) => write!(formatter, "alone {}", time(keep)),
+            Policy::IndependentRouters(keep) => write!(formatter, "alone {}", time(keep)),
             Policy::Clairvoyant(keep) => write!(formatter, "bound {}", time(keep)),
         }
     }
 }
 
-/// Plays a policy on a trace.
-pub fn play(trace: &Trace, policy: Policy, seed: u64) -> Figures {
+/// Runs a policy on a trace and returns its metrics.
+pub fn run_policy(trace: &Trace, policy: Policy, seed: u64) -> PolicyMetrics {
     match policy {
-        Policy::Ours(weight) => {
+        Policy::Gorsebank(weight) => {
             let mut trace = trace.clone();
             if let Some(weight) = weight {
                 set_weight(&mut trace.header, weight);
             }
-            Figures::of(&simulation::play(&trace, seed, None))
+            PolicyMetrics::of(&simulation::play(&trace, seed, None))
         }
         Policy::FixedKeepAlive(keep) => {
             let trace = with_keep_alive(trace, keep);
-            Figures::of(&simulation::play(&trace, seed, None))
+            PolicyMetrics::of(&simulation::play(&trace, seed, None))
         }
-        Policy::RoutersAlone(keep) => {
+        Policy::IndependentRouters(keep) => {
             let trace = with_keep_alive(trace, keep);
-            Figures::of(&alone(&trace, seed))
+            PolicyMetrics::of(&run_independent_routers(&trace, seed))
         }
-        Policy::Clairvoyant(keep) => clairvoyant::figures(trace, keep.as_micros() as u64),
+        Policy::Clairvoyant(keep) => clairvoyant::compute_metrics(trace, keep.as_micros() as u64),
     }
 }
 
@@ -78,35 +79,37 @@
     trace
 }
 
-/// Each node by itself, with the engines of its zone and the requests that come
-/// to it; the histories together.
-fn alone(trace: &Trace, seed: u64) -> History {
-    let mut together = History::default();
+/// Replays the trace for each node separately, with the engines of its zone and the
+/// requests that it receives, and returns the merged history.
+fn run_independent_routers(trace: &Trace, seed: u64) -> History {
+    let mut merged = History::default();
     for (index, place) in trace.header.nodes.iter().enumerate() {
-        let mut own = trace.clone();
-        own.header.nodes = vec![place.clone()];
-        own.header
+        let mut node_trace = trace.clone();
+        node_trace.header.nodes = vec![place.clone()];
+        node_trace
+            .header
             .back_ends
             .retain(|entry| entry.zone == place.zone);
-        for event in &mut own.events {
+        for event in &mut node_trace.events {
             if let TraceEvent::Request(request) = &mut event.event {
-                request.count = share_of(request.count, index, trace.header.nodes.len());
+                request.count = count_at_node(request.count, index, trace.header.nodes.len());
             }
         }
-        own.events.retain(
+        node_trace.events.retain(
             |event| !matches!(&event.event, TraceEvent::Request(request) if request.count == 0),
         );
-        let history = simulation::play(&own, seed, None);
-        together.callers.extend(history.callers);
-        together.executions.extend(history.executions);
-        together.engines.extend(history.engines);
-        together.end = history.end;
+        let history = simulation::play(&node_trace, seed, None);
+        merged.callers.extend(history.callers);
+        merged.executions.extend(history.executions);
+        merged.engines.extend(history.engines);
+        merged.end = history.end;
     }
-    together
+    merged
 }
 
-/// How many of `count` requests, spread over `nodes` in turn, come to one.
-fn share_of(count: u32, index: usize, nodes: usize) -> u32 {
+/// Returns how many of `count` requests, distributed round-robin over `nodes` nodes,
+/// the node at `index` receives.
+fn count_at_node(count: u32, index: usize, nodes: usize) -> u32 {
     let (nodes, index) = (nodes as u32, index as u32);
     count / nodes + u32::from(index < count % nodes)
 }
--- a/crates/replay/src/generate.rs
+++ b/crates/replay/src/generate.rs
@@ -1,9 +1,9 @@
-//! Generates day-long traces at the sizes of today, on a stated seed.
+//! Generates a trace of one day for a deployment of present size from a seed.
 //!
-//! Each model has a rate of its own, from a few requests a day to some an hour,
-//! by the hour of the day; on top come the bursts that the users describe: the
-//! morning shift at Vatuloa's call centre and its night summaries, delayed
-//! flights at Terminalkarten.
+//! Each model has its own request rate, from a few requests a day to some an hour,
+//! which depends on the hour of the day. Bursts come in addition: the morning
+//! shift of a call centre and batch summaries at night in one deployment, delayed
+//! flights in the other.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,50 +19,52 @@
     BackEndEntry, Header, Links, NodePlace, RequestEvent, RowEntry, Store, TraceSettings,
 };
 
-const HOUR: u64 = 3_600;
-const DAY: u64 = 24 * HOUR;
-/// Share of the checkpoints that an engine's machine has on disk, and in main
+const SECONDS_PER_HOUR: u64 = 3_600;
+const SECONDS_PER_DAY: u64 = 24 * SECONDS_PER_HOUR;
+/// Fractions of the checkpoints that an engine's machine has on disk and in main
 /// memory.
-const ON_DISK: f64 = 0.25;
-const IN_MEMORY: f64 = 0.05;
+const DISK_CACHED_FRACTION: f64 = 0.25;
+const MEMORY_CACHED_FRACTION: f64 = 0.05;
 
-/// A deployment of today.
+/// A deployment for which a trace is generated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Deployment {
-    /// Prepaid meters in Fiji: most models wait for the working day.
+    /// A service for prepaid meters: most models are used only during working hours.
     Vatuloa,
-    /// Wayfinding in Swiss terminals: a slow first answer costs a connection.
+    /// Wayfinding in airport terminals: a slow first response makes a traveller miss
+    /// a connection.
     Terminalkarten,
 }
 
-struct Sizes {
+/// Size and parameters of a deployment.
+struct DeploymentSize {
     name: &'static str,
     service: &'static str,
     zones: &'static [&'static str],
-    runners: usize,
+    engines: usize,
     models: usize,
     store: Store,
     links: Links,
     cold_start_weight: f64,
 }
 
-fn sizes(deployment: Deployment) -> Sizes {
+fn deployment_size(deployment: Deployment) -> DeploymentSize {
     match deployment {
-        Deployment::Vatuloa => Sizes {
+        Deployment::Vatuloa => DeploymentSize {
             name: "vatuloa-day",
             service: "meter-llm",
             zones: &["suva-hall", "nadi-hall", "lautoka-hall"],
-            runners: 10,
+            engines: 10,
             models: 50,
             store: store(2.0, 8),
             links: links(1_500, 3_000),
             cold_start_weight: 0.2,
         },
-        Deployment::Terminalkarten => Sizes {
+        Deployment::Terminalkarten => DeploymentSize {
             name: "terminalkarten-day",
             service: "lm-guide",
             zones: &["zrh-a", "zrh-b", "zrh-c", "zrh-d"],
-            runners: 12,
+            engines: 12,
             models: 65,
             store: store(3.0, 11),
             links: links(1_000, 1_000),
@@ -87,10 +89,10 @@
     }
 }
 
-/// The lines of a day-long trace.
-pub fn day(deployment: Deployment, seed: u64) -> Vec<String> {
+/// Generates the lines of a trace of one day.
+pub fn generate_day(deployment: Deployment, seed: u64) -> Vec<String> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let sizes = sizes(deployment);
+    let sizes = deployment_size(deployment);
     let header = header(&sizes, seed, &mut random);
     let mut events = background(&sizes, &mut random);
     match deployment {
@@ -111,7 +113,7 @@
         .collect()
 }
 
-fn header(sizes: &Sizes, seed: u64, random: &mut ChaCha8Rng) -> Header {
+fn header(sizes: &DeploymentSize, seed: u64, random: &mut ChaCha8Rng) -> Header {
     let deployment = DeploymentSpec {
         models: Default::default(),
         versions: Default::default(),
@@ -128,10 +130,10 @@
         trace: sizes.name.to_owned(),
         about: "A day at the sizes of today.".to_owned(),
         generated: Some(format!("gorsebank-replay generate, seed {seed}")),
-        duration: Duration::from_secs(DAY),
+        duration: Duration::from_secs(SECONDS_PER_DAY),
         nodes: sizes.zones.iter().enumerate().map(node).collect(),
-        back_ends: (0..sizes.runners)
-            .map(|runner| engine(sizes, runner, random))
+        back_ends: (0..sizes.engines)
+            .map(|engine_index| engine(sizes, engine_index, random))
             .collect(),
         rows,
         links: sizes.links.clone(),
@@ -141,7 +143,7 @@
             tick: Some(Duration::from_millis(200)),
             ..TraceSettings::default()
         },
-        red_without: None,
+        must_fail_without: None,
     }
 }
 
@@ -165,13 +167,13 @@
     format!("m{}", model + 1)
 }
 
-fn engine(sizes: &Sizes, runner: usize, random: &mut ChaCha8Rng) -> BackEndEntry {
+fn engine(sizes: &DeploymentSize, engine_index: usize, random: &mut ChaCha8Rng) -> BackEndEntry {
     let mut cached = BTreeMap::new();
     for model in 0..sizes.models {
         let chance: f64 = random.random_range(0.0..1.0);
-        let tier = if chance < IN_MEMORY {
+        let tier = if chance < MEMORY_CACHED_FRACTION {
             SourceTier::Memory
-        } else if chance < IN_MEMORY + ON_DISK {
+        } else if chance < MEMORY_CACHED_FRACTION + DISK_CACHED_FRACTION {
             SourceTier::Disk
         } else {
             continue;
@@ -181,8 +183,8 @@
         }
     }
     BackEndEntry {
-        id: format!("{}-{}", sizes.service, runner + 1),
-        zone: sizes.zones[runner % sizes.zones.len()].to_owned(),
+        id: format!("{}-{}", sizes.service, engine_index + 1),
+        zone: sizes.zones[engine_index % sizes.zones.len()].to_owned(),
         role: MachineRole::Engine,
         service: sizes.service.to_owned(),
         memory: ByteSize::gib(80),
@@ -193,9 +195,10 @@
     }
 }
 
-type Timed = (u64, RequestEvent);
+/// A request event with its time in milliseconds from the start.
+type TimedRequest = (u64, RequestEvent);
 
-fn request(model: usize, count: u32, over: u64, class: PriorityClass) -> RequestEvent {
+fn request(model: usize, count: u32, spread_ms: u64, class: PriorityClass) -> RequestEvent {
     let timeout = match class {
         PriorityClass::Interactive => 60,
         PriorityClass::Batch => 1_200,
@@ -205,7 +208,7 @@
         service: None,
         nodes: Vec::new(),
         count,
-        over: Duration::from_millis(over),
+        over: Duration::from_millis(spread_ms),
         class,
         timeout: Duration::from_secs(timeout),
         tokens: 80,
@@ -215,23 +218,24 @@
     }
 }
 
-/// Visits of each model through the day: a few requests within a minute.
-fn background(sizes: &Sizes, random: &mut ChaCha8Rng) -> Vec<Timed> {
+/// Generates the visits of each model through the day. A visit is a few requests
+/// within a minute.
+fn background(sizes: &DeploymentSize, random: &mut ChaCha8Rng) -> Vec<TimedRequest> {
     let mut events = Vec::new();
     for model in 0..sizes.models {
-        // From a few visits a day to one every few minutes, most of them rare.
+        // Most models get a few visits a day, some get one every few minutes.
         let rarity: f64 = random.random_range(0.0..1.0);
         let visits_per_hour = 0.15 + 6.0 * rarity.powi(5);
         let mut at = 0.0;
         loop {
             let uniform: f64 = random.random_range(f64::EPSILON..1.0);
-            at += -uniform.ln() / visits_per_hour * HOUR as f64;
-            if at >= DAY as f64 {
+            at += -uniform.ln() / visits_per_hour * SECONDS_PER_HOUR as f64;
+            if at >= SECONDS_PER_DAY as f64 {
                 break;
             }
-            let hour = (at as u64 / HOUR) % 24;
-            let is_awake = (6..22).contains(&hour) || random.random_bool(0.15);
-            if is_awake {
+            let hour = (at as u64 / SECONDS_PER_HOUR) % 24;
+            let is_active_hour = (6..22).contains(&hour) || random.random_bool(0.15);
+            if is_active_hour {
                 let count = random.random_range(1..4);
                 let event = request(model, count, 30_000, PriorityClass::Interactive);
                 events.push(((at * 1_000.0) as u64, event));
@@ -241,36 +245,38 @@
     events
 }
 
-/// The call centre and the field crews begin at about eight: within a quarter
-/// of an hour many models are wanted, each at all routers at once.
-fn morning_shift(sizes: &Sizes, random: &mut ChaCha8Rng) -> Vec<Timed> {
+/// Generates the start of the morning shift at eight: requests for many models
+/// arrive within a quarter of an hour, for each model at all routers at once.
+fn morning_shift(sizes: &DeploymentSize, random: &mut ChaCha8Rng) -> Vec<TimedRequest> {
     (0..sizes.models * 3 / 5)
         .map(|model| {
-            let at = 8 * HOUR * 1_000 + random.random_range(0..15 * 60 * 1_000);
+            let at = 8 * SECONDS_PER_HOUR * 1_000 + random.random_range(0..15 * 60 * 1_000);
             let count = random.random_range(8..25);
             (at, request(model, count, 5_000, PriorityClass::Interactive))
         })
         .collect()
 }
 
-/// Tamper alerts are summarised at night by a few models, which are asked
-/// questions as well.
-fn night_summaries(sizes: &Sizes, random: &mut ChaCha8Rng) -> Vec<Timed> {
+/// Generates batch summaries of alerts at night. The few models that write the
+/// summaries get interactive requests as well.
+fn night_summaries(sizes: &DeploymentSize, random: &mut ChaCha8Rng) -> Vec<TimedRequest> {
     (0..sizes.models / 8)
         .map(|model| {
-            let at = HOUR * 1_000 + random.random_range(0..3 * HOUR * 1_000);
+            let at =
+                SECONDS_PER_HOUR * 1_000 + random.random_range(0..3 * SECONDS_PER_HOUR * 1_000);
             let count = random.random_range(100..200);
             (at, request(model, count, 60_000, PriorityClass::Batch))
         })
         .collect()
 }
 
-/// A flight is late and a crowd goes to the assistance desk of its terminal.
-fn delayed_flights(sizes: &Sizes, random: &mut ChaCha8Rng) -> Vec<Timed> {
+/// Generates bursts after delayed flights, when many travellers go to the assistance
+/// desk of a terminal.
+fn delayed_flights(sizes: &DeploymentSize, random: &mut ChaCha8Rng) -> Vec<TimedRequest> {
     (0..40)
         .map(|_| {
             let model = random.random_range(0..sizes.models);
-            let at = random.random_range(6 * HOUR..22 * HOUR) * 1_000;
+            let at = random.random_range(6 * SECONDS_PER_HOUR..22 * SECONDS_PER_HOUR) * 1_000;
             let count = random.random_range(20..60);
             (
                 at,
--- a/crates/replay/src/history.rs
+++ b/crates/replay/src/history.rs
@@ -1,5 +1,9 @@
-//! What back ends, callers, operators and the platform saw: all that the
-//! checker may look at.
+//! The history of a replay: what back ends, callers, operators and the platform
+//! observed.
+//!
+//! The simulation or the live replay writes a history, and the checker judges it
+//! without any other input. Unless stated otherwise, times are in microseconds
+//! from the start of the replay.
 
 use std::collections::BTreeMap;
 
@@ -9,65 +13,65 @@
 
 use crate::simulation::caller::CallerPlan;
 
-/// How a caller's request ended. Times are microseconds from the start.
+/// The outcome of a caller's attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallerEnd {
-    /// The answer ended as whole answers do.
+    /// The response ended successfully.
     Answered {
-        /// Events of the whole answer, as its back end made it.
+        /// Number of events in the complete response, as the back end sent it.
         whole: u64,
     },
     /// An explicit refusal.
     Refused {
-        /// Why.
+        /// Reason of the refusal.
         reason: RefusalReason,
-        /// Whether it says that the request ran.
+        /// Whether the request ran, according to the refusal.
         ran: Ran,
-        /// When to come back, in milliseconds.
+        /// Delay in milliseconds after which the refusal allows a retry.
         retry_after: Option<u64>,
     },
-    /// An explicit error in the middle of the answer.
+    /// An explicit error in the middle of the response.
     Interrupted,
-    /// The connection broke since the node died.
+    /// The connection broke because the node died.
     NodeDied,
 }
 
-/// One try of a caller at one node.
+/// One attempt of a caller at one node.
 #[derive(Clone, Debug)]
 pub struct CallerTry {
-    /// The node.
+    /// The node that received the request.
     pub node: NodeId,
-    /// The id that the node gave the request.
+    /// The id that the node gave to the request.
     pub request: Option<RequestId>,
-    /// When it began.
+    /// Time at which the attempt began.
     pub at: u64,
-    /// The first event of the answer.
+    /// Time of the first event of the response.
     pub first_event: Option<u64>,
-    /// Stream and number of every event that came.
+    /// Stream and number of every received event.
     pub received: Vec<(String, u64)>,
-    /// When and how it ended.
+    /// Time and kind of the outcome.
     pub end: Option<(u64, CallerEnd)>,
 }
 
-/// A caller's request with its tries.
+/// A caller's request with its attempts.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
-    /// Model or service.
+    /// Name of the requested model or service.
     pub of: String,
-    /// Priority.
+    /// Priority class of the request.
     pub class: PriorityClass,
-    /// When it must be over.
+    /// Deadline of the request.
     pub deadline: u64,
-    /// Idempotency key.
+    /// Idempotency key, if the request has one.
     pub key: Option<String>,
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Tries, in order.
+    /// Attempts, in the order in which they began.
     pub tries: Vec<CallerTry>,
 }
 
 impl CallerRecord {
-    /// A caller that has not sent anything yet.
+    /// Creates the record of a caller that has not sent anything yet.
     pub fn new(plan: &CallerPlan) -> Self {
         CallerRecord {
             of: plan.of.clone(),
@@ -80,116 +84,116 @@
     }
 }
 
-/// A request that ran at a back end.
+/// A request that a back end ran.
 #[derive(Clone, Debug)]
 pub struct Execution {
-    /// When.
+    /// Time at which the execution began.
     pub at: u64,
-    /// Until when, if it is not cut short.
+    /// Time at which the execution ends unless a fault interrupts it.
     pub until: u64,
-    /// Where.
+    /// The back end that ran the request.
     pub back_end: BackEndId,
-    /// On what.
+    /// The artifact that served the request, at an engine.
     pub artifact: Option<Artifact>,
-    /// The node's id of the request.
+    /// The id that the node gave to the request.
     pub request: RequestId,
-    /// The idempotency key.
+    /// Idempotency key, if the request has one.
     pub key: Option<String>,
     /// Whether it may run more than once.
     pub repeatable: bool,
 }
 
-/// A change as its operator saw it.
+/// A configuration change as its operator observed it.
 #[derive(Clone, Debug)]
 pub struct ChangeRecord {
-    /// The row.
+    /// The changed row.
     pub key: RowKey,
-    /// The revision that it was accepted at, and when.
+    /// Revision and time at which the change was accepted.
     pub accepted: Option<(u64, u64)>,
-    /// The error otherwise.
+    /// Error, if the change was not accepted.
     pub error: Option<String>,
-    /// Labels that it sets.
+    /// Labels that the change sets, or removes if `None`.
     pub labels: BTreeMap<String, Option<String>>,
 }
 
-/// What an operator reads at one node.
+/// The configuration as an operator read it at one node.
 #[derive(Clone, Debug)]
 pub struct ConfigurationReading {
-    /// When.
+    /// Time of the reading.
     pub at: u64,
     /// The node.
     pub node: NodeId,
-    /// Its life, from 0.
+    /// Incarnation of the node, counted from 0.
     pub life: u32,
-    /// Versions of rows.
+    /// Version of each row.
     pub versions: BTreeMap<RowKey, u64>,
-    /// No fault touched the node since this time.
+    /// Time since which no fault affected the node.
     pub undisturbed_since: u64,
 }
 
-/// A decision as the table has it from a moment on.
+/// A plan for an engine as the table has it from a time on.
 #[derive(Clone, Debug)]
 pub struct DecisionRecord {
-    /// When it took effect.
+    /// Time at which the plan took effect.
     pub at: u64,
-    /// The engine.
+    /// The engine that the plan is for.
     pub back_end: BackEndId,
-    /// The decision.
+    /// The plan.
     pub plan: BackEndPlan,
 }
 
-/// When the platform said that a back end is leaving.
+/// The time at which the platform announced that a back end is draining.
 #[derive(Clone, Debug)]
 pub struct LeaveRecord {
     /// The back end.
     pub back_end: BackEndId,
-    /// When readers of the list could see it.
+    /// Time from which readers of the machine list could see the drain.
     pub visible: u64,
 }
 
-/// A node that stood still.
+/// A pause of a node's process.
 #[derive(Clone, Debug)]
 pub struct PauseRecord {
     /// The node.
     pub node: NodeId,
-    /// From when.
+    /// Time at which the pause began.
     pub from: u64,
-    /// Until when.
+    /// Time at which the pause ended.
     pub until: u64,
 }
 
-/// An engine's memory and what it did.
+/// The memory of an engine and the events that it recorded.
 #[derive(Clone, Debug, Default)]
 pub struct EngineHistory {
-    /// Bytes.
+    /// Accelerator memory in bytes.
     pub memory: u64,
-    /// Records; their times are in milliseconds.
+    /// Recorded events; their times are in milliseconds.
     pub records: Vec<EngineRecord>,
 }
 
-/// The whole history.
+/// All observations of one replay.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Callers.
+    /// Requests of callers.
     pub callers: Vec<CallerRecord>,
-    /// Back ends.
+    /// Executions at back ends.
     pub executions: Vec<Execution>,
-    /// Engines.
+    /// Events of engines.
     pub engines: BTreeMap<BackEndId, EngineHistory>,
-    /// Decisions in the table.
+    /// Plans for engines in the table.
     pub decisions: Vec<DecisionRecord>,
-    /// Operators' changes.
+    /// Configuration changes by operators.
     pub changes: Vec<ChangeRecord>,
-    /// Operators' readings.
+    /// Configuration as operators read it.
     pub readings: Vec<ConfigurationReading>,
-    /// Back ends that leave.
+    /// Drains of back ends.
     pub leaves: Vec<LeaveRecord>,
-    /// Nodes that were asked to stop, and when.
+    /// Nodes that were asked to stop, with the time of the request.
     pub planned_stops: Vec<(NodeId, u64)>,
-    /// Nodes that stood still.
+    /// Pauses of nodes.
     pub pauses: Vec<PauseRecord>,
-    /// Faults as they happened, for people.
+    /// Readable log of the events and faults of the replay, with their times.
     pub log: Vec<(u64, String)>,
-    /// When the replay ended.
+    /// Time at which the replay ended.
     pub end: u64,
 }
--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,8 +1,9 @@
 //! Replays recorded traces against stated outcomes.
 //!
-//! A trace describes a world, timed events and stated outcomes. It is played
-//! in virtual time on a seed around the very decision logic that the node
-//! runs, and the checker judges the histories of back ends and callers.
+//! A trace describes a deployment, timed events and stated outcomes. The
+//! simulation replays a trace in virtual time with a seed and runs the same
+//! decision logic as the node. The checker judges the resulting history of back
+//! ends and callers. Traces can also be replayed live, over real processes.
 
 pub mod ablation;
 pub mod checker;
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -1,4 +1,5 @@
-//! The replay tool.
+//! Command line of `gorsebank-replay`: replays, records, generates and compares
+//! traces.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,7 +9,7 @@
 use clap::{Parser, Subcommand};
 use eyre::Context;
 use gorsebank_replay::ablation::Ablation;
-use gorsebank_replay::compare::{self, Figures, Policy};
+use gorsebank_replay::compare::{self, Policy, PolicyMetrics};
 use gorsebank_replay::generate::{self, Deployment};
 use gorsebank_replay::live::{self, Binaries};
 use gorsebank_replay::record::{self, RecordOptions};
@@ -28,50 +29,51 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Play traces in virtual time.
+    /// Replay traces in virtual time.
     Run {
-        /// Seeds A..B (B is not played).
+        /// Range of seeds A..B, without B.
         #[arg(long, default_value = "0..1")]
         seeds: SeedRange,
-        /// Take a mechanism away.
+        /// Disable a mechanism of the system.
         #[arg(long, value_enum)]
         without: Option<Ablation>,
-        /// Play over real processes on loopback, once; the programs `gorsebank`
-        /// and `gorsebank-standin` must be beside this one.
+        /// Replay once over real processes on loopback. The programs `gorsebank` and
+        /// `gorsebank-standin` must be in the directory of this program.
         #[arg(long)]
         live: bool,
-        /// Print figures of the first seed of every trace.
+        /// Print a summary of the first seed of every trace.
         #[arg(long)]
         figures: bool,
         /// Traces, or directories of traces.
         #[arg(required = true)]
         paths: Vec<PathBuf>,
     },
-    /// Record a trace from callers, who ask this program instead of a node.
+    /// Record a trace from callers that send their requests to this program instead
+    /// of a node.
     Record {
-        /// Where callers ask.
+        /// Address at which the program accepts requests of callers.
         #[arg(long, default_value = "127.0.0.1:8070")]
         listen: SocketAddr,
-        /// The node that requests are passed on to.
+        /// Address of the node that requests are forwarded to.
         #[arg(long)]
         node: SocketAddr,
-        /// A trace whose header the recorded one gets.
+        /// Trace whose header is copied into the recorded trace.
         #[arg(long)]
         header: PathBuf,
-        /// The file that is written.
+        /// File to which the recorded trace is written.
         #[arg(long)]
         out: PathBuf,
     },
-    /// Generate a day-long trace at the sizes of today.
+    /// Generate a trace of one day for a deployment of present size.
     Generate {
-        /// Whose day.
+        /// Deployment for which the trace is generated.
         #[arg(long, value_enum)]
         deployment: Deployment,
-        /// Seed.
+        /// Seed of the generator.
         #[arg(long)]
         seed: u64,
     },
-    /// Play placement policies on the same traces, side by side.
+    /// Compare placement policies on the same traces.
     Compare {
         /// Seed of the replay.
         #[arg(long, default_value_t = 1)]
@@ -79,7 +81,8 @@
         /// Keep-alive times of the baselines.
         #[arg(long, value_delimiter = ',', default_value = "2m,10m,30m,2h")]
         keep_alive: Vec<humantime::Duration>,
-        /// Weights of our policy beside the one that the trace states.
+        /// Weights of cold starts for further runs of the policy of gorsebank, in
+        /// addition to the weight that the trace states.
         #[arg(long, value_delimiter = ',')]
         weights: Vec<f64>,
         /// Traces, or directories of traces.
@@ -104,11 +107,11 @@
         .await
         .wrap_err_with(|| format!("cannot listen on {listen}"))?;
     println!("listening on {}", listener.local_addr()?);
-    record::record(listener, options, stopped()).await
+    record::record(listener, options, wait_for_stop_signal()).await
 }
 
 /// Returns on SIGINT or SIGTERM.
-async fn stopped() {
+async fn wait_for_stop_signal() {
     use tokio::signal::unix::{SignalKind, signal};
 
     let (Ok(mut interrupt), Ok(mut terminate)) = (
@@ -123,12 +126,13 @@
     }
 }
 
-/// Plays traces over real processes, one after another.
-fn run_live(paths: &[PathBuf], figures: bool) -> eyre::Result<bool> {
+/// Replays traces over real processes, one after another. Returns whether all
+/// passed.
+fn run_live(paths: &[PathBuf], print_summary: bool) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Runtime::new()?;
     let binaries = Binaries::beside_this()?;
     let (mut passed, mut failed) = (0, 0);
-    for trace in run::read_all(paths)? {
+    for trace in run::read_traces(paths)? {
         let (history, violations) = runtime.block_on(live::play_live(binaries.clone(), &trace))?;
         let name = &trace.header.trace;
         if violations.is_empty() {
@@ -141,7 +145,7 @@
                 println!("  {violation}");
             }
         }
-        if figures {
+        if print_summary {
             println!("  {}", Summary::of(&history));
         }
     }
@@ -149,11 +153,11 @@
     Ok(failed == 0)
 }
 
-/// Prints the figures of every policy on a trace.
+/// Prints the metrics of every policy on a trace.
 fn compare_on(trace: &Trace, policies: &[Policy], seed: u64) {
-    let figures: Vec<Figures> = policies
+    let metrics: Vec<PolicyMetrics> = policies
         .par_iter()
-        .map(|policy| compare::play(trace, *policy, seed))
+        .map(|policy| compare::run_policy(trace, *policy, seed))
         .collect();
     println!("{} ({})", trace.header.trace, trace.header.about);
     println!(
@@ -169,24 +173,24 @@
         "failed",
         "loads"
     );
-    for (policy, figures) in policies.iter().zip(figures) {
+    for (policy, metrics) in policies.iter().zip(metrics) {
         println!(
             "{:<20} {:>6} {:>8} {:>8} {:>8} {:>8} {:>10.1} {:>8} {:>6} {:>6}",
             policy.to_string(),
-            figures.cold_requests,
-            figures.cold_p50,
-            figures.cold_p99,
-            figures.cold_max,
-            figures.all_p99,
-            figures.idle_hours,
-            figures.refusals,
-            figures.failures,
-            figures.loads
+            metrics.cold_requests,
+            metrics.cold_p50,
+            metrics.cold_p99,
+            metrics.cold_max,
+            metrics.all_p99,
+            metrics.idle_hours,
+            metrics.refusals,
+            metrics.failures,
+            metrics.loads
         );
     }
 }
 
-/// Says whether all was well.
+/// Executes a command. Returns whether all replays passed.
 fn execute(command: Command) -> eyre::Result<bool> {
     match command {
         Command::Run {
@@ -202,7 +206,7 @@
             Ok(run::run(&RunOptions {
                 seeds,
                 without,
-                figures,
+                print_summary: figures,
                 paths,
             })?)
         }
@@ -218,7 +222,7 @@
             Ok(true)
         }
         Command::Generate { deployment, seed } => {
-            for line in generate::day(deployment, seed) {
+            for line in generate::generate_day(deployment, seed) {
                 println!("{line}");
             }
             Ok(true)
@@ -229,14 +233,18 @@
             weights,
             paths,
         } => {
-            let mut policies = vec![Policy::Ours(None)];
-            policies.extend(weights.into_iter().map(|weight| Policy::Ours(Some(weight))));
+            let mut policies = vec![Policy::Gorsebank(None)];
+            policies.extend(
+                weights
+                    .into_iter()
+                    .map(|weight| Policy::Gorsebank(Some(weight))),
+            );
             for keep in keep_alive.into_iter().map(Duration::from) {
                 policies.push(Policy::FixedKeepAlive(keep));
-                policies.push(Policy::RoutersAlone(keep));
+                policies.push(Policy::IndependentRouters(keep));
                 policies.push(Policy::Clairvoyant(keep));
             }
-            for trace in run::read_all(&paths)? {
+            for trace in run::read_traces(&paths)? {
                 compare_on(&trace, &policies, seed);
             }
             Ok(true)
--- a/crates/replay/src/record.rs
+++ b/crates/replay/src/record.rs
@@ -1,5 +1,7 @@
-//! Records a trace from callers: they ask this stand-in instead of a node, and
-//! every request is passed on and written down with its moment.
+//! Records a trace from the requests of real callers.
+//!
+//! The recorder is a proxy between callers and a node. It writes each request with
+//! its time to a trace file and forwards the request to the node.
 
 use std::fs::File;
 use std::io::{BufWriter, Write};
@@ -25,14 +27,14 @@
 use crate::trace::Trace;
 use crate::trace::format::RequestEvent;
 
-/// What to record.
+/// Options of a recording.
 #[derive(Clone, Debug)]
 pub struct RecordOptions {
-    /// The node that requests are passed on to.
+    /// Address of the node that requests are forwarded to.
     pub node: SocketAddr,
-    /// A trace whose header the recorded one gets.
+    /// Trace whose header is copied into the recorded trace.
     pub header: PathBuf,
-    /// The file that is written.
+    /// File to which the recorded trace is written.
     pub out: PathBuf,
 }
 
@@ -43,8 +45,10 @@
     file: Mutex<BufWriter<File>>,
 }
 
-/// Records what callers ask at `listener` until `stop` is done. Every line is written as it comes, so that a
-/// recorder that is killed leaves a trace as well.
+/// Records the requests that arrive at `listener` until `stop` completes.
+///
+/// Every line is flushed as soon as the request arrives, so that a recorder that is
+/// killed leaves a valid trace.
 pub async fn record(
     listener: TcpListener,
     options: &RecordOptions,
@@ -60,7 +64,9 @@
         http: HttpClient::default(),
         file: Mutex::new(file),
     });
-    let router = Router::new().fallback(pass_on).with_state(recorder);
+    let router = Router::new()
+        .fallback(record_and_forward)
+        .with_state(recorder);
     axum::serve(listener, router)
         .with_graceful_shutdown(stop)
         .await?;
@@ -71,7 +77,7 @@
     File::create(path).wrap_err_with(|| format!("cannot write {}", path.display()))
 }
 
-async fn pass_on(
+async fn record_and_forward(
     State(recorder): State<Arc<Recorder>>,
     method: Method,
     uri: Uri,
@@ -81,7 +87,7 @@
     if let Some(event) = event_of(&uri, &headers, &body)
         && let Err(error) = recorder.write(&event)
     {
-        eprintln!("a request was not recorded: {error}");
+        eprintln!("failed to record a request: {error}");
     }
     match recorder.forward(method, &uri, headers, body).await {
         Ok(response) => response,
@@ -119,7 +125,7 @@
     }
 }
 
-/// The fields of a completion that a trace has.
+/// The fields of a completion request that a trace contains.
 #[derive(Deserialize)]
 struct Completion {
     model: String,
@@ -129,7 +135,8 @@
     service_tier: Option<String>,
 }
 
-/// The event of a request; `None` for what a trace has no words for.
+/// Returns the trace event of a request, or `None` if the trace format cannot
+/// express the request.
 fn event_of(uri: &Uri, headers: &HeaderMap, body: &Bytes) -> Option<RequestEvent> {
     const DEFAULT_TOKENS: u32 = 50;
     const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays traces on many seeds and prints what came of each.
+//! Replays traces with a range of seeds and prints the results.
 
 use std::path::{Path, PathBuf};
 use std::str::FromStr;
@@ -13,71 +13,71 @@
 use crate::summary::Summary;
 use crate::trace::{Trace, TraceError};
 
-/// Violations that are printed of one failed run.
-const VIOLATIONS_SHOWN: usize = 5;
-/// Events of the history that are printed before a violation.
-const EVENTS_SHOWN: usize = 15;
+/// Maximum number of violations that are printed for a failed trace.
+const MAX_PRINTED_VIOLATIONS: usize = 5;
+/// Maximum number of log events that are printed before the first violation.
+const MAX_PRINTED_EVENTS: usize = 15;
 
 /// Seeds from `first` up to but not including `end`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SeedRange {
-    /// The first.
+    /// The first seed.
     pub first: u64,
-    /// One after the last.
+    /// The seed after the last one.
     pub end: u64,
 }
 
-/// A text that is no range of seeds.
+/// Error for a text that is not a range of seeds.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no range of seeds: expected A..B with A below B")]
+#[error("`{0}` is not a range of seeds: expected A..B with A less than B")]
 pub struct SeedRangeError(String);
 
 impl FromStr for SeedRange {
     type Err = SeedRangeError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let refuse = || SeedRangeError(text.to_owned());
-        let (first, end) = text.split_once("..").ok_or_else(refuse)?;
-        let first: u64 = first.parse().map_err(|_| refuse())?;
-        let end: u64 = end.parse().map_err(|_| refuse())?;
+        let invalid = || SeedRangeError(text.to_owned());
+        let (first, end) = text.split_once("..").ok_or_else(invalid)?;
+        let first: u64 = first.parse().map_err(|_| invalid())?;
+        let end: u64 = end.parse().map_err(|_| invalid())?;
         if first >= end {
-            return Err(refuse());
+            return Err(invalid());
         }
         Ok(SeedRange { first, end })
     }
 }
 
-/// What to play.
+/// Options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Seeds.
+    /// Seeds with which each trace is replayed.
     pub seeds: SeedRange,
-    /// A mechanism that is taken away.
+    /// Mechanism that is disabled.
     pub without: Option<Ablation>,
-    /// Print figures of the first seed also of traces that passed.
-    pub figures: bool,
+    /// Whether the summary of the first seed is printed for passed traces too.
+    pub print_summary: bool,
     /// Traces, or directories of traces.
     pub paths: Vec<PathBuf>,
 }
 
-/// A trace on one seed.
+/// Result of a trace with one seed.
 #[derive(Clone, Debug)]
 pub struct SeedResult {
     /// The seed.
     pub seed: u64,
-    /// What must not be.
+    /// Violations of the rules and of the stated outcomes.
     pub violations: Vec<Violation>,
-    /// What led to it; empty if all was well.
-    pub history: Vec<(u64, String)>,
-    /// Figures.
+    /// Log events up to the first violation; empty if there is no violation.
+    pub events: Vec<(u64, String)>,
+    /// Summary of the history.
     pub summary: Summary,
 }
 
-/// Plays one trace on one seed.
+/// Replays one trace with one seed.
 pub fn play_seed(trace: &Trace, seed: u64, without: Option<Ablation>) -> SeedResult {
     let history = simulation::play(trace, seed, without);
     let violations = checker::check(&history, &trace.outcomes);
-    let log = if violations.is_empty() {
+    let events = if violations.is_empty() {
         Vec::new()
     } else {
         events_before(&history, violations[0].at)
@@ -85,11 +85,12 @@
     SeedResult {
         seed,
         violations,
-        history: log,
+        events,
         summary: Summary::of(&history),
     }
 }
 
+/// Returns the last log events up to the time `at`.
 fn events_before(history: &History, at: u64) -> Vec<(u64, String)> {
     let before: Vec<(u64, String)> = history
         .log
@@ -97,67 +98,67 @@
         .filter(|(time, _)| *time <= at)
         .cloned()
         .collect();
-    let skipped = before.len().saturating_sub(EVENTS_SHOWN);
+    let skipped = before.len().saturating_sub(MAX_PRINTED_EVENTS);
     before.into_iter().skip(skipped).collect()
 }
 
-/// Plays all traces and prints their outcomes; says whether all passed.
+/// Replays all traces and prints the results. Returns whether all passed.
 pub fn run(options: &RunOptions) -> Result<bool, TraceError> {
-    let traces = read_all(&options.paths)?;
+    let traces = read_traces(&options.paths)?;
     let (mut passed, mut failed) = (0, 0);
     for trace in &traces {
         let results: Vec<SeedResult> = (options.seeds.first..options.seeds.end)
             .into_par_iter()
             .map(|seed| play_seed(trace, seed, options.without))
             .collect();
-        let bad: Vec<&SeedResult> = results
+        let failures: Vec<&SeedResult> = results
             .iter()
             .filter(|result| !result.violations.is_empty())
             .collect();
-        if bad.is_empty() {
+        if failures.is_empty() {
             passed += 1;
             println!("ok     {} ({} seeds)", trace.header.trace, results.len());
-            if options.figures {
+            if options.print_summary {
                 println!("  seed {}: {}", results[0].seed, results[0].summary);
             }
         } else {
             failed += 1;
-            print_failure(trace, &bad, results.len());
+            print_failure(trace, &failures, results.len());
         }
     }
     println!("{passed} passed, {failed} failed");
     Ok(failed == 0)
 }
 
-fn print_failure(trace: &Trace, bad: &[&SeedResult], seeds: usize) {
+fn print_failure(trace: &Trace, failures: &[&SeedResult], seed_count: usize) {
     println!(
-        "FAILED {} ({} of {seeds} seeds)",
+        "FAILED {} ({} of {seed_count} seeds)",
         trace.header.trace,
-        bad.len()
+        failures.len()
     );
-    let first = bad[0];
+    let first = failures[0];
     println!("  seed {}: {}", first.seed, first.summary);
-    for (at, event) in &first.history {
+    for (at, event) in &first.events {
         println!("    {:9.3} s  {event}", *at as f64 / 1e6);
     }
-    for violation in first.violations.iter().take(VIOLATIONS_SHOWN) {
+    for violation in first.violations.iter().take(MAX_PRINTED_VIOLATIONS) {
         println!("    {violation}");
     }
-    let seeds: Vec<u64> = bad.iter().map(|result| result.seed).collect();
+    let seeds: Vec<u64> = failures.iter().map(|result| result.seed).collect();
     println!("  failed seeds: {seeds:?}");
 }
 
-/// All traces under `paths`, by name.
-pub fn read_all(paths: &[PathBuf]) -> Result<Vec<Trace>, TraceError> {
+/// Reads all traces under `paths`, sorted by path.
+pub fn read_traces(paths: &[PathBuf]) -> Result<Vec<Trace>, TraceError> {
     let mut files = Vec::new();
     for path in paths {
-        collect(path, &mut files)?;
+        collect_files(path, &mut files)?;
     }
     files.sort();
     files.iter().map(|file| Trace::read(file)).collect()
 }
 
-fn collect(path: &Path, files: &mut Vec<PathBuf>) -> Result<(), TraceError> {
+fn collect_files(path: &Path, files: &mut Vec<PathBuf>) -> Result<(), TraceError> {
     let unreadable = |error| TraceError::Read {
         path: path.to_owned(),
         error,
@@ -170,7 +171,7 @@
         let entry = entry.map_err(unreadable)?.path();
         let is_trace = entry.extension().is_some_and(|kind| kind == "jsonl");
         if is_trace || entry.is_dir() {
-            collect(&entry, files)?;
+            collect_files(&entry, files)?;
         }
     }
     Ok(())
--- a/crates/replay/src/summary.rs
+++ b/crates/replay/src/summary.rs
@@ -1,4 +1,4 @@
-//! What came of a history, in figures.
+//! Summarises a history in a few metrics.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -6,25 +6,25 @@
 use crate::checker::outcome::{first_token_times, load_count, quantile_of};
 use crate::history::{CallerEnd, History};
 
-/// Figures of one history. Times are in milliseconds.
+/// Metrics of one history. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Summary {
-    /// How tries of callers ended, by name.
-    pub ends: BTreeMap<String, u32>,
-    /// Loads that engines started.
+    /// Number of attempts of callers by the name of their outcome.
+    pub outcome_counts: BTreeMap<String, u32>,
+    /// Number of loads that engines started.
     pub loads: u32,
     /// Median of the time to the first token.
     pub first_token_p50: u64,
-    /// Its 99th percentile.
+    /// 99th percentile of the time to the first token.
     pub first_token_p99: u64,
-    /// Requests that ran at back ends.
+    /// Number of executions at back outcome_counts.
     pub executions: usize,
 }
 
 impl Summary {
-    /// The figures of a history.
+    /// Computes the summary of a history.
     pub fn of(history: &History) -> Self {
-        let mut ends: BTreeMap<String, u32> = BTreeMap::new();
+        let mut outcome_counts: BTreeMap<String, u32> = BTreeMap::new();
         for attempt in history.callers.iter().flat_map(|caller| &caller.tries) {
             let name = match &attempt.end {
                 Some((_, CallerEnd::Answered { .. })) => "answered".to_owned(),
@@ -35,11 +35,11 @@
                 Some((_, CallerEnd::NodeDied)) => "node died".to_owned(),
                 None => "open".to_owned(),
             };
-            *ends.entry(name).or_default() += 1;
+            *outcome_counts.entry(name).or_default() += 1;
         }
         let times = first_token_times(history, None);
         Summary {
-            ends,
+            outcome_counts,
             loads: load_count(history),
             first_token_p50: quantile_of(&times, 0.5) / 1_000,
             first_token_p99: quantile_of(&times, 0.99) / 1_000,
@@ -50,15 +50,15 @@
 
 impl fmt::Display for Summary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let ends: Vec<String> = self
-            .ends
+        let outcome_counts: Vec<String> = self
+            .outcome_counts
             .iter()
             .map(|(name, count)| format!("{name}: {count}"))
             .collect();
         write!(
             formatter,
             "{}; loads: {}; executions: {}; first token p50 {} ms, p99 {} ms",
-            ends.join(", "),
+            outcome_counts.join(", "),
             self.loads,
             self.executions,
             self.first_token_p50,
--- a/crates/replay/src/trace/format.rs
+++ b/crates/replay/src/trace/format.rs
@@ -1,4 +1,4 @@
-//! The lines of a trace.
+//! The types of the lines of a trace.
 
 use std::time::Duration;
 
@@ -9,44 +9,48 @@
 
 use crate::ablation::Ablation;
 
-/// The first line: the world that the trace plays in.
+/// The first line of a trace: the deployment and the settings of the replay.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Header {
     /// The trace's name.
     pub trace: String,
-    /// What it is for.
+    /// Purpose of the trace.
     pub about: String,
-    /// How it was made, if by a program: which, and by what seed.
+    /// Program and seed that generated the trace, if it is generated.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub generated: Option<String>,
-    /// When the replay ends.
+    /// Duration of the replay.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
-    /// gorsebank nodes.
+    /// Nodes of gorsebank.
     pub nodes: Vec<NodePlace>,
     /// Engines and application back ends.
     pub back_ends: Vec<BackEndEntry>,
     /// Configuration rows at the start.
     pub rows: Vec<RowEntry>,
-    /// Links between processes.
+    /// Latencies between processes.
     #[serde(default)]
     pub links: Links,
-    /// The weight store.
+    /// Limits of the weight store.
     #[serde(default)]
     pub store: Store,
-    /// How late changes of the machine list are seen.
-    #[serde(default = "default_lag", with = "humantime_serde")]
+    /// Delay after which readers see changes of the machine list.
+    #[serde(default = "default_machine_list_lag", with = "humantime_serde")]
     pub machine_list_lag: Duration,
-    /// Settings of the nodes that differ from the defaults.
+    /// Settings of the nodes that differ from their defaults.
     #[serde(default)]
     pub settings: TraceSettings,
-    /// The mechanism without which the trace must fail.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub red_without: Option<Ablation>,
+    /// Mechanism without which the trace must fail.
+    #[serde(
+        default,
+        rename = "red_without",
+        skip_serializing_if = "Option::is_none"
+    )]
+    pub must_fail_without: Option<Ablation>,
 }
 
-fn default_lag() -> Duration {
+fn default_machine_list_lag() -> Duration {
     Duration::from_secs(3)
 }
 
@@ -54,41 +58,45 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodePlace {
-    /// Its name.
+    /// Name of the node.
     pub id: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// It starts so long after the beginning.
-    #[serde(default, with = "humantime_serde")]
+    /// Time from the start of the replay after which the node starts.
+    #[serde(default, rename = "starts", with = "humantime_serde")]
     pub starts: Duration,
 }
 
-/// A back end.
+/// A back end of the deployment.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackEndEntry {
-    /// Its name.
+    /// Name of the back end.
     pub id: String,
-    /// Its zone.
+    /// Zone of the back end.
     pub zone: String,
-    /// Engine or application.
+    /// Whether the back end is an engine or an application.
     pub role: MachineRole,
-    /// Its pool.
+    /// Name of the service that the back end belongs to.
     pub service: String,
-    /// Accelerator memory.
+    /// Size of the accelerator memory.
     #[serde(default)]
     pub memory: ByteSize,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the back end runs at the same time.
     #[serde(default = "default_slots")]
     pub slots: u32,
-    /// Checkpoints on its machine.
+    /// Checkpoints that are cached on the back end's machine.
     #[serde(default)]
     pub cached: std::collections::BTreeMap<Artifact, SourceTier>,
-    /// Time to the first token, or of a whole answer of an application.
+    /// Time to the first token, or to the complete response of an application.
     #[serde(default = "default_prefill", with = "humantime_serde")]
     pub prefill: Duration,
     /// Time between two tokens.
-    #[serde(default = "default_token", with = "humantime_serde")]
+    #[serde(
+        default = "default_token_interval",
+        rename = "token",
+        with = "humantime_serde"
+    )]
     pub token: Duration,
 }
 
@@ -100,7 +108,7 @@
     Duration::from_millis(200)
 }
 
-fn default_token() -> Duration {
+fn default_token_interval() -> Duration {
     Duration::from_millis(20)
 }
 
@@ -108,26 +116,26 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RowEntry {
-    /// Its name.
+    /// Name of the row.
     pub name: String,
-    /// Its labels.
+    /// Labels of the row.
     #[serde(default)]
     pub labels: Labels,
-    /// Its content, with the field `kind`.
+    /// Content of the row, with the field `kind`.
     pub spec: Spec,
 }
 
-/// One-way latencies.
+/// One-way network latencies.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Links {
-    /// Within a zone.
+    /// Latency within a zone.
     #[serde(with = "humantime_serde")]
     pub within_zone: Duration,
-    /// Between zones.
+    /// Latency between zones.
     #[serde(with = "humantime_serde")]
     pub between_zones: Duration,
-    /// To clients and to the platform.
+    /// Latency to clients and to the platform.
     #[serde(with = "humantime_serde")]
     pub outside: Duration,
 }
@@ -146,11 +154,11 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Store {
-    /// Loads that may start each second.
+    /// Maximum number of loads that start per second.
     pub starts_per_second: f64,
-    /// Loads at full speed at once.
+    /// Number of concurrent loads that get the full bandwidth.
     pub concurrency: u32,
-    /// Bytes a second of one load.
+    /// Bandwidth of one load, in bytes per second.
     pub bandwidth: ByteSize,
 }
 
@@ -164,34 +172,34 @@
     }
 }
 
-/// Settings that traces may change.
+/// Node settings that a trace may change.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct TraceSettings {
-    /// Least keep-alive.
+    /// Minimum keep-alive time of a model.
     #[serde(with = "humantime_serde", skip_serializing_if = "Option::is_none")]
     pub keep_alive_min: Option<Duration>,
-    /// Most keep-alive.
+    /// Maximum keep-alive time of a model.
     #[serde(with = "humantime_serde", skip_serializing_if = "Option::is_none")]
     pub keep_alive_max: Option<Duration>,
-    /// Share of memory for dormant models.
+    /// Fraction of memory for standby models.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub standby_share: Option<f64>,
-    /// Between two ticks of a node; longer for day-long traces.
+    /// Time between two ticks of a node; longer for traces of a whole day.
     #[serde(with = "humantime_serde", skip_serializing_if = "Option::is_none")]
     pub tick: Option<Duration>,
 }
 
-/// An event with its time from the start.
+/// An event with its time.
 #[derive(Clone, Debug)]
 pub struct TimedEvent {
-    /// Microseconds.
+    /// Time in microseconds from the start of the replay.
     pub at: u64,
-    /// What happens.
+    /// The event.
     pub event: TraceEvent,
 }
 
-/// What happens at one moment.
+/// An event of a trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum TraceEvent {
@@ -199,51 +207,51 @@
     Request(RequestEvent),
     /// An operator changes the configuration.
     Change(ChangeEvent),
-    /// Something fails, or heals.
+    /// A fault begins, or a process is drained or stopped.
     Fault(FaultEvent),
 }
 
-/// Requests of callers.
+/// A group of requests of callers.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RequestEvent {
-    /// A model, or with `service` the path of an application call.
+    /// Name of the model; exactly one of `model` and `service` is set.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// An application service.
+    /// Name of the application service.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub service: Option<String>,
-    /// Nodes that the requests go to in turn; all if empty.
+    /// Nodes to which the requests are sent round-robin; all nodes if empty.
     #[serde(default)]
     pub nodes: Vec<String>,
-    /// How many.
-    #[serde(default = "one")]
+    /// Number of requests.
+    #[serde(default = "default_request_count")]
     pub count: u32,
-    /// Spread evenly over so long.
+    /// Time over which the requests are spread evenly.
     #[serde(default, with = "humantime_serde")]
     pub over: Duration,
-    /// Priority.
+    /// Priority class of the requests.
     #[serde(default)]
     pub class: PriorityClass,
-    /// Time allowed.
+    /// Time from the start of a request to its deadline.
     #[serde(default = "default_timeout", with = "humantime_serde")]
     pub timeout: Duration,
-    /// Tokens of each answer.
+    /// Number of tokens in each response.
     #[serde(default = "default_tokens")]
     pub tokens: u32,
-    /// Idempotency key; all requests of the event share it, so that they are
-    /// retries of one another.
+    /// Idempotency key that all requests of the event share, so that they count as
+    /// retries of one request.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key: Option<String>,
-    /// Each request has an idempotency key of its own.
+    /// Whether each request has its own idempotency key.
     #[serde(default)]
     pub keyed: bool,
-    /// Callers whose connection breaks ask again elsewhere.
+    /// Whether callers whose connection breaks retry at another node.
     #[serde(default)]
     pub persistent: bool,
 }
 
-fn one() -> u32 {
+fn default_request_count() -> u32 {
     1
 }
 
@@ -255,216 +263,220 @@
     50
 }
 
-/// An operator's change.
+/// A configuration change by an operator.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeEvent {
-    /// The node that takes it.
+    /// Node to which the change is sent.
     pub node: String,
-    /// Kind of the row.
+    /// Kind of the changed row.
     pub kind: RowKind,
-    /// Name of the row.
+    /// Name of the changed row.
     pub name: String,
-    /// Labels to set, or with `null` to remove.
+    /// Labels to set; labels with the value `null` are removed.
     pub labels: std::collections::BTreeMap<String, Option<String>>,
-    /// The change holds only for the version that the operator saw last.
+    /// Whether the change is accepted only if the row still has the version that the
+    /// operator read last.
     #[serde(default)]
     pub conditional: bool,
 }
 
-/// How the table service fails.
+/// Operating mode of the table service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TableMode {
-    /// It works.
+    /// The service works.
     #[default]
     Up,
-    /// Nothing is carried out and nothing answered.
+    /// Requests are neither executed nor answered.
     Down,
-    /// Everything is carried out and nothing answered.
+    /// Requests are executed but not answered.
     Silent,
-    /// Answers take half a second.
+    /// Responses take half a second.
     Slow,
 }
 
-/// Faults. Processes are named by their id; `holder` is the node that holds
-/// the placement lease at that moment, and `owner:MODEL` the owner of a queue.
+/// A fault. Processes are named by their id. `holder` stands for the node that holds
+/// the placement lease at the time of the fault, and `owner:MODEL` for the owner of
+/// the model's queue.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum FaultEvent {
-    /// A process is killed, and with `for` started again after so long.
+    /// A process is killed, and with `for` restarted after the given time.
     Kill {
         /// The process.
         process: String,
-        /// Until it starts again; never if absent.
+        /// Time until the process is restarted; never if absent.
         #[serde(default, rename = "for", with = "humantime_serde")]
         lasting: Option<Duration>,
     },
-    /// A process stands still, then goes on unaware.
+    /// A process is paused and continues without noticing the pause.
     Pause {
         /// The process.
         process: String,
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
-    /// Two processes cannot reach each other; `*` stands for all others.
+    /// Two processes cannot reach each other; `*` stands for all other processes.
     Cut {
-        /// The two ends.
+        /// The two processes.
         between: (String, String),
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
-    /// Messages of a process take longer, each by a random part of `by`.
+    /// Each message of a process is delayed by a random time of at most `by`.
     Slow {
         /// The process.
         process: String,
-        /// At the most.
+        /// Maximum delay.
         #[serde(with = "humantime_serde")]
         by: Duration,
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
     /// The table service fails.
     Table {
-        /// How.
+        /// Mode of the service during the fault.
         mode: TableMode,
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
     /// Loads from the weight store take longer.
     Store {
-        /// So many times as long.
+        /// Factor by which the duration of loads grows.
         slowdown: f64,
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
-    /// A back end's streams arrive doubled, late, crossed and cut.
+    /// Events in the streams of a back end are duplicated, delayed or replaced by
+    /// events of other streams, or streams break.
     Scramble {
         /// The back end.
         process: String,
-        /// Share of events that something happens to.
+        /// Fraction of events that are affected.
         share: f64,
-        /// How long.
+        /// Duration of the fault.
         #[serde(rename = "for", with = "humantime_serde")]
         lasting: Duration,
     },
-    /// The machine list says that a back end is leaving; it is killed after
-    /// the notice, if there is one.
+    /// The machine list announces that a back end is draining. The back end is killed
+    /// after the notice period, if there is one.
     Leave {
         /// The back end.
         process: String,
-        /// Until it is killed.
+        /// Time until the back end is killed.
         #[serde(default, with = "humantime_serde")]
         notice: Option<Duration>,
     },
-    /// A node is asked to stop, and with `for` started again after so long.
+    /// A node is asked to stop, and with `for` restarted after the given time.
     Stop {
         /// The node.
         process: String,
-        /// Until it starts again; never if absent.
+        /// Time until the process is restarted; never if absent.
         #[serde(default, rename = "for", with = "humantime_serde")]
         lasting: Option<Duration>,
     },
-    /// Faults of several kinds at random times, on the run's seed.
+    /// Faults of several kinds occur at random times that depend on the seed.
     Random {
-        /// How many.
+        /// Number of faults.
         count: u32,
-        /// Within so long.
+        /// Period in which the faults begin.
         #[serde(with = "humantime_serde")]
         during: Duration,
-        /// Kinds to choose from.
+        /// Kinds of which each fault is chosen.
         kinds: Vec<RandomKind>,
     },
 }
 
-/// Kinds of random faults.
+/// Kind of a random fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RandomKind {
-    /// A node is killed and starts again.
+    /// A node is killed and restarted.
     KillNode,
-    /// A node stands still.
+    /// A node is paused.
     PauseNode,
     /// Two nodes, or a node and the table, cannot reach each other.
     Cut,
-    /// A back end is killed and starts again.
+    /// A back end is killed and restarted.
     KillBackEnd,
-    /// A back end stands still.
+    /// A back end is paused.
     PauseBackEnd,
     /// A node and a back end cannot reach each other.
     CutBackEnd,
-    /// The table is down.
+    /// The table service is down.
     TableDown,
-    /// The table's answers are lost.
+    /// The responses of the table service are lost.
     TableSilent,
-    /// A node's messages take longer.
+    /// The messages of a node are delayed.
     SlowNode,
     /// The weight store is slow.
     SlowStore,
     /// Streams of a back end are scrambled.
     Scramble,
-    /// A node stops as planned and starts again.
+    /// A node is stopped as planned and restarted.
     StopNode,
 }
 
-/// What must have come of the trace, beside the nine rules, which always hold.
+/// An outcome that the history must have in addition to the nine rules, which hold
+/// for every trace.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(tag = "outcome", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Outcome {
-    /// At least this share of the requests was answered.
+    /// At least the given fraction of the requests was answered.
     Answered {
-        /// Only requests of this model or service.
+        /// Restricts the outcome to requests for this model or service.
         #[serde(default)]
         of: Option<String>,
-        /// Only requests of this class.
+        /// Restricts the outcome to requests of this class.
         #[serde(default)]
         class: Option<PriorityClass>,
-        /// From 0 to 1.
+        /// Minimum fraction of the requests, from 0 to 1.
         share: f64,
     },
     /// A quantile of the time to the first token stays below a bound.
     FirstToken {
-        /// Only requests of this class.
+        /// Restricts the outcome to requests of this class.
         #[serde(default)]
         class: Option<PriorityClass>,
-        /// From 0 to 1.
+        /// Quantile, from 0 to 1.
         quantile: f64,
-        /// The bound.
+        /// Bound on the time to the first token.
         #[serde(with = "humantime_serde")]
         below: Duration,
     },
-    /// At most so many loads were started.
+    /// At most the given number of loads were started.
     Loads {
-        /// The bound.
+        /// Maximum number of loads.
         at_most: u32,
     },
-    /// Exactly so many of the operators' changes were accepted.
+    /// Exactly the given number of configuration changes were accepted.
     Accepted {
-        /// The number.
+        /// Number of accepted changes.
         changes: u32,
     },
-    /// Refused requests were told when to come back.
+    /// Every refusal stated when to retry.
     RetryAfterStated {
-        /// At least so many requests were refused.
+        /// Minimum number of refused requests.
         refused: u32,
     },
-    /// Of the refused requests, this share was refused so long ahead of the
-    /// deadline.
+    /// At least the given fraction of the refused requests was refused the given time
+    /// before the deadline.
     RefusedEarly {
-        /// At least so long before the deadline.
+        /// Minimum time from the refusal to the deadline.
         #[serde(with = "humantime_serde")]
         ahead: Duration,
-        /// From 0 to 1.
+        /// Minimum fraction of the requests, from 0 to 1.
         share: f64,
     },
-    /// At least so many executions of an application happened.
+    /// At least the given number of requests were executed at back ends.
     Executions {
-        /// The bound.
+        /// Minimum number of executions.
         at_least: u32,
     },
 }
--- a/crates/replay/src/trace/mod.rs
+++ b/crates/replay/src/trace/mod.rs
@@ -1,6 +1,7 @@
-//! Traces: a world, timed events, and stated outcomes, as JSON Lines.
+//! The format of traces, and their parser.
 //!
-//! `docs/TRACES.md` describes the format for those who write traces.
+//! A trace is a file of JSON Lines with a deployment, timed events and stated
+//! outcomes. `docs/TRACES.md` describes the format for authors of traces.
 
 pub mod format;
 pub mod parse;
--- a/crates/replay/tests/checker.rs
+++ b/crates/replay/tests/checker.rs
@@ -1,4 +1,4 @@
-//! Each rule's checker is given a broken history and must see it.
+//! The checker of each rule reports a history that breaks the rule.
 
 use std::collections::BTreeMap;
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn decision(at: u64, bytes: Option<u64>) -> DecisionRecord {
+fn plan_record(at: u64, bytes: Option<u64>) -> DecisionRecord {
     let mut plan = BackEndPlan {
         capacity: 10,
         ..BackEndPlan::default()
@@ -100,18 +100,18 @@
     }
 }
 
-fn assert_caught(history: &History, rule: Rule) {
+fn assert_reported(history: &History, rule: Rule) {
     let violations = check(history, &[]);
     assert!(
         violations.iter().any(|violation| violation.rule == rule),
-        "{rule:?} was not caught: {violations:?}"
+        "no violation of {rule:?} was reported: {violations:?}"
     );
 }
 
 #[test]
-fn a_sound_history_has_no_violations() {
+fn a_valid_history_has_no_violations() {
     let mut history = engine_history(&[EngineEvent::Started, load(5)]);
-    history.decisions.push(decision(50_000, Some(5)));
+    history.decisions.push(plan_record(50_000, Some(5)));
     let own = format!("{}-1@engine", RequestId(1, 1));
     let end = Some((2 * SECOND, CallerEnd::Answered { whole: 2 }));
     history
@@ -121,48 +121,48 @@
 }
 
 #[test]
-fn a_load_without_a_decision_is_caught() {
-    assert_caught(&engine_history(&[load(5)]), Rule::Replicas);
+fn a_load_that_no_plan_permits_is_reported() {
+    assert_reported(&engine_history(&[load(5)]), Rule::Replicas);
 }
 
 #[test]
-fn a_decision_taken_back_too_early_is_caught() {
+fn a_plan_that_drops_a_held_artifact_is_reported() {
     let mut history = engine_history(&[EngineEvent::Started, load(5)]);
-    history.decisions.push(decision(50_000, Some(5)));
-    history.decisions.push(decision(900_000, None));
-    assert_caught(&history, Rule::Replicas);
+    history.decisions.push(plan_record(50_000, Some(5)));
+    history.decisions.push(plan_record(900_000, None));
+    assert_reported(&history, Rule::Replicas);
 }
 
 #[test]
-fn overcommitted_memory_is_caught() {
-    assert_caught(&engine_history(&[load(11)]), Rule::Memory);
+fn overcommitted_memory_is_reported() {
+    assert_reported(&engine_history(&[load(11)]), Rule::Memory);
     let refused = EngineEvent::OverCommitRefused {
         artifact: artifact(),
     };
-    assert_caught(&engine_history(&[refused]), Rule::Memory);
+    assert_reported(&engine_history(&[refused]), Rule::Memory);
 }
 
 #[test]
-fn a_decision_larger_than_the_engine_is_caught() {
+fn a_plan_that_exceeds_the_engine_memory_is_reported() {
     let mut history = History::default();
-    history.decisions.push(decision(0, Some(11)));
-    assert_caught(&history, Rule::Memory);
+    history.decisions.push(plan_record(0, Some(11)));
+    assert_reported(&history, Rule::Memory);
 }
 
 #[test]
-fn a_dropped_and_a_late_request_are_caught() {
-    assert_caught(&with_caller(caller(None, &[])), Rule::Served);
+fn dropped_and_late_requests_are_reported() {
+    assert_reported(&with_caller(caller(None, &[])), Rule::Served);
     let refused = CallerEnd::Refused {
         reason: RefusalReason::DeadlinePassed,
         ran: Ran::No,
         retry_after: None,
     };
     let late = caller(Some((12 * SECOND, refused)), &[]);
-    assert_caught(&with_caller(late), Rule::Served);
+    assert_reported(&with_caller(late), Rule::Served);
 }
 
 #[test]
-fn incomplete_doubled_and_foreign_answers_are_caught() {
+fn incomplete_duplicated_and_foreign_events_are_reported() {
     let own = format!("{}-1@engine", RequestId(1, 1));
     let foreign = format!("{}-1@engine", RequestId(2, 2));
     let own = own.as_str();
@@ -173,12 +173,12 @@
         &[(own, 0), (foreign.as_str(), 1)][..],
     ] {
         let end = Some((2 * SECOND, CallerEnd::Answered { whole: 2 }));
-        assert_caught(&with_caller(caller(end, received)), Rule::WholeAnswer);
+        assert_reported(&with_caller(caller(end, received)), Rule::WholeAnswer);
     }
 }
 
 #[test]
-fn a_false_refusal_is_caught() {
+fn a_false_refusal_is_reported() {
     let refused = CallerEnd::Refused {
         reason: RefusalReason::RetriesExhausted,
         ran: Ran::No,
@@ -186,38 +186,38 @@
     };
     let mut history = with_caller(caller(Some((2 * SECOND, refused)), &[]));
     history.executions.push(execution(SECOND, None));
-    assert_caught(&history, Rule::Refusal);
+    assert_reported(&history, Rule::Refusal);
 }
 
 #[test]
-fn a_key_that_ran_twice_is_caught() {
+fn a_key_that_ran_twice_is_reported() {
     let mut history = History::default();
     history.executions.push(execution(SECOND, Some("k")));
     history.executions.push(execution(2 * SECOND, Some("k")));
-    assert_caught(&history, Rule::Once);
+    assert_reported(&history, Rule::Once);
 }
 
 #[test]
-fn late_work_for_a_leaving_back_end_is_caught() {
+fn a_late_request_to_a_draining_back_end_is_reported() {
     let mut history = History::default();
     history.leaves.push(LeaveRecord {
         back_end: BackEndId::from("app"),
         visible: SECOND,
     });
     history.executions.push(execution(7 * SECOND, None));
-    assert_caught(&history, Rule::Leaving);
+    assert_reported(&history, Rule::Leaving);
 }
 
 #[test]
-fn a_request_cut_by_a_planned_stop_is_caught() {
-    let cut = caller(Some((5 * SECOND, CallerEnd::NodeDied)), &[]);
-    let mut history = with_caller(cut);
+fn a_request_interrupted_by_a_planned_stop_is_reported() {
+    let interrupted = caller(Some((5 * SECOND, CallerEnd::NodeDied)), &[]);
+    let mut history = with_caller(interrupted);
     history.planned_stops.push(("n1".into(), 4 * SECOND));
-    assert_caught(&history, Rule::PlannedStop);
+    assert_reported(&history, Rule::PlannedStop);
 }
 
 #[test]
-fn reverted_missing_and_doubly_accepted_configuration_is_caught() {
+fn reverted_missing_and_doubly_accepted_configuration_is_reported() {
     let key = RowKey {
         kind: RowKind::Model,
         name: "llama".into(),
@@ -239,16 +239,16 @@
         readings: vec![reading(1, 5), reading(2, 4)],
         ..History::default()
     };
-    assert_caught(&reverted, Rule::Configuration);
+    assert_reported(&reverted, Rule::Configuration);
     let missing = History {
         changes: vec![change(6)],
         readings: vec![reading(60, 5)],
         ..History::default()
     };
-    assert_caught(&missing, Rule::Configuration);
+    assert_reported(&missing, Rule::Configuration);
     let doubly = History {
         changes: vec![change(6), change(6)],
         ..History::default()
     };
-    assert_caught(&doubly, Rule::Configuration);
+    assert_reported(&doubly, Rule::Configuration);
 }
--- a/crates/replay/tests/free_addresses.rs
+++ b/crates/replay/tests/free_addresses.rs
@@ -1,4 +1,4 @@
-//! Addresses that are given to processes which are yet to be started.
+//! Allocation of addresses for processes that are started later.
 
 use std::collections::BTreeSet;
 use std::net::TcpListener;
@@ -8,37 +8,37 @@
 
 use gorsebank_replay::live::free_address;
 
-/// Once in CI an engine's stand-in did not start, since its address was in use. Whoever looked
-/// whether a port is free by listening there had a descriptor of it for a moment, and so had
-/// every child that another test started in that moment, until its program began.
+/// An emulated engine failed to start because its address was in use. A check that listens on a
+/// port holds a descriptor of the port for a short time. A child process that another thread
+/// starts at that time inherits the descriptor and keeps it until its program begins.
 #[test]
-fn an_address_is_free_also_while_other_children_start() {
-    let is_over = Arc::new(AtomicBool::new(false));
-    let starters: Vec<_> = (0..4)
+fn free_addresses_are_unused_while_other_threads_start_processes() {
+    let is_done = Arc::new(AtomicBool::new(false));
+    let threads: Vec<_> = (0..4)
         .map(|_| {
-            let is_over = is_over.clone();
+            let is_done = is_done.clone();
             std::thread::spawn(move || {
-                while !is_over.load(Ordering::Relaxed) {
+                while !is_done.load(Ordering::Relaxed) {
                     let started = Command::new("true").status();
                     assert!(started.is_ok_and(|status| status.success()));
                 }
             })
         })
         .collect();
-    let mut taken = BTreeSet::new();
+    let mut used = BTreeSet::new();
     for _ in 0..3_000 {
         let address = free_address().expect("a free address");
         if TcpListener::bind(address).is_err() {
-            taken.insert(address);
+            used.insert(address);
         }
     }
-    is_over.store(true, Ordering::Relaxed);
-    for starter in starters {
-        starter.join().expect("children start");
+    is_done.store(true, Ordering::Relaxed);
+    for thread in threads {
+        thread.join().expect("child processes start");
     }
     assert!(
-        taken.is_empty(),
-        "{} of 3,000 were in use: {taken:?}",
-        taken.len()
+        used.is_empty(),
+        "{} of 3,000 addresses were in use: {used:?}",
+        used.len()
     );
 }
--- a/crates/replay/tests/parse.rs
+++ b/crates/replay/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Bad traces are refused by line and field.
+//! Parsing of traces, and errors of invalid traces.
 
 use std::path::Path;
 
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_error_names_line_and_field() {
+fn errors_name_the_line_and_the_field() {
     let cases: [(&[&str], &str, &str); 9] = [
         (&[""], "bad.jsonl:1", "empty"),
         (&["{"], "bad.jsonl:1", "header"),
@@ -41,15 +41,15 @@
             "most",
         ),
     ];
-    for (lines, place, reason) in cases {
+    for (lines, location, reason) in cases {
         let error = error_of(lines);
-        assert!(error.starts_with(place), "{error}");
+        assert!(error.starts_with(location), "{error}");
         assert!(error.contains(reason), "{error} does not name {reason}");
     }
 }
 
 #[test]
-fn a_good_trace_is_read() {
+fn a_valid_trace_is_parsed() {
     let text = [HEADER, r#"{"at":"1s","model":"m"}"#].join("\n");
     let trace = Trace::parse(Path::new("good.jsonl"), &text).expect("a trace");
     assert_eq!(trace.events.len(), 1);
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -1,32 +1,33 @@
-//! Every committed trace, with its mechanism and without.
+//! Replays every committed trace, with all mechanisms and without the one that the
+//! trace needs.
 
 use std::path::PathBuf;
 
-use gorsebank_replay::run::{play_seed, read_all};
+use gorsebank_replay::run::{play_seed, read_traces};
 use gorsebank_replay::trace::Trace;
 use rayon::prelude::*;
 
-/// Seeds on which every trace passes in CI.
+/// Seeds with which every trace must pass.
 const SEEDS: std::ops::Range<u64> = 0..8;
-/// Seeds on which a trace must fail at least once without its mechanism.
-const RED_SEEDS: std::ops::Range<u64> = 0..200;
+/// Seeds of which at least one must fail without the mechanism that the trace needs.
+const ABLATION_SEEDS: std::ops::Range<u64> = 0..200;
 
 fn traces() -> Vec<Trace> {
     let directory = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../traces");
-    let traces = read_all(&[directory]).expect("the committed traces can be read");
+    let traces = read_traces(&[directory]).expect("the committed traces can be read");
     assert!(traces.len() >= 30, "traces are missing");
     traces
 }
 
 #[test]
-fn every_trace_passes_on_its_seeds() {
+fn every_trace_passes_with_all_seeds() {
     let failures: Vec<String> = traces()
         .par_iter()
         .flat_map(|trace| {
             SEEDS.into_par_iter().filter_map(move |seed| {
                 let result = play_seed(trace, seed, None);
                 let first = result.violations.first()?;
-                Some(format!("{} on seed {seed}: {first}", trace.header.trace))
+                Some(format!("{} with seed {seed}: {first}", trace.header.trace))
             })
         })
         .collect();
@@ -34,32 +35,32 @@
 }
 
 #[test]
-fn every_trace_with_a_mechanism_fails_without_it() {
-    let green: Vec<String> = traces()
+fn every_trace_fails_without_the_mechanism_that_it_needs() {
+    let passed: Vec<String> = traces()
         .par_iter()
-        .filter(|trace| trace.header.red_without.is_some())
+        .filter(|trace| trace.header.must_fail_without.is_some())
         .filter(|trace| {
-            !RED_SEEDS.into_par_iter().any(|seed| {
-                let result = play_seed(trace, seed, trace.header.red_without);
+            !ABLATION_SEEDS.into_par_iter().any(|seed| {
+                let result = play_seed(trace, seed, trace.header.must_fail_without);
                 !result.violations.is_empty()
             })
         })
         .map(|trace| trace.header.trace.clone())
         .collect();
     assert!(
-        green.is_empty(),
-        "passed without their mechanism: {green:?}"
+        passed.is_empty(),
+        "passed without their mechanism: {passed:?}"
     );
 }
 
 #[test]
-fn the_same_seed_gives_the_same_history() {
+fn replays_with_the_same_seed_have_the_same_history() {
     let traces = traces();
     let mixed = traces
         .iter()
         .find(|trace| trace.header.trace == "four-kinds-of-faults")
         .expect("the mixed trace is there");
-    let once = gorsebank_replay::simulation::play(mixed, 7, None);
-    let again = gorsebank_replay::simulation::play(mixed, 7, None);
-    assert_eq!(format!("{once:?}"), format!("{again:?}"));
+    let first = gorsebank_replay::simulation::play(mixed, 7, None);
+    let second = gorsebank_replay::simulation::play(mixed, 7, None);
+    assert_eq!(format!("{first:?}"), format!("{second:?}"));
 }
