--- a/crates/plays/src/lib.rs
+++ b/crates/plays/src/lib.rs
@@ -1,10 +1,11 @@
-//! Plays days of the users' bench for several variants of the sources on the same
-//! seeds, and says whether their outcomes differ by more than chance.
+//! Runs benchmark scenarios for several variants of the sources with the same
+//! seeds, and shows whether the results differ by more than chance.
 //!
-//! In: checkouts (arms), a site file, names of days, seeds. Out: for each arm the
-//! mean of each figure, and against the first arm the mean of the paired
-//! differences with its standard error. One day played twice differs by 0.1, so
-//! fewer than 20 plays an arm tell little.
+//! The input is a benchmark program, a checkout of each variant, a configuration
+//! file with a deployment, the names of scenarios, and seeds. The output is the mean
+//! of each metric for each variant, and the mean of the paired differences from the
+//! first variant with its standard error. The results of two runs of one scenario
+//! differ by 0.1, so fewer than 20 runs per variant show little.
 
 pub mod outcome;
 pub mod play;
@@ -12,4 +13,4 @@
 pub mod table;
 
 pub use outcome::Outcome;
-pub use play::{Arm, Bench, Day, Play};
+pub use play::{Bench, Scenario, ScenarioRun, Variant};
--- a/crates/plays/src/main.rs
+++ b/crates/plays/src/main.rs
@@ -1,4 +1,5 @@
-//! `gorsebank-plays`: paired plays of the users' bench.
+//! Command line of `gorsebank-plays`: runs benchmark scenarios in pairs and compares
+//! the results.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -6,37 +7,37 @@
 use clap::Parser;
 use eyre::{WrapErr, eyre};
 use gorsebank_plays::table::Outcomes;
-use gorsebank_plays::{Arm, Bench, Day, Play};
+use gorsebank_plays::{Bench, Scenario, ScenarioRun, Variant};
 use rayon::prelude::*;
 
-/// Plays the same days and seeds with several variants of the sources.
+/// Runs the same scenarios and seeds with several variants of the sources.
 #[derive(Debug, Parser)]
 #[command(version)]
 struct Arguments {
-    /// The bench's program.
+    /// Path of the benchmark program.
     #[arg(long)]
     bench: PathBuf,
-    /// The site file.
+    /// File that describes the benchmarked deployment.
     #[arg(long)]
     site: PathBuf,
-    /// Names of days, or files with a day.
+    /// Names of scenarios, or files with a scenario.
     #[arg(long, value_delimiter = ',', required = true)]
     days: Vec<String>,
-    /// First seed.
+    /// First seed of each scenario.
     #[arg(long, default_value_t = 11)]
     first_seed: u64,
-    /// Seeds for each day.
+    /// Number of seeds for each scenario.
     #[arg(long, default_value_t = 4)]
     seeds: u64,
-    /// Plays at the same time.
+    /// Number of concurrent runs.
     #[arg(long, default_value_t = 4)]
     jobs: usize,
-    /// A line for the journal.
+    /// Reason of the runs, which the benchmark program records.
     #[arg(long)]
     why: String,
-    /// Variants as NAME=DIR; the others are compared with the first.
+    /// Variants as NAME=DIR. The first one is the baseline of the comparison.
     #[arg(required = true)]
-    arms: Vec<Arm>,
+    arms: Vec<Variant>,
 }
 
 fn main() -> ExitCode {
@@ -56,59 +57,68 @@
         program: std::path::absolute(&arguments.bench)?,
         site: std::path::absolute(&arguments.site)?,
         scratch: scratch.clone(),
-        why: arguments.why.clone(),
+        reason: arguments.why.clone(),
     };
-    let days = days(&arguments);
-    for arm in &arguments.arms {
+    let scenarios = scenarios(&arguments);
+    for variant in &arguments.arms {
         bench
-            .build(arm)
-            .wrap_err_with(|| format!("arm {}", arm.name))?;
+            .build(variant)
+            .wrap_err_with(|| format!("variant {}", variant.name))?;
     }
-    let outcomes = play_all(&bench, &arguments.arms, &days, arguments.jobs)?;
-    print!("{}", outcomes.render(&arguments.arms, &days));
+    let outcomes = run_all(&bench, &arguments.arms, &scenarios, arguments.jobs)?;
+    print!("{}", outcomes.render(&arguments.arms, &scenarios));
     std::fs::remove_dir_all(&scratch).wrap_err_with(|| scratch.display().to_string())
 }
 
-fn days(arguments: &Arguments) -> Vec<Day> {
+/// Returns every scenario with every seed.
+fn scenarios(arguments: &Arguments) -> Vec<Scenario> {
     let seeds = arguments.first_seed..arguments.first_seed + arguments.seeds;
     seeds
         .flat_map(|seed| {
             let names = arguments.days.iter().cloned();
-            names.map(move |name| Day { name, seed })
+            names.map(move |name| Scenario { name, seed })
         })
         .collect()
 }
 
-fn play_all(bench: &Bench, arms: &[Arm], days: &[Day], jobs: usize) -> eyre::Result<Outcomes> {
-    let plays: Vec<Play> = days
+/// Runs every scenario with every variant, `jobs` runs at a time. Failed runs are
+/// printed and left out of the outcomes.
+fn run_all(
+    bench: &Bench,
+    variants: &[Variant],
+    scenarios: &[Scenario],
+    jobs: usize,
+) -> eyre::Result<Outcomes> {
+    let runs: Vec<ScenarioRun> = scenarios
         .iter()
-        .flat_map(|day| {
-            let arms = arms.iter().enumerate();
-            arms.map(move |(arm_index, arm)| Play {
-                arm_index,
-                arm,
-                day,
+        .flat_map(|scenario| {
+            let variants = variants.iter().enumerate();
+            variants.map(move |(variant_index, variant)| ScenarioRun {
+                variant_index,
+                variant,
+                scenario,
             })
         })
         .collect();
     let pool = rayon::ThreadPoolBuilder::new()
         .num_threads(jobs)
         .build()
-        .wrap_err("no threads for plays")?;
-    let played: Vec<_> = pool.install(|| plays.par_iter().map(|play| bench.play(play)).collect());
+        .wrap_err("cannot create the thread pool for the runs")?;
+    let results: Vec<_> =
+        pool.install(|| runs.par_iter().map(|run| bench.run_scenario(run)).collect());
     let mut outcomes = Outcomes::default();
-    let mut lost = 0;
-    for (play, result) in plays.iter().zip(played) {
+    let mut failed = 0;
+    for (run, result) in runs.iter().zip(results) {
         match result {
-            Ok(outcome) => outcomes.insert(play.arm_index, play.day.clone(), outcome),
+            Ok(outcome) => outcomes.insert(run.variant_index, run.scenario.clone(), outcome),
             Err(error) => {
-                lost += 1;
-                eprintln!("{} {}: {error:#}", play.arm.name, play.day);
+                failed += 1;
+                eprintln!("{} {}: {error:#}", run.variant.name, run.scenario);
             }
         }
     }
-    if lost == plays.len() {
-        return Err(eyre!("no play gave a report"));
+    if failed == runs.len() {
+        return Err(eyre!("all runs failed"));
     }
     Ok(outcomes)
 }
--- a/crates/plays/src/outcome.rs
+++ b/crates/plays/src/outcome.rs
@@ -1,14 +1,14 @@
-//! The figures of one play, read from the report that the bench writes.
+//! Reads the metrics of one run from the report that the benchmark program writes.
 
 use std::collections::BTreeMap;
 
 use serde::Deserialize;
 
-/// What the bench reports of a play; other fields are passed over.
+/// The report of a run; other fields are ignored.
 #[derive(Clone, Debug, Deserialize)]
 struct Report {
     #[serde(rename = "G")]
-    worth: f64,
+    score: f64,
     served: f64,
     fault: Option<String>,
     short: Vec<serde_json::Value>,
@@ -17,45 +17,47 @@
     classes: Vec<Class>,
 }
 
+/// A class of requests in the report.
 #[derive(Clone, Debug, Deserialize)]
 struct Class {
     name: String,
-    #[serde(default)]
-    worth: Option<f64>,
+    #[serde(default, rename = "worth")]
+    score: Option<f64>,
 }
 
-/// The figures of one play.
+/// The result of one run.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
-    /// Figures by name: `worth`, `served`, one for each price and each kind of request.
-    pub figures: BTreeMap<String, f64>,
-    /// Rules that were broken, floors that were missed, faults.
-    pub broken: Vec<String>,
+    /// Metrics by name: `worth`, `served`, one for each price and each class of
+    /// requests.
+    pub metrics: BTreeMap<String, f64>,
+    /// Broken rules, missed minimum values, and faults of the run.
+    pub failures: Vec<String>,
 }
 
 impl Outcome {
-    /// Reads a report.
+    /// Parses a report.
     ///
     /// # Errors
     ///
-    /// If the text is not a report.
+    /// Returns an error if the text is not a report.
     pub fn parse(text: &str) -> Result<Self, serde_json::Error> {
         let report: Report = serde_json::from_str(text)?;
-        let mut figures = BTreeMap::from([
-            ("worth".to_owned(), report.worth),
+        let mut metrics = BTreeMap::from([
+            ("worth".to_owned(), report.score),
             ("served".to_owned(), report.served),
         ]);
         for (name, _, cost) in report.prices {
-            figures.insert(format!("price: {name}"), cost);
+            metrics.insert(format!("price: {name}"), cost);
         }
         for class in report.classes {
-            if let Some(worth) = class.worth {
-                figures.insert(format!("kind: {}", class.name), worth);
+            if let Some(score) = class.score {
+                metrics.insert(format!("kind: {}", class.name), score);
             }
         }
-        let mut broken: Vec<String> = report.breaks.into_keys().collect();
-        broken.extend(report.short.iter().map(|short| format!("short: {short}")));
-        broken.extend(report.fault.map(|fault| format!("fault: {fault}")));
-        Ok(Outcome { figures, broken })
+        let mut failures: Vec<String> = report.breaks.into_keys().collect();
+        failures.extend(report.short.iter().map(|short| format!("short: {short}")));
+        failures.extend(report.fault.map(|fault| format!("fault: {fault}")));
+        Ok(Outcome { metrics, failures })
     }
 }
--- a/crates/plays/src/play.rs
+++ b/crates/plays/src/play.rs
@@ -1,4 +1,5 @@
-//! One play: the bench run in an arm's checkout, on a day with a seed.
+//! Runs the benchmark program in the checkout of a variant, with a scenario and a
+//! seed, and reads the report of the run.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -11,14 +12,14 @@
 
 /// A variant of the sources: a name and its checkout, written `NAME=DIR`.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Arm {
-    /// What the tables call it.
+pub struct Variant {
+    /// Name of the variant in the tables.
     pub name: String,
-    /// Where its sources are.
+    /// Directory of the checkout.
     pub directory: PathBuf,
 }
 
-impl FromStr for Arm {
+impl FromStr for Variant {
     type Err = eyre::Report;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
@@ -28,87 +29,90 @@
         if name.is_empty() || directory.is_empty() {
             bail!("expected NAME=DIR, got {text:?}");
         }
-        Ok(Arm {
+        Ok(Variant {
             name: name.to_owned(),
             directory: PathBuf::from(directory),
         })
     }
 }
 
-/// A day of the site with a seed.
+/// A benchmark scenario with a seed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Day {
-    /// Its name in the site file, or the path of a file with a day.
+pub struct Scenario {
+    /// Name of the scenario in the deployment's file, or path of a file with a
+    /// scenario.
     pub name: String,
-    /// The seed that it is played with.
+    /// Seed of the run.
     pub seed: u64,
 }
 
-impl fmt::Display for Day {
+impl fmt::Display for Scenario {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{} --seed {}", self.name, self.seed)
     }
 }
 
-/// The bench and the deployment that it plays.
+/// The benchmark program and its options.
 #[derive(Clone, Debug)]
 pub struct Bench {
-    /// The bench's program.
+    /// Path of the benchmark program.
     pub program: PathBuf,
-    /// The site file.
+    /// File that describes the benchmarked deployment.
     pub site: PathBuf,
-    /// Directory for reports.
+    /// Directory to which reports are written.
     pub scratch: PathBuf,
-    /// A line for the journal.
-    pub why: String,
+    /// Reason of the runs, which the benchmark program records.
+    pub reason: String,
 }
 
-/// One play to be made.
+/// A run of a scenario with a variant.
 #[derive(Clone, Debug)]
-pub struct Play<'a> {
-    /// Index of the arm.
-    pub arm_index: usize,
-    /// The arm.
-    pub arm: &'a Arm,
-    /// The day.
-    pub day: &'a Day,
+pub struct ScenarioRun<'a> {
+    /// Index of the variant.
+    pub variant_index: usize,
+    /// The variant.
+    pub variant: &'a Variant,
+    /// The scenario.
+    pub scenario: &'a Scenario,
 }
 
 impl Bench {
-    /// Builds an arm, so that plays at the same time find it built.
+    /// Builds a variant, so that concurrent runs do not build it.
     ///
     /// # Errors
     ///
-    /// If the bench cannot be run or says that the build failed.
-    pub fn build(&self, arm: &Arm) -> eyre::Result<()> {
-        self.run(&arm.directory, &["build".into()])
+    /// Returns an error if the benchmark program cannot be run or the build fails.
+    pub fn build(&self, variant: &Variant) -> eyre::Result<()> {
+        self.run(&variant.directory, &["build".into()])
     }
 
-    /// Makes a play and reads its report.
+    /// Runs a scenario and reads the report.
     ///
     /// # Errors
     ///
-    /// If the bench cannot be run, fails, or leaves no report that can be read.
-    pub fn play(&self, play: &Play<'_>) -> eyre::Result<Outcome> {
-        let day = play.day;
-        let label = day.name.replace(['/', '.'], "-");
-        let file = format!("{}-{label}-{}.json", play.arm_index, day.seed);
+    /// Returns an error if the benchmark program cannot be run or fails, or if the
+    /// report cannot be read.
+    pub fn run_scenario(&self, run: &ScenarioRun<'_>) -> eyre::Result<Outcome> {
+        let scenario = run.scenario;
+        let label = scenario.name.replace(['/', '.'], "-");
+        let file = format!("{}-{label}-{}.json", run.variant_index, scenario.seed);
         let report = self.scratch.join(file);
         let arguments = [
             "run".into(),
             self.site.as_os_str().to_owned(),
-            day.name.clone().into(),
+            scenario.name.clone().into(),
             "--seed".into(),
-            day.seed.to_string().into(),
+            scenario.seed.to_string().into(),
             "--why".into(),
-            format!("{} ({})", self.why, play.arm.name).into(),
+            format!("{} ({})", self.reason, run.variant.name).into(),
             "--report".into(),
             report.as_os_str().to_owned(),
         ];
-        self.run(&play.arm.directory, &arguments)?;
+        self.run(&run.variant.directory, &arguments)?;
         let text = std::fs::read_to_string(&report)
-            .wrap_err_with(|| format!("report of {day} ({})", play.arm.name))?;
-        Outcome::parse(&text).wrap_err_with(|| format!("report of {day} ({})", play.arm.name))
+            .wrap_err_with(|| format!("report of {scenario} ({})", run.variant.name))?;
+        Outcome::parse(&text)
+            .wrap_err_with(|| format!("report of {scenario} ({})", run.variant.name))
     }
 
     fn run(&self, directory: &Path, arguments: &[std::ffi::OsString]) -> eyre::Result<()> {
@@ -118,9 +122,12 @@
             .output()
             .wrap_err_with(|| format!("cannot run {}", self.program.display()))?;
         if !output.status.success() {
-            let said = String::from_utf8_lossy(&output.stdout);
-            let complained = String::from_utf8_lossy(&output.stderr);
-            bail!("the bench ended with {}: {said}{complained}", output.status);
+            let stdout = String::from_utf8_lossy(&output.stdout);
+            let stderr = String::from_utf8_lossy(&output.stderr);
+            bail!(
+                "the benchmark program failed with {}: {stdout}{stderr}",
+                output.status
+            );
         }
         Ok(())
     }
--- a/crates/plays/src/statistics.rs
+++ b/crates/plays/src/statistics.rs
@@ -1,16 +1,16 @@
-//! Means, standard errors and paired differences.
+//! Computes means, standard errors and paired differences.
 
 /// A mean with its standard error.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Estimate {
     /// The mean.
     pub mean: f64,
-    /// The standard error of the mean; none for fewer than two values.
+    /// The standard error of the mean, or `None` for fewer than two values.
     pub standard_error: Option<f64>,
 }
 
 impl Estimate {
-    /// The mean of some values; none if there are none.
+    /// Returns the mean of the values, or `None` if there are no values.
     pub fn of(values: &[f64]) -> Option<Self> {
         if values.is_empty() {
             return None;
@@ -25,7 +25,7 @@
         })
     }
 
-    /// The mean of the differences of pairs, second less first.
+    /// Returns the mean of the differences of the pairs, second value minus first.
     pub fn of_differences(pairs: &[(f64, f64)]) -> Option<Self> {
         let differences: Vec<f64> = pairs.iter().map(|(first, second)| second - first).collect();
         Estimate::of(&differences)
--- a/crates/plays/src/table.rs
+++ b/crates/plays/src/table.rs
@@ -1,105 +1,117 @@
-//! Tables of outcomes: by figure, and of the worth by day.
+//! Renders tables of outcomes: all metrics, and the score of each scenario.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
 use crate::outcome::Outcome;
-use crate::play::{Arm, Day};
+use crate::play::{Scenario, Variant};
 use crate::statistics::Estimate;
 
-/// Figures whose means are all below this are left out of the table.
-const LEAST_FIGURE: f64 = 0.001;
+/// Metrics whose mean is below this value for every variant are left out of the
+/// table.
+const MIN_PRINTED_MEAN: f64 = 0.001;
 
-/// Outcomes by arm and day.
+/// Outcomes by index of the variant and scenario.
 #[derive(Debug, Default)]
-pub struct Outcomes(BTreeMap<(usize, Day), Outcome>);
+pub struct Outcomes(BTreeMap<(usize, Scenario), Outcome>);
 
 impl Outcomes {
-    /// Adds the outcome of a play.
-    pub fn insert(&mut self, arm: usize, day: Day, outcome: Outcome) {
-        self.0.insert((arm, day), outcome);
+    /// Adds the outcome of a run.
+    pub fn insert(&mut self, variant: usize, scenario: Scenario, outcome: Outcome) {
+        self.0.insert((variant, scenario), outcome);
     }
 
-    fn figure(&self, arm: usize, day: &Day, name: &str) -> Option<f64> {
-        let outcome = self.0.get(&(arm, day.clone()))?;
-        outcome.figures.get(name).copied()
+    fn metric(&self, variant: usize, scenario: &Scenario, name: &str) -> Option<f64> {
+        let outcome = self.0.get(&(variant, scenario.clone()))?;
+        outcome.metrics.get(name).copied()
     }
 
-    fn values(&self, arm: usize, days: &[Day], name: &str) -> Vec<f64> {
-        let values = days.iter().map(|day| self.figure(arm, day, name));
+    fn values(&self, variant: usize, scenarios: &[Scenario], name: &str) -> Vec<f64> {
+        let values = scenarios
+            .iter()
+            .map(|scenario| self.metric(variant, scenario, name));
         values.flatten().collect()
     }
 
-    fn pairs(&self, arm: usize, days: &[Day], name: &str) -> Vec<(f64, f64)> {
-        let pair = |day: &Day| Some((self.figure(0, day, name)?, self.figure(arm, day, name)?));
-        days.iter().filter_map(pair).collect()
+    fn pairs(&self, variant: usize, scenarios: &[Scenario], name: &str) -> Vec<(f64, f64)> {
+        let pair = |scenario: &Scenario| {
+            Some((
+                self.metric(0, scenario, name)?,
+                self.metric(variant, scenario, name)?,
+            ))
+        };
+        scenarios.iter().filter_map(pair).collect()
     }
 
     fn names(&self) -> BTreeSet<&String> {
         let outcomes = self.0.values();
         outcomes
-            .flat_map(|outcome| outcome.figures.keys())
+            .flat_map(|outcome| outcome.metrics.keys())
             .collect()
     }
 
-    /// All figures, then the worth by day, then what was broken.
-    pub fn render(&self, arms: &[Arm], days: &[Day]) -> String {
+    /// Renders all metrics, then the score of each scenario, then the failures.
+    pub fn render(&self, variants: &[Variant], scenarios: &[Scenario]) -> String {
         let mut text = String::new();
-        self.render_figures(&mut text, arms, days);
-        self.render_days(&mut text, arms, days);
-        self.render_broken(&mut text, arms);
+        self.render_metrics(&mut text, variants, scenarios);
+        self.render_scenarios(&mut text, variants, scenarios);
+        self.render_failures(&mut text, variants);
         text
     }
 
-    fn render_figures(&self, text: &mut String, arms: &[Arm], days: &[Day]) {
+    fn render_metrics(&self, text: &mut String, variants: &[Variant], scenarios: &[Scenario]) {
         for name in self.names() {
-            let line = self.line(arms, days, name);
-            let matters = |arm| {
-                let mean = Estimate::of(&self.values(arm, days, name));
-                mean.is_some_and(|mean| mean.mean.abs() >= LEAST_FIGURE)
+            let line = self.format_row(variants, scenarios, name);
+            let is_printed = |variant| {
+                let mean = Estimate::of(&self.values(variant, scenarios, name));
+                mean.is_some_and(|mean| mean.mean.abs() >= MIN_PRINTED_MEAN)
             };
-            if (0..arms.len()).any(matters) {
+            if (0..variants.len()).any(is_printed) {
                 let _ = writeln!(text, "{name:<58}{line}");
             }
         }
     }
 
-    fn render_days(&self, text: &mut String, arms: &[Arm], days: &[Day]) {
-        let names: BTreeSet<&String> = days.iter().map(|day| &day.name).collect();
+    fn render_scenarios(&self, text: &mut String, variants: &[Variant], scenarios: &[Scenario]) {
+        let names: BTreeSet<&String> = scenarios.iter().map(|scenario| &scenario.name).collect();
         for name in names {
-            let same = |day: &&Day| day.name == *name;
-            let of_name: Vec<Day> = days.iter().filter(same).cloned().collect();
-            let line = self.line(arms, &of_name, "worth");
+            let has_name = |scenario: &&Scenario| scenario.name == *name;
+            let of_name: Vec<Scenario> = scenarios.iter().filter(has_name).cloned().collect();
+            let line = self.format_row(variants, &of_name, "worth");
             let label = format!("worth of {name}");
             let _ = writeln!(text, "{label:<58}{line}");
         }
     }
 
-    fn line(&self, arms: &[Arm], days: &[Day], name: &str) -> String {
+    fn format_row(&self, variants: &[Variant], scenarios: &[Scenario], name: &str) -> String {
         let mut line = String::new();
-        for (index, arm) in arms.iter().enumerate() {
-            let Some(own) = Estimate::of(&self.values(index, days, name)) else {
+        for (index, variant) in variants.iter().enumerate() {
+            let Some(mean) = Estimate::of(&self.values(index, scenarios, name)) else {
                 continue;
             };
-            let _ = write!(line, "  {} {}", arm.name, show(own, false));
-            let difference = Estimate::of_differences(&self.pairs(index, days, name));
+            let _ = write!(line, "  {} {}", variant.name, format_estimate(mean, false));
+            let difference = Estimate::of_differences(&self.pairs(index, scenarios, name));
             if let (1.., Some(difference)) = (index, difference) {
-                let _ = write!(line, " [{}]", show(difference, true));
+                let _ = write!(line, " [{}]", format_estimate(difference, true));
             }
         }
         line
     }
 
-    fn render_broken(&self, text: &mut String, arms: &[Arm]) {
-        for ((arm, day), outcome) in &self.0 {
-            for broken in &outcome.broken {
-                let _ = writeln!(text, "BROKEN {} {day}: {broken}", arms[*arm].name);
+    fn render_failures(&self, text: &mut String, variants: &[Variant]) {
+        for ((variant, scenario), outcome) in &self.0 {
+            for failure in &outcome.failures {
+                let _ = writeln!(
+                    text,
+                    "BROKEN {} {scenario}: {failure}",
+                    variants[*variant].name
+                );
             }
         }
     }
 }
 
-fn show(estimate: Estimate, signed: bool) -> String {
+fn format_estimate(estimate: Estimate, signed: bool) -> String {
     let mean = if signed {
         format!("{:+.4}", estimate.mean)
     } else {
--- a/crates/plays/tests/outcomes.rs
+++ b/crates/plays/tests/outcomes.rs
@@ -1,8 +1,8 @@
-//! Reports are read, and pairs are compared.
+//! Parsing of reports and comparison of pairs of runs.
 
 use gorsebank_plays::statistics::Estimate;
 use gorsebank_plays::table::Outcomes;
-use gorsebank_plays::{Arm, Day, Outcome};
+use gorsebank_plays::{Outcome, Scenario, Variant};
 
 const REPORT: &str = r#"{
     "G": 0.25, "served": 0.6, "fault": null, "short": [], "breaks": {"LIMIT": 2},
@@ -11,23 +11,23 @@
 }"#;
 
 #[test]
-fn a_report_gives_figures_and_what_was_broken() {
+fn a_report_is_parsed_into_metrics_and_failures() {
     let outcome = Outcome::parse(REPORT).unwrap();
-    assert_eq!(outcome.figures["worth"], 0.25);
-    assert_eq!(outcome.figures["price: loads"], 0.0105);
-    assert_eq!(outcome.figures["kind: live"], 0.8);
-    assert!(!outcome.figures.contains_key("kind: none"));
-    assert_eq!(outcome.broken, ["LIMIT"]);
+    assert_eq!(outcome.metrics["worth"], 0.25);
+    assert_eq!(outcome.metrics["price: loads"], 0.0105);
+    assert_eq!(outcome.metrics["kind: live"], 0.8);
+    assert!(!outcome.metrics.contains_key("kind: none"));
+    assert_eq!(outcome.failures, ["LIMIT"]);
 }
 
 #[test]
-fn a_text_that_is_no_report_is_an_error_that_names_the_place() {
+fn the_error_of_an_invalid_report_names_the_line() {
     let error = Outcome::parse(r#"{"G": "high"}"#).unwrap_err();
     assert!(error.to_string().contains("line 1"), "{error}");
 }
 
 #[test]
-fn the_error_of_a_mean_shrinks_with_the_root_of_the_count() {
+fn the_standard_error_of_a_mean_is_computed_from_at_least_two_values() {
     let four = Estimate::of(&[1.0, 3.0, 1.0, 3.0]).unwrap();
     assert_eq!(four.mean, 2.0);
     assert!((four.standard_error.unwrap() - 0.577_350).abs() < 1e-5);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn pairs_tell_a_difference_that_is_smaller_than_the_spread_of_days() {
+fn paired_differences_have_a_smaller_error_than_the_spread_of_scenarios() {
     let pairs = [(0.1, 0.2), (0.9, 1.0), (0.5, 0.6)];
     let difference = Estimate::of_differences(&pairs).unwrap();
     assert!((difference.mean - 0.1).abs() < 1e-9);
@@ -44,32 +44,32 @@
 }
 
 #[test]
-fn a_play_without_its_pair_counts_for_its_own_mean_only() {
-    let arms: Vec<Arm> = ["old=a", "new=b"]
+fn a_run_without_a_pair_counts_only_for_the_mean_of_its_variant() {
+    let variants: Vec<Variant> = ["old=a", "new=b"]
         .iter()
         .map(|text| text.parse().unwrap())
         .collect();
-    let day = |seed| Day {
+    let scenario = |seed| Scenario {
         name: "quiet".to_owned(),
         seed,
     };
-    let outcome = |worth: f64| {
+    let outcome = |score: f64| {
         let mut outcome = Outcome::default();
-        outcome.figures.insert("worth".to_owned(), worth);
+        outcome.metrics.insert("worth".to_owned(), score);
         outcome
     };
     let mut outcomes = Outcomes::default();
-    outcomes.insert(0, day(1), outcome(0.5));
-    outcomes.insert(1, day(1), outcome(0.75));
-    outcomes.insert(1, day(2), outcome(0.25));
-    let text = outcomes.render(&arms, &[day(1), day(2)]);
+    outcomes.insert(0, scenario(1), outcome(0.5));
+    outcomes.insert(1, scenario(1), outcome(0.75));
+    outcomes.insert(1, scenario(2), outcome(0.25));
+    let text = outcomes.render(&variants, &[scenario(1), scenario(2)]);
     assert!(text.contains("old 0.5000"), "{text}");
     assert!(text.contains("[+0.2500]"), "{text}");
 }
 
 #[test]
-fn an_arm_needs_a_name_and_a_directory() {
-    assert!("old".parse::<Arm>().is_err());
-    assert!("=dir".parse::<Arm>().is_err());
-    assert!("old=".parse::<Arm>().is_err());
+fn a_variant_needs_a_name_and_a_directory() {
+    assert!("old".parse::<Variant>().is_err());
+    assert!("=dir".parse::<Variant>().is_err());
+    assert!("old=".parse::<Variant>().is_err());
 }
