--- a/crates/replay/src/live/callers.rs
+++ b/crates/replay/src/live/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a live replay: real requests over HTTP, and what came of them.
+//! Sends the requests of a live replay to nodes over HTTP and records their responses and outcomes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -16,20 +16,20 @@
 use crate::history::{CallerEnd, CallerTry};
 use crate::simulation::caller::CallerPlan;
 
-/// A caller waits for so long beyond its deadline for the answer's end.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The data of a stream's last event.
+/// Longest time for which a caller waits for the end of a response, from the start of the request.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
+/// Data of the last event of a completion stream.
 const LAST_EVENT: &str = "[DONE]";
 
-/// One request of a caller to one node.
+/// One attempt of a caller at one node.
 pub struct LiveCall<'a> {
-    /// The client.
+    /// HTTP client that sends the request.
     pub http: &'a HttpClient,
-    /// The node's address for callers.
+    /// Address at which the node accepts requests of callers.
     pub address: SocketAddr,
-    /// When the replay began.
+    /// Start of the replay, from which recorded times are counted.
     pub start: Instant,
-    /// What is asked.
+    /// Model or service, deadline and further properties of the request.
     pub plan: &'a CallerPlan,
 }
 
@@ -38,44 +38,44 @@
         self.start.elapsed().as_micros() as u64
     }
 
-    /// Sends the request and follows it to its end.
+    /// Sends the request, reads its response to the end, and adds the outcome to `record`.
     pub async fn run(&self, record: &mut CallerTry) {
-        let end = match tokio::time::timeout(PATIENCE, self.exchange(record)).await {
+        let end = match tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(record)).await {
             Ok(end) => end,
-            // No end is what the checker is to see.
+            // The record stays without an outcome, which the checker reports.
             Err(_) => return,
         };
         record.end = Some((self.now(), end));
     }
 
     async fn exchange(&self, record: &mut CallerTry) -> CallerEnd {
-        let Ok(request) = self.request() else {
+        let Ok(request) = self.build_request() else {
             return CallerEnd::NodeDied;
         };
         let Ok(response) = self.http.send(request).await else {
             return CallerEnd::NodeDied;
         };
-        record.request = request_id(response.headers());
+        record.request = parse_request_id(response.headers());
         if !response.status().is_success() {
-            return refused(response).await;
+            return read_refusal(response).await;
         }
         if self.plan.is_service {
-            return self.whole(response, record).await;
+            return self.read_complete_response(response, record).await;
         }
-        self.stream(response, record).await
+        self.read_stream(response, record).await
     }
 
-    fn request(&self) -> Result<Request<Full<Bytes>>, http::Error> {
+    fn build_request(&self) -> Result<Request<Full<Bytes>>, http::Error> {
         let plan = self.plan;
         let path = if plan.is_service {
             format!("/services/{}/call", plan.of)
         } else {
             "/v1/completions".to_owned()
         };
-        let left = Duration::from_micros(plan.deadline.saturating_sub(self.now()));
+        let time_left = Duration::from_micros(plan.deadline.saturating_sub(self.now()));
         let mut builder = Request::post(format!("http://{}{path}", self.address))
             .header("content-type", "application/json")
-            .header("request-timeout", format!("{}ms", left.as_millis()));
+            .header("request-timeout", format!("{}ms", time_left.as_millis()));
         if let Some(key) = &plan.key {
             builder = builder.header("idempotency-key", key);
         }
@@ -90,8 +90,12 @@
         builder.body(Full::new(Bytes::from(body.to_string())))
     }
 
-    async fn whole(&self, response: Response<Incoming>, record: &mut CallerTry) -> CallerEnd {
-        let stream = stream_name(response.headers());
+    async fn read_complete_response(
+        &self,
+        response: Response<Incoming>,
+        record: &mut CallerTry,
+    ) -> CallerEnd {
+        let stream = request_header(response.headers());
         match response.into_body().collect().await {
             Ok(_) => {
                 record.first_event = Some(self.now());
@@ -102,7 +106,7 @@
         }
     }
 
-    async fn stream(&self, response: Response<Incoming>, record: &mut CallerTry) -> CallerEnd {
+    async fn read_stream(&self, response: Response<Incoming>, record: &mut CallerTry) -> CallerEnd {
         let data = BodyStream::new(response.into_body()).filter_map(|frame| async {
             match frame {
                 Ok(frame) => frame.into_data().ok().map(Ok),
@@ -124,8 +128,8 @@
             let number = number.parse().unwrap_or(u64::MAX);
             record.received.push((stream.to_owned(), number));
             if event.data == LAST_EVENT {
-                // The stand-in makes an event a token, one for the finish
-                // reason, and the last.
+                // The emulator sends one event per token, one with the finish reason, and the
+                // last event.
                 let whole = u64::from(self.plan.tokens) + 2;
                 return CallerEnd::Answered { whole };
             }
@@ -134,7 +138,7 @@
     }
 }
 
-fn stream_name(headers: &HeaderMap) -> String {
+fn request_header(headers: &HeaderMap) -> String {
     headers
         .get("x-request-id")
         .and_then(|value| value.to_str().ok())
@@ -142,13 +146,13 @@
         .to_owned()
 }
 
-fn request_id(headers: &HeaderMap) -> Option<RequestId> {
-    let name = stream_name(headers);
+fn parse_request_id(headers: &HeaderMap) -> Option<RequestId> {
+    let name = request_header(headers);
     let (id, _) = name.split_once('-').unwrap_or((name.as_str(), ""));
     id.parse().ok()
 }
 
-async fn refused(response: Response<Incoming>) -> CallerEnd {
+async fn read_refusal(response: Response<Incoming>) -> CallerEnd {
     let retry_after = response
         .headers()
         .get("retry-after")
@@ -165,13 +169,13 @@
         _ => Ran::Unknown,
     };
     CallerEnd::Refused {
-        reason: reason_of(error["error"]["code"].as_str().unwrap_or_default()),
+        reason: parse_refusal_reason(error["error"]["code"].as_str().unwrap_or_default()),
         ran,
         retry_after,
     }
 }
 
-fn reason_of(code: &str) -> RefusalReason {
+fn parse_refusal_reason(code: &str) -> RefusalReason {
     match code {
         "no_capacity" => RefusalReason::NoCapacity,
         "deadline_passed" => RefusalReason::DeadlinePassed,
--- a/crates/replay/src/live/deployment.rs
+++ b/crates/replay/src/live/deployment.rs
@@ -1,5 +1,7 @@
-//! The world of a trace as real processes: table, store, a machine list for
-//! each node, back ends and nodes, with a relay on every link of a node.
+//! Starts the deployment that a trace header describes as processes on loopback: the table service,
+//! the weight store, a machine list for each node, back ends and nodes.
+//!
+//! With [`LinkKind::Relayed`], a relay stands on every link of a node.
 
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -19,21 +21,21 @@
 use crate::simulation::node_host::CELL;
 use crate::trace::format::{BackEndEntry, Header, NodePlace};
 
-/// Everything must be up within this time.
-const START_LIMIT: Duration = Duration::from_secs(60);
-const CALL_LIMIT: Duration = Duration::from_secs(20);
+/// Time within which all processes must be ready and have the same configuration.
+const START_TIMEOUT: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The programs that are started.
+/// Paths of the programs that a deployment runs.
 #[derive(Clone, Debug)]
 pub struct Binaries {
-    /// `gorsebank`.
+    /// The program `gorsebank`, which runs nodes.
     pub gorsebank: PathBuf,
-    /// `gorsebank-standin`.
+    /// The program `gorsebank-standin`, which emulates the platform and the back ends.
     pub standin: PathBuf,
 }
 
 impl Binaries {
-    /// The programs beside this one.
+    /// Finds the programs in the directory of the running program.
     pub fn beside_this() -> eyre::Result<Self> {
         let this = std::env::current_exe()?;
         let directory = this
@@ -57,27 +59,27 @@
 /// Addresses of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeAddresses {
-    /// For callers.
+    /// Address for callers.
     pub callers: SocketAddr,
-    /// For other nodes.
+    /// Address for other nodes.
     pub nodes: SocketAddr,
-    /// For operators.
+    /// Address for operators.
     pub admin: SocketAddr,
 }
 
-/// Whether processes reach each other through relays.
+/// Whether nodes reach other processes through relays.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkKind {
-    /// Through relays, which can be cut and slowed.
+    /// Nodes connect through relays that can block and delay traffic.
     Relayed,
-    /// Straight, for measurements.
+    /// Nodes connect directly, which keeps relays out of measurements.
     Direct,
 }
 
-/// Two ends of a link: a node, and what it reaches.
-type LinkEnds = (String, String);
+/// Endpoints of a link: a node, and the process that it connects to.
+type LinkEndpoints = (String, String);
 
-/// The running processes.
+/// The processes of a deployment. Dropping the value kills them.
 pub struct LiveDeployment {
     binaries: Binaries,
     header: Header,
@@ -87,36 +89,36 @@
     pub table: Process,
     /// The weight store.
     pub store: Process,
-    lists: BTreeMap<String, Process>,
-    /// Back ends that run, by name.
+    machine_lists: BTreeMap<String, Process>,
+    /// Running back ends by name.
     pub back_ends: BTreeMap<String, Process>,
     back_end_addresses: BTreeMap<String, SocketAddr>,
     back_end_states: BTreeMap<String, &'static str>,
-    /// Lines of back ends that are gone.
-    past_lines: BTreeMap<String, Vec<String>>,
-    /// Nodes that run, by name.
+    /// Lines that previous incarnations of back ends printed.
+    previous_lines: BTreeMap<String, Vec<String>>,
+    /// Running nodes by name.
     pub nodes: BTreeMap<String, Process>,
     addresses: BTreeMap<String, NodeAddresses>,
-    relays: BTreeMap<LinkEnds, Relay>,
+    relays: BTreeMap<LinkEndpoints, Relay>,
 }
 
-/// Ports that are given out: below those that the system takes for outgoing
-/// connections, so that none is taken before its process binds it.
-const PORTS: std::ops::Range<u32> = 10_000..30_000;
+/// Ports that [`free_address`] allocates. They lie below the ephemeral ports of the operating
+/// system, so that no outgoing connection takes a port before the process binds it.
+const PORT_RANGE: std::ops::Range<u32> = 10_000..30_000;
 
-/// An address that nobody listens on, and that is given out once.
+/// Allocates a loopback address on which no process listens. Each address is returned only once.
 pub fn free_address() -> eyre::Result<SocketAddr> {
-    static GIVEN: AtomicU32 = AtomicU32::new(0);
+    static ALLOCATED: AtomicU32 = AtomicU32::new(0);
     let first = std::process::id().wrapping_mul(101);
-    for _ in PORTS {
-        let offset = first.wrapping_add(GIVEN.fetch_add(1, Ordering::Relaxed));
-        let port = (PORTS.start + offset % PORTS.len() as u32) as u16;
+    for _ in PORT_RANGE {
+        let offset = first.wrapping_add(ALLOCATED.fetch_add(1, Ordering::Relaxed));
+        let port = (PORT_RANGE.start + offset % PORT_RANGE.len() as u32) as u16;
         let address = SocketAddr::from((Ipv4Addr::LOCALHOST, port));
-        // Listening there to see would show it taken to whoever starts next: a child of another
-        // thread has the descriptor until its program begins (23 of 3,000 while four threads
-        // started children).
-        let asked = TcpStream::connect(address);
-        if asked.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused) {
+        // The check connects instead of binding the port: a child process that another thread
+        // forks inherits the listening descriptor until its `exec`, and the port then seems taken
+        // (23 of 3,000 ports while four threads started child processes).
+        let connection = TcpStream::connect(address);
+        if connection.is_err_and(|error| error.kind() == ErrorKind::ConnectionRefused) {
             return Ok(address);
         }
     }
@@ -124,8 +126,8 @@
 }
 
 impl LiveDeployment {
-    /// Starts everything and writes the header's rows; `name` keeps the files
-    /// of several deployments apart.
+    /// Starts all processes and writes the configuration rows of the header. `name` separates the
+    /// temporary files of several deployments.
     pub async fn start(
         binaries: Binaries,
         name: &str,
@@ -144,11 +146,11 @@
             http: HttpClient::default(),
             table,
             store,
-            lists: BTreeMap::new(),
+            machine_lists: BTreeMap::new(),
             back_ends: BTreeMap::new(),
             back_end_addresses: BTreeMap::new(),
             back_end_states: BTreeMap::new(),
-            past_lines: BTreeMap::new(),
+            previous_lines: BTreeMap::new(),
             nodes: BTreeMap::new(),
             addresses: BTreeMap::new(),
             relays: BTreeMap::new(),
@@ -172,7 +174,7 @@
         if links == LinkKind::Relayed {
             deployment.start_relays().await?;
         }
-        deployment.start_lists()?;
+        deployment.start_machine_lists()?;
         for place in &header.nodes {
             deployment.start_node(&place.id)?;
         }
@@ -202,7 +204,7 @@
         Ok(())
     }
 
-    fn start_lists(&mut self) -> eyre::Result<()> {
+    fn start_machine_lists(&mut self) -> eyre::Result<()> {
         let lag = format!("{}ms", self.header.machine_list_lag.as_millis());
         for id in self.addresses.keys() {
             let file = self.directory.join(format!("machines-{id}.json"));
@@ -210,19 +212,19 @@
             let file = file.to_string_lossy().into_owned();
             let arguments = ["machines", "--file", file.as_str(), "--lag", lag.as_str()];
             let process = Process::start(&self.binaries.standin, &arguments)?;
-            self.lists.insert(id.clone(), process);
+            self.machine_lists.insert(id.clone(), process);
         }
         Ok(())
     }
 
-    /// Where a node reaches a process.
+    /// Address at which the node `from` reaches the process `to`: its relay, or else `direct`.
     fn address_for(&self, from: &str, to: &str, direct: SocketAddr) -> SocketAddr {
         let link = (from.to_owned(), to.to_owned());
         self.relays.get(&link).map_or(direct, Relay::address)
     }
 
-    /// The machine list as the node `for_node` reads it: every other process
-    /// is behind a relay.
+    /// Builds the machine list for the node `for_node`, with the addresses of its relays to other
+    /// processes.
     fn machine_groups(&self, for_node: &str) -> Vec<Value> {
         let mut groups = Vec::new();
         for entry in &self.header.back_ends {
@@ -244,7 +246,7 @@
         groups
     }
 
-    /// Starts a back end, for the first time or again.
+    /// Starts or restarts a back end.
     pub fn start_back_end(&mut self, id: &str) -> eyre::Result<()> {
         let entry = self
             .header
@@ -261,21 +263,21 @@
         Ok(())
     }
 
-    /// Kills a back end; what it printed stays known.
+    /// Kills a back end and keeps the lines that it printed.
     pub fn kill_back_end(&mut self, id: &str) {
         if let Some(mut process) = self.back_ends.remove(id) {
             process.kill();
             let lines = process.lines();
-            self.past_lines
+            self.previous_lines
                 .entry(id.to_owned())
                 .or_default()
                 .extend(lines);
         }
     }
 
-    /// Everything that a back end printed in all its lives.
+    /// All lines that a back end printed, those of previous incarnations first.
     pub fn lines_of(&self, id: &str) -> Vec<String> {
-        let mut lines = self.past_lines.get(id).cloned().unwrap_or_default();
+        let mut lines = self.previous_lines.get(id).cloned().unwrap_or_default();
         lines.extend(
             self.back_ends
                 .get(id)
@@ -285,7 +287,7 @@
         lines
     }
 
-    /// Name, role and memory of every back end.
+    /// Name, role and memory in bytes of every back end.
     pub fn described_back_ends(&self) -> Vec<(String, MachineRole, u64)> {
         self.header
             .back_ends
@@ -294,7 +296,7 @@
             .collect()
     }
 
-    /// Starts a node, for the first time or again.
+    /// Starts or restarts a node.
     pub fn start_node(&mut self, id: &str) -> eyre::Result<()> {
         let place = self
             .header
@@ -328,7 +330,7 @@
             addresses.callers,
             addresses.nodes,
             addresses.admin,
-            self.lists[&place.id].address(),
+            self.machine_lists[&place.id].address(),
             store.starts_per_second,
             store.concurrency,
             store.bandwidth.as_u64(),
@@ -345,26 +347,26 @@
         self.addresses.keys().cloned().collect()
     }
 
-    /// Changes every link between two ends; `*` stands for every process.
+    /// Edits the state of every link between two processes; `*` matches every process.
     pub fn change_links(
         &self,
         between: (&str, &str),
         edit: impl Fn(&mut crate::live::relay::LinkState),
     ) {
-        let is_end = |pattern: &str, process: &str| pattern == "*" || pattern == process;
+        let matches_process = |pattern: &str, process: &str| pattern == "*" || pattern == process;
         for ((from, to), relay) in &self.relays {
-            let there = is_end(between.0, from) && is_end(between.1, to);
-            let back = is_end(between.0, to) && is_end(between.1, from);
-            if there || back {
+            let is_forward = matches_process(between.0, from) && matches_process(between.1, to);
+            let is_reverse = matches_process(between.0, to) && matches_process(between.1, from);
+            if is_forward || is_reverse {
                 relay.change(&edit);
             }
         }
     }
 
-    /// Says in every machine list that a back end is leaving.
+    /// Marks a back end as draining in every machine list.
     pub async fn list_as_leaving(&mut self, id: &str) -> eyre::Result<()> {
         self.back_end_states.insert(id.to_owned(), "leaving");
-        for (node, list) in &self.lists {
+        for (node, list) in &self.machine_lists {
             let groups = self.machine_groups(node);
             self.put(list.address(), "/machines", &json!(groups))
                 .await?;
@@ -372,7 +374,8 @@
         Ok(())
     }
 
-    /// Sends a JSON body by PUT, to which stand-ins answer nothing.
+    /// Sends a PUT request with a JSON body. The body of the response is ignored, as emulators send
+    /// none.
     pub async fn put(&self, address: SocketAddr, path: &str, body: &Value) -> eyre::Result<()> {
         let request = http::Request::put(format!("http://{address}{path}"))
             .header("content-type", "application/json")
@@ -386,7 +389,7 @@
         Ok(())
     }
 
-    /// A node's state, if it answers.
+    /// Status report of a node, or `None` if the node does not respond.
     pub async fn status(&self, id: &str) -> Option<Value> {
         let admin = self.addresses.get(id)?.admin;
         let limit = Duration::from_secs(2);
@@ -397,12 +400,13 @@
         answer.ok().map(|(_, status)| status)
     }
 
-    /// Waits until every running node knows the holder and all others.
+    /// Waits until every running node knows the lease holder and all other nodes, and has an epoch
+    /// for claims.
     pub async fn wait_until_ready(&self) -> eyre::Result<()> {
-        let until = Instant::now() + START_LIMIT;
+        let until = Instant::now() + START_TIMEOUT;
         while !self.is_ready().await {
             if Instant::now() > until {
-                bail!("the nodes were not ready within {START_LIMIT:?}");
+                bail!("the nodes were not ready within {START_TIMEOUT:?}");
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -433,7 +437,7 @@
             let content = json!({"labels": row.labels, "spec": row.spec});
             let (status, answer) = self
                 .http
-                .call::<Value, Value>(Method::PUT, node.admin, &path, Some(&content), CALL_LIMIT)
+                .call::<Value, Value>(Method::PUT, node.admin, &path, Some(&content), CALL_TIMEOUT)
                 .await?;
             if !status.is_success() {
                 bail!("{path}: {answer}");
@@ -444,7 +448,7 @@
 
     /// Waits until all nodes have the same configuration.
     pub async fn wait_until_configured(&self) -> eyre::Result<()> {
-        let until = Instant::now() + START_LIMIT;
+        let until = Instant::now() + START_TIMEOUT;
         loop {
             let mut revisions = Vec::new();
             for id in self.nodes.keys() {
@@ -455,7 +459,7 @@
                 return Ok(());
             }
             if Instant::now() > until {
-                bail!("the configuration did not reach every node");
+                bail!("the nodes did not reach the same configuration revision");
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
@@ -464,7 +468,7 @@
 
 impl Drop for LiveDeployment {
     fn drop(&mut self) {
-        // A directory that cannot be removed is left to the system.
+        // A failure to remove the temporary directory is ignored.
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/replay/src/live/mod.rs
+++ b/crates/replay/src/live/mod.rs
@@ -1,8 +1,8 @@
-//! Plays a trace over real processes on loopback.
+//! Replays a trace against processes on loopback, in real time.
 //!
-//! Processes are killed and paused by signals, links are cut and slowed by
-//! relays between them, and stand-ins bring about outages of the platform. Only
-//! rules that cannot depend on timing are judged.
+//! Signals kill and suspend processes, relays block and delay the links between processes, and
+//! emulators simulate outages of the platform. The result is the history of the run and the
+//! violations of those rules that do not depend on timing.
 
 pub mod callers;
 pub mod deployment;
--- a/crates/replay/src/live/player.rs
+++ b/crates/replay/src/live/player.rs
@@ -1,4 +1,5 @@
-//! Plays the events of a trace over a live deployment, in real time.
+//! Runs the requests, changes and faults of a trace against a live deployment, in real time, and
+//! returns the recorded history and the violated rules.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -23,15 +24,15 @@
 use crate::trace::Trace;
 use crate::trace::format::{ChangeEvent, FaultEvent, TableMode, TraceEvent};
 
-/// A caller whose node is gone asks the next after so long.
-const NEXT_NODE: Duration = Duration::from_millis(50);
-/// Between two looks at whether a stopping node has ended.
-const DRAIN_POLL: Duration = Duration::from_millis(200);
+/// Delay before a caller whose node failed sends its request to the next node.
+const NEXT_NODE_DELAY: Duration = Duration::from_millis(50);
+/// Interval at which a restart checks whether the stopping node has exited.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Version of ordinary model artifacts.
-const VERSION: &str = "1";
+const MODEL_VERSION: &str = "1";
 
-/// Something that is done at a moment.
-enum Step {
+/// A scheduled action of the replay.
+enum Action {
     Trace(TraceEvent),
     StartNode(String),
     StartBackEnd(String),
@@ -46,12 +47,12 @@
     deployment: LiveDeployment,
     http: HttpClient,
     start: Instant,
-    steps: Vec<(u64, Step)>,
+    actions: Vec<(u64, Action)>,
     history: Arc<Mutex<History>>,
     callers: JoinSet<()>,
 }
 
-/// Plays a trace; gives what violates the rules that cannot depend on timing.
+/// Replays a trace. Returns the history and the violations of rules that do not depend on timing.
 pub async fn play_live(
     binaries: Binaries,
     trace: &Trace,
@@ -63,14 +64,14 @@
         deployment,
         http: HttpClient::default(),
         start: Instant::now(),
-        steps: Vec::new(),
+        actions: Vec::new(),
         history: Arc::default(),
         callers: JoinSet::new(),
     };
     for event in &trace.events {
         player
-            .steps
-            .push((event.at, Step::Trace(event.event.clone())));
+            .actions
+            .push((event.at, Action::Trace(event.event.clone())));
     }
     player.run(trace.header.duration).await?;
     let history = player.finish().await;
@@ -85,30 +86,30 @@
 
     async fn run(&mut self, duration: Duration) -> eyre::Result<()> {
         let end = duration.as_micros() as u64;
-        while let Some(index) = self.next_step() {
-            let (at, step) = self.steps.swap_remove(index);
+        while let Some(index) = self.next_action() {
+            let (at, action) = self.actions.swap_remove(index);
             if at > end {
                 break;
             }
             let wait = at.saturating_sub(self.now());
             tokio::time::sleep(Duration::from_micros(wait)).await;
-            self.carry_out(step).await?;
+            self.execute(action).await?;
         }
         Ok(())
     }
 
-    fn next_step(&self) -> Option<usize> {
-        (0..self.steps.len()).min_by_key(|index| self.steps[*index].0)
+    fn next_action(&self) -> Option<usize> {
+        (0..self.actions.len()).min_by_key(|index| self.actions[*index].0)
     }
 
-    fn later(&mut self, after: Duration, step: Step) {
+    fn schedule(&mut self, after: Duration, action: Action) {
         let at = self.now() + after.as_micros() as u64;
-        self.steps.push((at, step));
+        self.actions.push((at, action));
     }
 
-    async fn carry_out(&mut self, step: Step) -> eyre::Result<()> {
-        match step {
-            Step::Trace(TraceEvent::Request(request)) => {
+    async fn execute(&mut self, action: Action) -> eyre::Result<()> {
+        match action {
+            Action::Trace(TraceEvent::Request(request)) => {
                 let nodes: Vec<NodeId> = self
                     .deployment
                     .node_ids()
@@ -117,36 +118,36 @@
                     .collect();
                 let index = self.history.lock().callers.len();
                 for (at, plan) in caller::plans(&nodes, index, self.now(), &request) {
-                    self.call(at, plan);
+                    self.spawn_caller(at, plan);
                 }
             }
-            Step::Trace(TraceEvent::Change(change)) => self.change(&change).await,
-            Step::Trace(TraceEvent::Fault(fault)) => self.fault(&fault).await?,
-            Step::StartNode(id) => {
-                let former = self.deployment.nodes.get_mut(&id);
-                if former.is_some_and(|former| !former.has_ended()) {
-                    // A node that was asked to stop still drains.
-                    self.later(DRAIN_POLL, Step::StartNode(id));
+            Action::Trace(TraceEvent::Change(change)) => self.apply_change(&change).await,
+            Action::Trace(TraceEvent::Fault(fault)) => self.inject_fault(&fault).await?,
+            Action::StartNode(id) => {
+                let previous = self.deployment.nodes.get_mut(&id);
+                if previous.is_some_and(|previous| !previous.has_ended()) {
+                    // The previous process is still draining.
+                    self.schedule(DRAIN_POLL_INTERVAL, Action::StartNode(id));
                 } else {
                     self.deployment.start_node(&id)?;
                 }
             }
-            Step::StartBackEnd(id) => self.deployment.start_back_end(&id)?,
-            Step::KillBackEnd(id) => self.deployment.kill_back_end(&id),
-            Step::Resume(id) => self.signal(&id, Signal::SIGCONT),
-            Step::HealLinks((one, other)) => {
+            Action::StartBackEnd(id) => self.deployment.start_back_end(&id)?,
+            Action::KillBackEnd(id) => self.deployment.kill_back_end(&id),
+            Action::Resume(id) => self.signal(&id, Signal::SIGCONT),
+            Action::HealLinks((one, other)) => {
                 self.deployment.change_links((&one, &other), |state| {
                     *state = Default::default();
                 })
             }
-            Step::HealTable => self.set_table("none").await?,
-            Step::HealStore => self.set_store(1.0).await?,
+            Action::HealTable => self.set_table("none").await?,
+            Action::HealStore => self.set_store(1.0).await?,
         }
         Ok(())
     }
 
-    /// Starts a caller at its moment.
-    fn call(&mut self, at: u64, plan: CallerPlan) {
+    /// Spawns a caller that sends its request at the time `at`, in microseconds since the start.
+    fn spawn_caller(&mut self, at: u64, plan: CallerPlan) {
         let index = {
             let mut history = self.history.lock();
             history.callers.push(CallerRecord::new(&plan));
@@ -174,13 +175,13 @@
             .collect()
     }
 
-    async fn change(&self, change: &ChangeEvent) {
+    async fn apply_change(&self, change: &ChangeEvent) {
         let Some(addresses) = self.deployment.addresses(&change.node) else {
             return;
         };
         let path = format!("/v1/configuration/{}/{}", change.kind, change.name);
         let limit = Duration::from_secs(20);
-        // What operators are told is not judged in a live replay.
+        // A live replay does not check the responses to operators.
         let _ = self
             .http
             .call::<_, Value>(
@@ -193,42 +194,42 @@
             .await;
     }
 
-    async fn fault(&mut self, fault: &FaultEvent) -> eyre::Result<()> {
+    async fn inject_fault(&mut self, fault: &FaultEvent) -> eyre::Result<()> {
         match fault {
             FaultEvent::Kill { process, lasting } => {
-                let id = self.name_of(process).await;
+                let id = self.resolve_process(process).await;
                 self.kill(&id);
                 if let Some(lasting) = lasting {
-                    let step = if self.deployment.addresses(&id).is_some() {
-                        Step::StartNode(id)
+                    let action = if self.deployment.addresses(&id).is_some() {
+                        Action::StartNode(id)
                     } else {
-                        Step::StartBackEnd(id)
+                        Action::StartBackEnd(id)
                     };
-                    self.later(*lasting, step);
+                    self.schedule(*lasting, action);
                 }
             }
             FaultEvent::Pause { process, lasting } => {
-                let id = self.name_of(process).await;
+                let id = self.resolve_process(process).await;
                 self.signal(&id, Signal::SIGSTOP);
-                self.later(*lasting, Step::Resume(id));
+                self.schedule(*lasting, Action::Resume(id));
             }
             FaultEvent::Cut { between, lasting } => {
-                let one = self.name_of(&between.0).await;
-                let other = self.name_of(&between.1).await;
+                let one = self.resolve_process(&between.0).await;
+                let other = self.resolve_process(&between.1).await;
                 self.deployment
                     .change_links((&one, &other), |state| state.cut = true);
-                self.later(*lasting, Step::HealLinks((one, other)));
+                self.schedule(*lasting, Action::HealLinks((one, other)));
             }
             FaultEvent::Slow {
                 process,
                 by,
                 lasting,
             } => {
-                let id = self.name_of(process).await;
+                let id = self.resolve_process(process).await;
                 let by = *by;
                 self.deployment
                     .change_links((&id, "*"), |state| state.delay = by);
-                self.later(*lasting, Step::HealLinks((id, "*".to_owned())));
+                self.schedule(*lasting, Action::HealLinks((id, "*".to_owned())));
             }
             FaultEvent::Table { mode, lasting } => {
                 let mode = match mode {
@@ -238,19 +239,19 @@
                     TableMode::Slow => "slow",
                 };
                 self.set_table(mode).await?;
-                self.later(*lasting, Step::HealTable);
+                self.schedule(*lasting, Action::HealTable);
             }
             FaultEvent::Store { slowdown, lasting } => {
                 self.set_store(*slowdown).await?;
-                self.later(*lasting, Step::HealStore);
+                self.schedule(*lasting, Action::HealStore);
             }
             FaultEvent::Leave { process, notice } => {
                 self.deployment.list_as_leaving(process).await?;
                 if let Some(notice) = notice {
-                    self.later(*notice, Step::KillBackEnd(process.clone()));
+                    self.schedule(*notice, Action::KillBackEnd(process.clone()));
                 }
             }
-            FaultEvent::Stop { process, lasting } => self.stop(process, *lasting).await,
+            FaultEvent::Stop { process, lasting } => self.stop_node(process, *lasting).await,
             FaultEvent::Scramble { .. } | FaultEvent::Random { .. } => {
                 bail!("the faults `scramble` and `random` cannot be played live")
             }
@@ -258,13 +259,13 @@
         Ok(())
     }
 
-    async fn stop(&mut self, process: &str, lasting: Option<Duration>) {
-        let id = self.name_of(process).await;
+    async fn stop_node(&mut self, process: &str, lasting: Option<Duration>) {
+        let id = self.resolve_process(process).await;
         let stop = (NodeId::from(id.as_str()), self.now());
         self.history.lock().planned_stops.push(stop);
         self.signal(&id, Signal::SIGTERM);
         if let Some(lasting) = lasting {
-            self.later(lasting, Step::StartNode(id));
+            self.schedule(lasting, Action::StartNode(id));
         }
     }
 
@@ -294,9 +295,9 @@
             .await
     }
 
-    /// The process that a trace names: `holder` and `owner:MODEL` are whoever
-    /// it is now, as the first node that answers sees it.
-    async fn name_of(&self, name: &str) -> String {
+    /// Resolves the name of a process in a trace. `holder` and `owner:MODEL` stand for the present
+    /// lease holder and queue owner, as the first node that responds reports them.
+    async fn resolve_process(&self, name: &str) -> String {
         let model = name.strip_prefix("owner:");
         if name != "holder" && model.is_none() {
             return name.to_owned();
@@ -307,7 +308,7 @@
             };
             let found = match model {
                 None => status["holder"].as_str().map(str::to_owned),
-                Some(model) => owner_of(model, &status),
+                Some(model) => find_owner(model, &status),
             };
             if let Some(found) = found {
                 return found;
@@ -352,13 +353,13 @@
     }
 }
 
-fn owner_of(model: &str, status: &Value) -> Option<String> {
+fn find_owner(model: &str, status: &Value) -> Option<String> {
     let nodes: Vec<NodeId> = status["live_nodes"]
         .as_array()?
         .iter()
         .filter_map(|node| node.as_str().map(NodeId::from))
         .collect();
-    let queue = format!("{model}@{VERSION}");
+    let queue = format!("{model}@{MODEL_VERSION}");
     rendezvous::first(&queue, &nodes).map(ToString::to_string)
 }
 
@@ -399,7 +400,7 @@
     })
 }
 
-/// One caller with its tries.
+/// A caller that sends one request in one or more attempts.
 struct Caller {
     index: usize,
     plan: CallerPlan,
@@ -435,16 +436,17 @@
                 plan: &self.plan,
             };
             call.run(&mut record).await;
-            let died = matches!(record.end, Some((_, CallerEnd::NodeDied)));
-            // A connection that was refused at once was no try.
-            let was_refused = died && record.request.is_none() && record.received.is_empty();
+            let has_node_failed = matches!(record.end, Some((_, CallerEnd::NodeDied)));
+            // A refused connection does not count as an attempt.
+            let was_refused =
+                has_node_failed && record.request.is_none() && record.received.is_empty();
             if !was_refused {
                 self.history.lock().callers[self.index].tries.push(record);
             }
-            if !died || (!self.plan.is_persistent && !was_refused) {
+            if !has_node_failed || (!self.plan.is_persistent && !was_refused) {
                 return;
             }
-            tokio::time::sleep(NEXT_NODE).await;
+            tokio::time::sleep(NEXT_NODE_DELAY).await;
         }
     }
 
--- a/crates/replay/src/live/process.rs
+++ b/crates/replay/src/live/process.rs
@@ -1,4 +1,5 @@
-//! A child process that says where it listens and is killed with its value.
+//! Starts child processes that print their listen address, collects their output, and kills them
+//! when their values are dropped.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::SocketAddr;
@@ -12,12 +13,12 @@
 use nix::unistd::Pid;
 use parking_lot::Mutex;
 
-/// A process must have ended within this time once it was asked to.
-const END_LIMIT: Duration = Duration::from_secs(60);
-/// The line by which a process says that it is ready.
+/// Time within which a process must exit after a request to stop.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Start of the line with the listen address that a process prints when it is ready.
 const READY_PREFIX: &str = "listening on ";
 
-/// A running program.
+/// A child process. Dropping the value kills it.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -37,11 +38,11 @@
         let stdout = child
             .stdout
             .take()
-            .ok_or_else(|| eyre!("the program has no output"))?;
+            .ok_or_else(|| eyre!("the standard output of the program is not piped"))?;
         let mut errors = child
             .stderr
             .take()
-            .ok_or_else(|| eyre!("the program has no error output"))?;
+            .ok_or_else(|| eyre!("the standard error of the program is not piped"))?;
         let mut reader = BufReader::new(stdout);
         let mut first = String::new();
         reader.read_line(&mut first)?;
@@ -50,19 +51,19 @@
             .strip_prefix(READY_PREFIX)
             .and_then(|address| address.parse().ok());
         let Some(address) = address else {
-            // Nothing else is to be done about a child that ended by itself.
+            // The error is ignored: the child may have exited already.
             let _ = child.kill();
-            let mut said = String::new();
-            errors.read_to_string(&mut said)?;
+            let mut error_output = String::new();
+            errors.read_to_string(&mut error_output)?;
             bail!(
-                "{} {arguments:?} did not start: {first:?} {said}",
+                "{} {arguments:?} did not start: {first:?} {error_output}",
                 program.display()
             );
         };
-        // A pipe that nobody empties would hold the program up.
+        // A full pipe would block the program, so its error output is read and discarded.
         std::thread::spawn(move || std::io::copy(&mut errors, &mut std::io::sink()));
         let lines = Arc::new(Mutex::new(Vec::new()));
-        collect(reader, Arc::clone(&lines));
+        collect_lines(reader, Arc::clone(&lines));
         Ok(Process {
             child,
             address,
@@ -70,25 +71,25 @@
         })
     }
 
-    /// Where it listens.
+    /// Address at which the process listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it printed after it was ready.
+    /// Lines that the process printed after it was ready.
     pub fn lines(&self) -> Vec<String> {
         self.lines.lock().clone()
     }
 
-    /// Sends a signal; a process that has ended needs none.
+    /// Sends a signal. An error is ignored, as the process may have exited.
     pub fn signal(&self, signal: Signal) {
         let pid = Pid::from_raw(self.child.id() as i32);
         let _ = kill(pid, signal);
     }
 
-    /// Waits until it has ended; says whether it ended well.
+    /// Waits for the process to exit. Returns whether it exited in time and with success.
     pub fn wait(&mut self) -> bool {
-        let until = Instant::now() + END_LIMIT;
+        let until = Instant::now() + EXIT_TIMEOUT;
         while Instant::now() < until {
             match self.child.try_wait() {
                 Ok(Some(status)) => return status.success(),
@@ -99,19 +100,19 @@
         false
     }
 
-    /// Whether it has ended.
+    /// Whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Ends it at once.
+    /// Kills the process and waits for its exit.
     pub fn kill(&mut self) {
-        // A process that has ended already needs no end.
+        // Errors are ignored: the process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Resident memory in bytes, as the kernel accounts for it.
+    /// Resident memory in bytes, from `VmRSS` in `/proc/PID/status`.
     pub fn resident_bytes(&self) -> eyre::Result<u64> {
         let path = format!("/proc/{}/status", self.child.id());
         let status = std::fs::read_to_string(path)?;
@@ -121,7 +122,7 @@
             .and_then(|line| line.split_whitespace().next())
             .and_then(|number| number.parse::<u64>().ok())
             .map(|kibibytes| kibibytes * 1024)
-            .ok_or_else(|| eyre!("its memory is not stated"))
+            .ok_or_else(|| eyre!("/proc does not state the resident memory of the process"))
     }
 }
 
@@ -131,7 +132,7 @@
     }
 }
 
-fn collect(reader: BufReader<ChildStdout>, lines: Arc<Mutex<Vec<String>>>) {
+fn collect_lines(reader: BufReader<ChildStdout>, lines: Arc<Mutex<Vec<String>>>) {
     std::thread::spawn(move || {
         for line in reader.lines().map_while(Result::ok) {
             lines.lock().push(line);
--- a/crates/replay/src/live/relay.rs
+++ b/crates/replay/src/live/relay.rs
@@ -1,7 +1,7 @@
-//! TCP relays between two processes, which can be cut and slowed.
+//! TCP relays between two processes, which inject network faults.
 //!
-//! A cut relay holds what it has and takes connections without answering, as
-//! a network does that drops packets; when it heals everything goes on.
+//! A relay that is cut keeps the data it has read and accepts connections without forwarding them,
+//! like a network that drops packets. Forwarding resumes when the fault ends.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -12,18 +12,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const BUFFER: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// How a link is.
+/// Fault state of a link.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LinkState {
-    /// Nothing passes.
+    /// Whether the link forwards nothing.
     pub cut: bool,
-    /// Everything takes so much longer.
+    /// Delay before each forwarded read.
     pub delay: Duration,
 }
 
-/// A link that can be cut and slowed.
+/// A TCP relay on a link that can block and delay its traffic.
 #[derive(Clone, Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -31,58 +31,66 @@
 }
 
 impl Relay {
-    /// A link to `target`.
+    /// Starts a relay that forwards connections to `target`.
     pub async fn start(target: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).await?;
         let address = listener.local_addr()?;
         let (state, watcher) = watch::channel(LinkState::default());
-        tokio::spawn(accept(listener, target, watcher));
+        tokio::spawn(accept_connections(listener, target, watcher));
         Ok(Relay {
             address,
             state: Arc::new(state),
         })
     }
 
-    /// Where the link begins.
+    /// Address at which the relay listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Changes the link.
+    /// Edits the fault state of the link.
     pub fn change(&self, edit: impl FnOnce(&mut LinkState)) {
         self.state.send_modify(edit);
     }
 }
 
-async fn accept(listener: TcpListener, target: SocketAddr, state: watch::Receiver<LinkState>) {
-    while let Ok((inner, _)) = listener.accept().await {
-        tokio::spawn(carry(inner, target, state.clone()));
+async fn accept_connections(
+    listener: TcpListener,
+    target: SocketAddr,
+    state: watch::Receiver<LinkState>,
+) {
+    while let Ok((client, _)) = listener.accept().await {
+        tokio::spawn(forward_connection(client, target, state.clone()));
     }
 }
 
-async fn carry(inner: TcpStream, target: SocketAddr, mut state: watch::Receiver<LinkState>) {
+async fn forward_connection(
+    client: TcpStream,
+    target: SocketAddr,
+    mut state: watch::Receiver<LinkState>,
+) {
     if state.wait_for(|state| !state.cut).await.is_err() {
         return;
     }
-    // A refused connection closes the inner one, which its process sees.
-    let Ok(outer) = TcpStream::connect(target).await else {
+    // If the target refuses the connection, dropping `client` closes the connection to the client.
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = inner.set_nodelay(true);
-    let _ = outer.set_nodelay(true);
-    let (inner_read, inner_write) = inner.into_split();
-    let (outer_read, outer_write) = outer.into_split();
-    let there = pump(inner_read, outer_write, state.clone());
-    let back = pump(outer_read, inner_write, state);
-    tokio::join!(there, back);
+    let _ = client.set_nodelay(true);
+    let _ = server.set_nodelay(true);
+    let (client_read, client_write) = client.into_split();
+    let (server_read, server_write) = server.into_split();
+    let to_target = forward_bytes(client_read, server_write, state.clone());
+    let from_target = forward_bytes(server_read, client_write, state);
+    tokio::join!(to_target, from_target);
 }
 
-async fn pump(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut state: watch::Receiver<LinkState>,
 ) {
-    let mut buffer = vec![0; BUFFER];
+    let mut buffer = vec![0; BUFFER_BYTES];
     while let Ok(length) = from.read(&mut buffer).await {
         let delay = state.borrow().delay;
         if !delay.is_zero() {
@@ -95,6 +103,6 @@
             break;
         }
     }
-    // The other side may be gone, which ends the connection as well.
+    // An error is ignored: the receiving process may have closed the connection already.
     let _ = to.shutdown().await;
 }
