--- a/crates/replay/src/simulation/back_end_events.rs
+++ b/crates/replay/src/simulation/back_end_events.rs
@@ -1,4 +1,4 @@
-//! What happens at back ends.
+//! Handles the simulation events of back ends: orders, loads, reports, requests and their streams.
 
 use gorsebank_contract::{Fence, Order, OrderAction, OrderResult, Sequence, SourceTier};
 use gorsebank_coordination::{Event, EventId};
@@ -8,22 +8,24 @@
 
 use crate::ablation::Ablation;
 use crate::history::Execution;
-use crate::simulation::back_end::{Call, first_connection, request_of, stream_name};
+use crate::simulation::back_end::{Call, first_connection, request_id, stream_name};
 use crate::simulation::world::{
     MILLISECOND, OrderReply, SECOND, SimEvent, Simulation, StreamEnd, StreamItem,
 };
 
-/// Bytes a second from an engine's disk and main memory.
-const DISK_BANDWIDTH: u64 = 4_000_000_000;
-const MEMORY_BANDWIDTH: u64 = 20_000_000_000;
-/// A stream without an event for so long is taken to be broken.
-const STALL: u64 = 10 * SECOND;
-/// A late event is late by so long.
-const LATE: u64 = 200 * MILLISECOND;
+/// Speed of loads from the disk of an engine.
+const DISK_BYTES_PER_SECOND: u64 = 4_000_000_000;
+/// Speed of loads from the main memory of an engine.
+const MEMORY_BYTES_PER_SECOND: u64 = 20_000_000_000;
+/// Time after which a node treats a stream without events as broken.
+const STALL_TIMEOUT_US: u64 = 10 * SECOND;
+/// Delay of an event that the fault `scramble` delays.
+const LATE_EVENT_DELAY_US: u64 = 200 * MILLISECOND;
 
 impl Simulation {
-    /// When a back end that stands still goes on; 0 if it is dead.
-    fn back_end_defer(&self, id: &BackEndId) -> Option<u64> {
+    /// Time at which a suspended back end resumes, `None` if it is running, and 0 if it is not
+    /// alive.
+    fn back_end_resume_time(&self, id: &BackEndId) -> Option<u64> {
         let Some(back_end) = self.back_ends.get(id) else {
             return Some(0);
         };
@@ -36,22 +38,22 @@
     pub(super) fn order_arrives(
         &mut self,
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         back_end: BackEndId,
         order: Box<Order>,
     ) {
         let reply = OrderReply {
             node: node.clone(),
-            life,
+            incarnation,
             fence: order.fence,
             sequence: order.sequence,
         };
-        match self.back_end_defer(&back_end) {
+        match self.back_end_resume_time(&back_end) {
             Some(0) => return self.reply_to_order(&back_end, reply, OrderResult::Unknown),
             Some(resumes) => {
                 let event = SimEvent::OrderArrives {
                     node,
-                    life,
+                    incarnation,
                     back_end,
                     order,
                 };
@@ -59,12 +61,12 @@
             }
             None => {}
         }
-        let order = self.perhaps_unfenced(&back_end, *order);
+        let order = self.apply_fence_ablation(&back_end, *order);
         let now = self.now / MILLISECOND;
         let Some(engine) = self.back_ends.get_mut(&back_end) else {
             return;
         };
-        let engine_life = engine.life;
+        let engine_life = engine.incarnation;
         match engine.engine.order(now, &order) {
             OrderStart::Settled(result) => self.reply_to_order(&back_end, reply, result),
             OrderStart::Loading {
@@ -75,7 +77,7 @@
                 let time = self.load_time(bytes, tier);
                 let event = SimEvent::LoadEnds {
                     back_end,
-                    life: engine_life,
+                    incarnation: engine_life,
                     artifact,
                     is_remote: tier == SourceTier::Remote,
                     reply,
@@ -85,29 +87,30 @@
         }
     }
 
-    pub(super) fn report_arrives(&mut self, node: NodeId, life: u32, id: BackEndId) {
-        if self.back_end_defer(&id).is_some() {
-            return self.report_unknown(&node, life, id);
+    pub(super) fn report_arrives(&mut self, node: NodeId, incarnation: u32, id: BackEndId) {
+        if self.back_end_resume_time(&id).is_some() {
+            return self.schedule_missing_report(&node, incarnation, id);
         }
         let report = self.back_ends.get(&id).map(|it| it.engine.report());
-        match self.arrival(id.as_str(), node.as_str()) {
+        match self.arrival_time(id.as_str(), node.as_str()) {
             Some(at) => {
                 let event = Event::ReportRead {
                     back_end: id,
                     report,
                 };
-                self.schedule_for_node(at, &node, life, event);
+                self.schedule_for_node(at, &node, incarnation, event);
             }
-            None => self.report_unknown(&node, life, id),
+            None => self.schedule_missing_report(&node, incarnation, id),
         }
     }
 
-    /// Without fences an engine takes every order for the newest.
-    fn perhaps_unfenced(&mut self, back_end: &BackEndId, order: Order) -> Order {
+    /// With [`Ablation::Fences`], gives the order the highest fencing token and the current
+    /// incarnation, so that the engine accepts it as the newest order.
+    fn apply_fence_ablation(&mut self, back_end: &BackEndId, order: Order) -> Order {
         if self.ablation != Some(Ablation::Fences) {
             return order;
         }
-        self.fences_given += 1;
+        self.issued_fences += 1;
         let incarnation = self
             .back_ends
             .get(back_end)
@@ -115,7 +118,7 @@
         let is_inspection = order.action == OrderAction::Inspect;
         Order {
             fence: Fence(u64::MAX),
-            sequence: Sequence(self.fences_given),
+            sequence: Sequence(self.issued_fences),
             incarnation: incarnation.filter(|_| !is_inspection),
             action: order.action,
         }
@@ -123,8 +126,8 @@
 
     fn load_time(&mut self, bytes: u64, tier: SourceTier) -> u64 {
         let milliseconds = match tier {
-            SourceTier::Memory => bytes * 1_000 / MEMORY_BANDWIDTH,
-            SourceTier::Disk => bytes * 1_000 / DISK_BANDWIDTH,
+            SourceTier::Memory => bytes * 1_000 / MEMORY_BYTES_PER_SECOND,
+            SourceTier::Disk => bytes * 1_000 / DISK_BYTES_PER_SECOND,
             SourceTier::Remote => self.store.start(self.now, bytes),
         };
         milliseconds * MILLISECOND
@@ -133,7 +136,7 @@
     pub(super) fn load_ends(
         &mut self,
         id: &BackEndId,
-        life: u32,
+        incarnation: u32,
         artifact: &Artifact,
         is_remote: bool,
         reply: OrderReply,
@@ -145,7 +148,7 @@
         let Some(back_end) = self.back_ends.get_mut(id) else {
             return;
         };
-        if back_end.life != life {
+        if back_end.incarnation != incarnation {
             return self.reply_to_order(id, reply, OrderResult::Unknown);
         }
         let result = back_end.engine.load_ended(now, artifact);
@@ -153,7 +156,7 @@
     }
 
     fn reply_to_order(&mut self, back_end: &BackEndId, reply: OrderReply, result: OrderResult) {
-        let Some(at) = self.arrival(back_end.as_str(), reply.node.as_str()) else {
+        let Some(at) = self.arrival_time(back_end.as_str(), reply.node.as_str()) else {
             return;
         };
         let event = Event::OrderAnswered {
@@ -162,23 +165,22 @@
             sequence: reply.sequence,
             result,
         };
-        self.schedule_for_node(at, &reply.node, reply.life, event);
+        self.schedule_for_node(at, &reply.node, reply.incarnation, event);
     }
 
     pub(super) fn call_arrives(&mut self, id: BackEndId, waited: Option<u32>, call: Box<Call>) {
         let to = stream_end(&call);
-        let life = self.back_ends.get(&id).map_or(0, |it| it.life);
-        if waited.is_some_and(|waited| waited != life) {
-            // The process died with the request unread; its end of the
-            // connection broke then.
+        let incarnation = self.back_ends.get(&id).map_or(0, |it| it.incarnation);
+        if waited.is_some_and(|waited| waited != incarnation) {
+            // The process was killed before it read the request, and the connection broke then.
             return;
         }
-        match self.back_end_defer(&id) {
+        match self.back_end_resume_time(&id) {
             Some(0) => return self.stream_to(&id, to, StreamItem::NotSent),
             Some(resumes) => {
                 let event = SimEvent::CallArrives {
                     back_end: id,
-                    waited: Some(life),
+                    waited: Some(incarnation),
                     call,
                 };
                 return self.queue.add(resumes, event);
@@ -215,43 +217,51 @@
             }
             return;
         }
-        let life = back_end.life;
+        let incarnation = back_end.incarnation;
         let tokens = if is_engine { call.tokens } else { 0 };
-        let plan = back_end.plan_answer(now, &stream, tokens);
-        self.wholes.insert(stream.clone(), plan.events);
+        let plan = back_end.plan_response(now, &stream, tokens);
+        self.stream_lengths.insert(stream.clone(), plan.events);
         self.history.executions.push(Execution {
             at: now,
-            until: plan.made_at(plan.events - 1),
+            until: plan.generated_at(plan.events - 1),
             artifact: call.artifact.clone(),
             back_end: id.clone(),
-            request: request_of(call.id),
+            request: request_id(call.id),
             key: call.key.clone(),
             repeatable: call.repeatable,
         });
         let to = stream_end(&call);
-        self.make_events(id, life, &to, &stream, 0);
-        let ends = SimEvent::AnswerEnds {
+        self.schedule_events(id, incarnation, &to, &stream, 0);
+        let ends = SimEvent::ResponseEnds {
             back_end: id.clone(),
-            life,
+            incarnation,
             artifact: call.artifact,
         };
-        self.queue.add(plan.made_at(plan.events - 1), ends);
+        self.queue.add(plan.generated_at(plan.events - 1), ends);
     }
 
-    /// Sends the events of an answer from number `next` on, each when it is made.
-    fn make_events(&mut self, id: &BackEndId, life: u32, to: &StreamEnd, stream: &str, next: u64) {
+    /// Schedules the events of a response from number `next` on, each at the time of its
+    /// generation.
+    fn schedule_events(
+        &mut self,
+        id: &BackEndId,
+        incarnation: u32,
+        to: &StreamEnd,
+        stream: &str,
+        next: u64,
+    ) {
         let Some(plan) = self
             .back_ends
             .get(id)
-            .and_then(|back_end| back_end.answer(stream))
+            .and_then(|back_end| back_end.response(stream))
             .cloned()
         else {
             return self.stream_to(id, to.clone(), StreamItem::Broken);
         };
         for number in next..plan.events {
-            let event = SimEvent::EventMade {
+            let event = SimEvent::EventGenerated {
                 back_end: id.clone(),
-                life,
+                incarnation,
                 to: to.clone(),
                 id: EventId {
                     stream: stream.to_owned(),
@@ -259,24 +269,25 @@
                 },
                 is_last: number + 1 == plan.events,
             };
-            self.queue.add(plan.made_at(number).max(self.now), event);
+            self.queue
+                .add(plan.generated_at(number).max(self.now), event);
         }
     }
 
-    pub(super) fn event_made(
+    pub(super) fn event_generated(
         &mut self,
         back_end: &BackEndId,
-        life: u32,
+        incarnation: u32,
         to: StreamEnd,
         id: EventId,
         is_last: bool,
     ) {
-        match self.back_end_defer(back_end) {
+        match self.back_end_resume_time(back_end) {
             Some(0) => return,
             Some(resumes) => {
-                let event = SimEvent::EventMade {
+                let event = SimEvent::EventGenerated {
                     back_end: back_end.clone(),
-                    life,
+                    incarnation,
                     to,
                     id,
                     is_last,
@@ -288,7 +299,7 @@
         if self
             .back_ends
             .get(back_end)
-            .is_none_or(|it| it.life != life)
+            .is_none_or(|it| it.incarnation != incarnation)
         {
             return;
         }
@@ -296,15 +307,16 @@
         self.scramble(back_end, to, item);
     }
 
-    /// Passes an event on, perhaps doubled, late, crossed or with a break.
+    /// Sends an event to its node. The fault `scramble` duplicates or delays some events, assigns
+    /// them to another stream, or breaks the connection.
     fn scramble(&mut self, back_end: &BackEndId, to: StreamEnd, item: StreamItem) {
         let now = self.now;
         let (share, until) = self
             .back_ends
             .get(back_end)
             .map_or((0.0, 0), |back_end| back_end.scramble);
-        let is_hit = until > now && self.random.random_bool(share);
-        if !is_hit {
+        let is_affected = until > now && self.random.random_bool(share);
+        if !is_affected {
             return self.stream_to(back_end, to, item);
         }
         match self.random.random_range(0..4) {
@@ -314,18 +326,18 @@
             }
             1 => {
                 let event = SimEvent::StreamArrives { to, item };
-                self.queue.add(now + LATE, event);
+                self.queue.add(now + LATE_EVENT_DELAY_US, event);
             }
             2 => {
-                let crossed = self.crossed(back_end, &item);
+                let crossed = self.move_to_other_stream(back_end, &item);
                 self.stream_to(back_end, to, crossed);
             }
             _ => self.stream_to(back_end, to, StreamItem::Broken),
         }
     }
 
-    /// The event as one of another stream of the same back end.
-    fn crossed(&self, back_end: &BackEndId, item: &StreamItem) -> StreamItem {
+    /// Returns the event with the name of another stream of the same back end.
+    fn move_to_other_stream(&self, back_end: &BackEndId, item: &StreamItem) -> StreamItem {
         let StreamItem::Event { id, is_last } = item else {
             return item.clone();
         };
@@ -347,19 +359,24 @@
 
     pub(super) fn stream_to(&mut self, back_end: &BackEndId, to: StreamEnd, item: StreamItem) {
         let event = |to, item| SimEvent::StreamArrives { to, item };
-        match self.arrival(back_end.as_str(), to.node.as_str()) {
+        match self.arrival_time(back_end.as_str(), to.node.as_str()) {
             Some(at) => self.queue.add(at, event(to, item)),
             None => self
                 .queue
-                .add(self.now + STALL, event(to, StreamItem::Broken)),
+                .add(self.now + STALL_TIMEOUT_US, event(to, StreamItem::Broken)),
         }
     }
 
-    pub(super) fn answer_ends(&mut self, id: &BackEndId, life: u32, artifact: Option<&Artifact>) {
+    pub(super) fn response_ends(
+        &mut self,
+        id: &BackEndId,
+        incarnation: u32,
+        artifact: Option<&Artifact>,
+    ) {
         let Some(back_end) = self.back_ends.get_mut(id) else {
             return;
         };
-        if back_end.life != life {
+        if back_end.incarnation != incarnation {
             return;
         }
         if let Some(artifact) = artifact {
@@ -377,7 +394,7 @@
         stream: String,
         next: u64,
     ) {
-        match self.back_end_defer(&back_end) {
+        match self.back_end_resume_time(&back_end) {
             Some(0) => return self.stream_to(&back_end, to, StreamItem::Broken),
             Some(resumes) => {
                 let event = SimEvent::ResumeArrives {
@@ -390,25 +407,25 @@
             }
             None => {}
         }
-        let life = self.back_ends.get(&back_end).map_or(0, |it| it.life);
-        self.make_events(&back_end, life, &to, &stream, next);
+        let incarnation = self.back_ends.get(&back_end).map_or(0, |it| it.incarnation);
+        self.schedule_events(&back_end, incarnation, &to, &stream, next);
     }
 
     pub(super) fn back_end_starts(&mut self, id: &BackEndId) {
         let now = self.now;
         if let Some(back_end) = self.back_ends.get_mut(id) {
             back_end.restart(now);
-            self.note(format!("{id} starts"));
+            self.log_event(format!("{id} starts"));
         }
     }
 
-    /// The process dies: every connection to it breaks.
+    /// Kills a back end and breaks every connection to it.
     pub(super) fn back_end_dies(&mut self, id: &BackEndId) {
         let Some(back_end) = self.back_ends.get_mut(id) else {
             return;
         };
         back_end.kill();
-        self.note(format!("{id} dies"));
+        self.log_event(format!("{id} is killed"));
         let ends: Vec<StreamEnd> = self
             .nodes
             .values()
@@ -417,7 +434,7 @@
                     let attempt = open.attempt.as_ref()?;
                     (attempt.back_end == *id).then(|| StreamEnd {
                         node: node.id.clone(),
-                        life: node.life,
+                        incarnation: node.incarnation,
                         request: *request,
                         connection: attempt.connection,
                     })
@@ -435,7 +452,7 @@
 fn stream_end(call: &Call) -> StreamEnd {
     StreamEnd {
         node: call.node.0.clone(),
-        life: call.node.1,
+        incarnation: call.node.1,
         request: call.id.request,
         connection: first_connection(call.id),
     }
--- a/crates/replay/src/simulation/caller.rs
+++ b/crates/replay/src/simulation/caller.rs
@@ -1,36 +1,36 @@
-//! Callers: they send requests, wait for the end, and some ask again elsewhere
-//! when a node dies.
+//! Plans the requests of callers: turns a request event of a trace into one plan per caller, with
+//! the time at which it is sent.
 
 use gorsebank_contract::PriorityClass;
 use gorsebank_world::NodeId;
 
 use crate::trace::format::RequestEvent;
 
-/// One request as its caller means it.
+/// Properties of the request that a caller sends.
 #[derive(Clone, Debug)]
 pub struct CallerPlan {
     /// Model or service.
     pub of: String,
     /// Whether `of` is a service.
     pub is_service: bool,
-    /// Nodes in the order in which they are asked.
+    /// Nodes in the order in which the caller tries them.
     pub nodes: Vec<NodeId>,
     /// Priority.
     pub class: PriorityClass,
-    /// When it must be over, in microseconds.
+    /// Deadline in microseconds from the start of the replay.
     pub deadline: u64,
-    /// Tokens of the answer.
+    /// Number of tokens in the response.
     pub tokens: u32,
     /// Idempotency key.
     pub key: Option<String>,
-    /// Whether it may run more than once.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Asks again elsewhere when a node dies.
+    /// Whether the caller retries at another node after its node failed.
     pub is_persistent: bool,
 }
 
-/// The callers of a request event that happens at `now`, each with its moment.
-/// `index` keeps keys of different events apart.
+/// Plans the callers of a request event at `now`, each with its start time, in microseconds.
+/// `index` makes the idempotency keys of different events distinct.
 pub fn plans(
     all_nodes: &[NodeId],
     index: usize,
--- a/crates/replay/src/simulation/caller_events.rs
+++ b/crates/replay/src/simulation/caller_events.rs
@@ -1,4 +1,5 @@
-//! What callers and operators do.
+//! Handles the simulation events of callers and operators: sent requests, received stream events,
+//! outcomes, and configuration changes.
 
 use gorsebank_contract::{PriorityClass, RequestId};
 use gorsebank_coordination::{Arrival, ChangeError, ChangeId, Event, EventId, Timestamp};
@@ -12,10 +13,10 @@
 use crate::simulation::world::{MILLISECOND, SECOND, SimEvent, Simulation};
 use crate::trace::format::{ChangeEvent, RequestEvent};
 
-/// A caller whose connection was refused asks the next node after so long.
-const NEXT_NODE: u64 = 50 * MILLISECOND;
-/// A stopping node still takes connections for so long.
-pub(super) const LINGER: u64 = SECOND;
+/// Delay before a caller retries after its node failed or no node accepted its connection.
+const NEXT_NODE_DELAY_US: u64 = 50 * MILLISECOND;
+/// Time between a stop request to a node and the first check whether the node may exit.
+pub(super) const STOP_LINGER_US: u64 = SECOND;
 
 impl Simulation {
     pub(super) fn plan_callers(&mut self, index: usize, request: &RequestEvent) {
@@ -38,11 +39,11 @@
         }
         let tries = self.history.callers[caller].tries.len();
         let chosen = (0..plan.nodes.len())
-            .map(|step| plan.nodes[(tries + step) % plan.nodes.len()].clone())
-            .find(|id| self.takes_connections(id));
+            .map(|offset| plan.nodes[(tries + offset) % plan.nodes.len()].clone())
+            .find(|id| self.accepts_connections(id));
         let Some(id) = chosen else {
             let event = SimEvent::CallerSends { caller };
-            return self.queue.add(self.now + NEXT_NODE, event);
+            return self.queue.add(self.now + NEXT_NODE_DELAY_US, event);
         };
         self.history.callers[caller].tries.push(CallerTry {
             node: id.clone(),
@@ -55,7 +56,7 @@
         self.arrive_at(caller, &id, &plan);
     }
 
-    fn takes_connections(&self, id: &NodeId) -> bool {
+    fn accepts_connections(&self, id: &NodeId) -> bool {
         self.nodes
             .get(id)
             .is_some_and(|node| node.node.is_some() && !node.is_stopping)
@@ -77,7 +78,7 @@
         let request: RequestId = running.new_request();
         self.history.callers[caller].tries[attempt].request = Some(request);
         let Ok(queue) = queue else {
-            // The model is not known here (yet): refused as not found.
+            // The node does not know the model, or not yet, and refuses the request.
             let end = CallerEnd::Refused {
                 reason: gorsebank_contract::RefusalReason::NoPlace,
                 ran: gorsebank_contract::Ran::No,
@@ -100,8 +101,8 @@
             repeatable: plan.repeatable,
             key: plan.key.clone(),
         });
-        let life = node.life;
-        self.schedule_for_node(self.now, id, life, event);
+        let incarnation = node.incarnation;
+        self.schedule_for_node(self.now, id, incarnation, event);
     }
 
     pub(super) fn caller_receives(&mut self, caller: (usize, usize), id: EventId) {
@@ -117,11 +118,11 @@
         if record.end.is_some() {
             return;
         }
-        let asks_again = end == CallerEnd::NodeDied && self.callers[caller.0].is_persistent;
+        let may_retry = end == CallerEnd::NodeDied && self.callers[caller.0].is_persistent;
         record.end = Some((now, end));
-        if asks_again {
+        if may_retry {
             let event = SimEvent::CallerSends { caller: caller.0 };
-            self.queue.add(now + NEXT_NODE, event);
+            self.queue.add(now + NEXT_NODE_DELAY_US, event);
         }
     }
 
@@ -130,7 +131,7 @@
         let Some(running) = self.nodes.get(&id).and_then(|node| node.node.as_ref()) else {
             return;
         };
-        let change = operator::change_of(event, running);
+        let change = operator::change_from_event(event, running);
         let number = ChangeId(self.history.changes.len() as u64);
         self.history.changes.push(ChangeRecord {
             key: change.key.clone(),
@@ -139,9 +140,9 @@
             labels: event.labels.clone(),
         });
         self.changes.insert(number, self.history.changes.len() - 1);
-        let life = self.life(&id);
+        let incarnation = self.incarnation(&id);
         let event = Event::ChangeRequested { id: number, change };
-        self.schedule_for_node(self.now, &id, life, event);
+        self.schedule_for_node(self.now, &id, incarnation, event);
     }
 
     pub(super) fn change_answered(&mut self, id: ChangeId, result: Result<Row, ChangeError>) {
--- a/crates/replay/src/simulation/faults.rs
+++ b/crates/replay/src/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What fails, and how it heals.
+//! Injects the faults of a trace into the simulation and schedules their ends.
 
 use std::time::Duration;
 
@@ -9,53 +9,58 @@
 
 use crate::ablation::Ablation;
 use crate::history::{CallerEnd, LeaveRecord, PauseRecord};
-use crate::simulation::caller_events::LINGER;
+use crate::simulation::caller_events::STOP_LINGER_US;
 use crate::simulation::world::{MILLISECOND, SECOND, SimEvent, Simulation};
 use crate::trace::format::{FaultEvent, RandomKind, TableMode};
 
-/// A stopping node looks so often whether it may end.
-const STOP_CHECK: u64 = 100 * MILLISECOND;
-/// A stopping node ends after so long whatever is open.
-const STOP_LIMIT: u64 = 120 * SECOND;
+/// Interval at which a stopping node checks whether it may exit.
+const STOP_CHECK_INTERVAL_US: u64 = 100 * MILLISECOND;
+/// Time after which a stopping node exits even with open requests.
+const STOP_TIMEOUT_US: u64 = 120 * SECOND;
 
 fn microseconds(duration: Duration) -> u64 {
     duration.as_micros() as u64
 }
 
 impl Simulation {
-    pub(super) fn fault(&mut self, fault: &FaultEvent) {
+    pub(super) fn inject_fault(&mut self, fault: &FaultEvent) {
         match fault {
             FaultEvent::Kill { process, lasting } => self.kill(process, *lasting),
             FaultEvent::Pause { process, lasting } => {
                 self.pause(process, microseconds(*lasting));
             }
             FaultEvent::Cut { between, lasting } => {
-                let ends = [self.name_of(&between.0), self.name_of(&between.1)];
+                let ends = [
+                    self.resolve_process(&between.0),
+                    self.resolve_process(&between.1),
+                ];
                 let until = self.now + microseconds(*lasting);
                 self.network.cut(&ends[0], &ends[1], until);
-                self.disturb(&ends[0], until);
-                self.disturb(&ends[1], until);
-                self.note(format!("{} and {} are cut off", ends[0], ends[1]));
+                self.record_disturbance(&ends[0], until);
+                self.record_disturbance(&ends[1], until);
+                self.log_event(format!("link between {} and {} is cut", ends[0], ends[1]));
             }
             FaultEvent::Slow {
                 process,
                 by,
                 lasting,
             } => {
-                let process = self.name_of(process);
+                let process = self.resolve_process(process);
                 let until = self.now + microseconds(*lasting);
                 self.network.slow_down(&process, microseconds(*by), until);
-                self.disturb(&process, until);
-                self.note(format!("{process} is slow"));
+                self.record_disturbance(&process, until);
+                self.log_event(format!("messages of {process} are delayed"));
             }
             FaultEvent::Table { mode, lasting } => {
                 self.table.fail(*mode, self.now + microseconds(*lasting));
-                self.note(format!("the table is {mode:?}"));
+                self.log_event(format!("the table is {mode:?}"));
             }
             FaultEvent::Store { slowdown, lasting } => {
                 let until = self.now + microseconds(*lasting);
                 self.store.slow_down(*slowdown, until);
-                self.note(format!("the store is {slowdown} times as slow"));
+                self.log_event(format!(
+                    "loads from the weight store take {slowdown} times as long"
+                ));
             }
             FaultEvent::Scramble {
                 process,
@@ -67,10 +72,10 @@
                 if let Some(back_end) = self.back_ends.get_mut(&id) {
                     back_end.scramble = (*share, until);
                 }
-                self.note(format!("streams of {process} are scrambled"));
+                self.log_event(format!("streams of {process} are scrambled"));
             }
-            FaultEvent::Leave { process, notice } => self.leave(process, *notice),
-            FaultEvent::Stop { process, lasting } => self.stop(process, *lasting),
+            FaultEvent::Leave { process, notice } => self.drain_back_end(process, *notice),
+            FaultEvent::Stop { process, lasting } => self.stop_node(process, *lasting),
             FaultEvent::Random {
                 count,
                 during,
@@ -79,12 +84,12 @@
         }
     }
 
-    /// The process that a trace names: `holder` and `owner:MODEL` are whoever
-    /// it is now, as most nodes see it.
-    fn name_of(&self, name: &str) -> String {
-        let duty = match name.strip_prefix("owner:") {
+    /// Resolves the name of a process in a trace. `holder` and `owner:MODEL` stand for the present
+    /// lease holder and queue owner, as most nodes report them.
+    fn resolve_process(&self, name: &str) -> String {
+        let model = match name.strip_prefix("owner:") {
             None if name != "holder" => return name.to_owned(),
-            duty => duty,
+            model => model,
         };
         let seen: Vec<NodeId> = self
             .nodes
@@ -92,7 +97,7 @@
             .filter_map(|node| node.node.as_ref())
             .filter_map(|node| {
                 let view = node.status().view;
-                match duty {
+                match model {
                     None => view.holder.clone(),
                     Some(model) => {
                         let queue = node.resolve(model).ok()?.to_string();
@@ -110,7 +115,7 @@
         most.map_or_else(|| name.to_owned(), ToString::to_string)
     }
 
-    fn disturb(&mut self, process: &str, until: u64) {
+    fn record_disturbance(&mut self, process: &str, until: u64) {
         let affected = self
             .nodes
             .values_mut()
@@ -121,7 +126,7 @@
     }
 
     fn kill(&mut self, process: &str, lasting: Option<Duration>) {
-        let name = self.name_of(process);
+        let name = self.resolve_process(process);
         let starts = lasting.map(|lasting| self.now + microseconds(lasting));
         let id = NodeId::from(name.as_str());
         if let Some(node) = self.nodes.get(&id) {
@@ -149,14 +154,17 @@
             return;
         };
         let callers = node.kill();
-        self.note(format!("{id} dies with {} open requests", callers.len()));
+        self.log_event(format!(
+            "{id} is killed with {} open requests",
+            callers.len()
+        ));
         for caller in callers {
             self.caller_ends(caller, CallerEnd::NodeDied);
         }
     }
 
     fn pause(&mut self, process: &str, lasting: u64) {
-        let name = self.name_of(process);
+        let name = self.resolve_process(process);
         let until = self.now + lasting;
         if let Some(node) = self.nodes.get_mut(&NodeId::from(name.as_str())) {
             node.paused_until = node.paused_until.max(until);
@@ -170,10 +178,10 @@
         if let Some(back_end) = self.back_ends.get_mut(&BackEndId::from(name.as_str())) {
             back_end.paused_until = back_end.paused_until.max(until);
         }
-        self.note(format!("{name} stands still"));
+        self.log_event(format!("{name} is suspended"));
     }
 
-    fn leave(&mut self, process: &str, notice: Option<Duration>) {
+    fn drain_back_end(&mut self, process: &str, notice: Option<Duration>) {
         let id = BackEndId::from(process);
         let visible = self.list.change(self.now, |list| {
             for machine in &mut list.back_ends {
@@ -186,15 +194,15 @@
             back_end: id.clone(),
             visible,
         });
-        self.note(format!("{id} is leaving"));
+        self.log_event(format!("{id} is draining"));
         if let Some(notice) = notice {
             let at = self.now + microseconds(notice);
             self.queue.add(at, SimEvent::BackEndDies { back_end: id });
         }
     }
 
-    fn stop(&mut self, process: &str, lasting: Option<Duration>) {
-        let id = NodeId::from(self.name_of(process));
+    fn stop_node(&mut self, process: &str, lasting: Option<Duration>) {
+        let id = NodeId::from(self.resolve_process(process));
         self.history.planned_stops.push((id.clone(), self.now));
         let restart = lasting.map(microseconds);
         if self.ablation == Some(Ablation::Drain) {
@@ -212,35 +220,45 @@
             return;
         }
         node.is_stopping = true;
-        let life = node.life;
-        self.note(format!("{id} is asked to stop"));
-        self.tell(&id, Event::StopRequested);
+        let incarnation = node.incarnation;
+        self.log_event(format!("{id} is asked to stop"));
+        self.deliver_event(&id, Event::StopRequested);
         let check = SimEvent::StopCheck {
             node: id,
-            life,
+            incarnation,
             asked: self.now,
             restart,
         };
-        self.queue.add(self.now + LINGER, check);
+        self.queue.add(self.now + STOP_LINGER_US, check);
     }
 
-    pub(super) fn stop_check(&mut self, id: NodeId, life: u32, asked: u64, restart: Option<u64>) {
+    pub(super) fn stop_check(
+        &mut self,
+        id: NodeId,
+        incarnation: u32,
+        asked: u64,
+        restart: Option<u64>,
+    ) {
         let Some(node) = self.nodes.get(&id) else {
             return;
         };
-        let Some(running) = node.node.as_ref().filter(|_| node.life == life) else {
+        let Some(running) = node
+            .node
+            .as_ref()
+            .filter(|_| node.incarnation == incarnation)
+        else {
             return;
         };
         let waited = self.now.saturating_sub(asked);
         let is_done = node.open.is_empty() && running.is_drained();
-        if !is_done && waited < STOP_LIMIT {
+        if !is_done && waited < STOP_TIMEOUT_US {
             let check = SimEvent::StopCheck {
                 node: id,
-                life,
+                incarnation,
                 asked,
                 restart,
             };
-            return self.queue.add(self.now + STOP_CHECK, check);
+            return self.queue.add(self.now + STOP_CHECK_INTERVAL_US, check);
         }
         self.kill_node(&id);
         if let Some(pause) = restart {
--- a/crates/replay/src/simulation/mod.rs
+++ b/crates/replay/src/simulation/mod.rs
@@ -1,7 +1,8 @@
-//! A world in virtual time around the decision logic that the node runs.
+//! Replays a trace in virtual time against the decision logic that nodes run in production.
 //!
-//! One event queue; everything that takes time is an event. The same seed gives
-//! the same history.
+//! The simulation takes a trace, a seed and optionally a mechanism to disable, and returns a
+//! history. Everything that takes time is an event in one queue. The same seed gives the same
+//! history.
 
 pub mod back_end;
 mod back_end_events;
--- a/crates/replay/src/simulation/network.rs
+++ b/crates/replay/src/simulation/network.rs
@@ -1,4 +1,5 @@
-//! Links between processes: latency by zone, cuts, slow processes.
+//! Simulates the links between processes: latency by zone, cut links, and processes whose messages
+//! are delayed. Times are in microseconds.
 
 use std::collections::HashMap;
 
@@ -7,69 +8,70 @@
 
 use crate::trace::format::Links;
 
-/// Name of the table service as an end of links.
+/// Name of the table service as an endpoint of links.
 pub const TABLE: &str = "table";
-/// Name of the machine list as an end of links.
+/// Name of the machine list as an endpoint of links.
 pub const MACHINE_LIST: &str = "machines";
-/// Stands for every other process.
+/// Pattern that matches every process.
 const ANY: &str = "*";
-/// Latency varies by so large a part of itself.
-const JITTER: f64 = 0.5;
+/// Maximum random increase of a latency, as a fraction of the latency.
+const MAX_JITTER_FRACTION: f64 = 0.5;
 
 #[derive(Debug)]
 struct Cut {
-    ends: (String, String),
+    endpoints: (String, String),
     until: u64,
 }
 
 impl Cut {
     fn applies(&self, one: &str, other: &str) -> bool {
         let matches = |end: &str, process: &str| end == ANY || end == process;
-        let (first, second) = (&self.ends.0, &self.ends.1);
+        let (first, second) = (&self.endpoints.0, &self.endpoints.1);
         (matches(first, one) && matches(second, other))
             || (matches(first, other) && matches(second, one))
     }
 }
 
-/// All links.
+/// Latencies and faults of all links.
 #[derive(Debug)]
 pub struct Network {
     links: Links,
     zones: HashMap<String, String>,
     cuts: Vec<Cut>,
-    slow: HashMap<String, (u64, u64)>,
+    delays: HashMap<String, (u64, u64)>,
 }
 
 impl Network {
-    /// Links that all work.
+    /// Creates a network without faults.
     pub fn new(links: Links) -> Self {
         Network {
             links,
             zones: HashMap::new(),
             cuts: Vec::new(),
-            slow: HashMap::new(),
+            delays: HashMap::new(),
         }
     }
 
-    /// Puts a process into a zone.
+    /// Assigns a process to a zone.
     pub fn place(&mut self, process: &str, zone: &str) {
         self.zones.insert(process.to_owned(), zone.to_owned());
     }
 
-    /// Cuts the link between two processes.
+    /// Drops all messages between two processes until `until`; `*` matches every process.
     pub fn cut(&mut self, one: &str, other: &str, until: u64) {
         self.cuts.push(Cut {
-            ends: (one.to_owned(), other.to_owned()),
+            endpoints: (one.to_owned(), other.to_owned()),
             until,
         });
     }
 
-    /// Delays a process's messages, each by a random part of `by`.
+    /// Delays the messages from and to a process until `until`, each by a random time of at most
+    /// `by`.
     pub fn slow_down(&mut self, process: &str, by: u64, until: u64) {
-        self.slow.insert(process.to_owned(), (by, until));
+        self.delays.insert(process.to_owned(), (by, until));
     }
 
-    /// The time that a message takes, or `None` if it is lost.
+    /// Latency of a message, or `None` if the message is lost.
     pub fn latency(
         &mut self,
         now: u64,
@@ -82,10 +84,10 @@
             return None;
         }
         let base = self.base_latency(from, to);
-        let jitter = random.random_range(0.0..JITTER) * base as f64;
+        let jitter = random.random_range(0.0..MAX_JITTER_FRACTION) * base as f64;
         let mut latency = base + jitter as u64;
         for process in [from, to] {
-            if let Some((by, until)) = self.slow.get(process)
+            if let Some((by, until)) = self.delays.get(process)
                 && *until > now
             {
                 latency += random.random_range(0..=*by);
--- a/crates/replay/src/simulation/node_events.rs
+++ b/crates/replay/src/simulation/node_events.rs
@@ -1,5 +1,5 @@
-//! What a node's shell does in the world: messages, transactions, orders,
-//! requests to back ends and their answers.
+//! Executes the actions of the decision logic of nodes in the simulation (messages, transactions,
+//! orders, requests to back ends) and delivers the responses.
 
 use gorsebank_contract::{
     AttemptOutcome, Order, OrderAction, OrderResult, PeerMessage, Refusal, RequestId, TableAnswer,
@@ -16,44 +16,45 @@
 use crate::simulation::world::{MILLISECOND, SECOND, SimEvent, Simulation, StreamEnd, StreamItem};
 use crate::trace::format::TableMode;
 
-/// A call of the platform is given up after so long.
-const PLATFORM_TIMEOUT: u64 = SECOND;
-/// A connection must be established within so long.
-const CONNECT_TIMEOUT: u64 = SECOND;
-/// A long order whose connection was cut is given up after so long.
-const ORDER_TIMEOUT: u64 = 30 * SECOND;
-/// A slow table answers after so long.
-const SLOW_TABLE: u64 = 500 * MILLISECOND;
-/// Times that a stream is resumed without an event in between.
+/// Timeout of calls to the platform.
+const PLATFORM_TIMEOUT_US: u64 = SECOND;
+/// Timeout of connection attempts.
+const CONNECT_TIMEOUT_US: u64 = SECOND;
+/// Timeout of an order, which ends the wait when its connection was cut.
+const ORDER_TIMEOUT_US: u64 = 30 * SECOND;
+/// Additional delay of results of a slow table.
+const SLOW_TABLE_DELAY_US: u64 = 500 * MILLISECOND;
+/// Maximum number of consecutive resumptions of a stream without an event in between.
 const MAX_RESUMES: u32 = 4;
-/// Pause before a stream is resumed again; doubles each time.
-const RESUME_PAUSE: u64 = 100 * MILLISECOND;
+/// Delay before the second resumption of a stream; doubles with each further resumption.
+const RESUME_BACKOFF_US: u64 = 100 * MILLISECOND;
 
 impl Simulation {
-    pub(super) fn life(&self, node: &NodeId) -> u32 {
-        self.nodes.get(node).map_or(0, |node| node.life)
+    pub(super) fn incarnation(&self, node: &NodeId) -> u32 {
+        self.nodes.get(node).map_or(0, |node| node.incarnation)
     }
 
     pub(super) fn latency(&mut self, from: &str, to: &str) -> Option<u64> {
         self.network.latency(self.now, from, to, &mut self.random)
     }
 
-    /// When something sent now arrives; things on one link stay in order.
-    pub(super) fn arrival(&mut self, from: &str, to: &str) -> Option<u64> {
+    /// Arrival time of a message that is sent now, or `None` if it is lost. Messages on one link
+    /// arrive in order.
+    pub(super) fn arrival_time(&mut self, from: &str, to: &str) -> Option<u64> {
         let at = self.now + self.latency(from, to)?;
         let last = self
-            .last_on_link
+            .last_arrivals
             .entry((from.to_owned(), to.to_owned()))
             .or_default();
         *last = at.max(*last + 1);
         Some(*last)
     }
 
-    pub(super) fn perform(&mut self, id: &NodeId, action: Action) {
+    pub(super) fn execute_action(&mut self, id: &NodeId, action: Action) {
         match action {
             Action::Send { to, message } => self.send(id, &to, message),
             Action::Transact { tag, transaction } => self.transact(id, tag, transaction),
-            Action::Order { machine, order } => self.give_order(id, &machine, order),
+            Action::Order { machine, order } => self.send_order(id, &machine, order),
             Action::ReadReport { machine } => self.read_report(id, &machine),
             Action::ReadMachineList => self.read_list(id),
             Action::Dispatch {
@@ -66,7 +67,8 @@
     }
 
     fn send(&mut self, from: &NodeId, to: &NodeId, message: PeerMessage) {
-        if self.ablation == Some(Ablation::Claims) && self.answer_blindly(from, to, &message) {
+        if self.ablation == Some(Ablation::Claims) && self.answer_without_claim(from, to, &message)
+        {
             return;
         }
         if self.ablation == Some(Ablation::ConfigurationRepair)
@@ -79,19 +81,19 @@
         if is_list && hides_list && self.nodes.get(to).is_some_and(|node| node.has_read_list) {
             return;
         }
-        let Some(at) = self.arrival(from.as_str(), to.as_str()) else {
+        let Some(at) = self.arrival_time(from.as_str(), to.as_str()) else {
             return;
         };
-        let life = self.life(to);
+        let incarnation = self.incarnation(to);
         let event = Event::Received {
             from: from.clone(),
             message,
         };
-        self.schedule_for_node(at, to, life, event);
+        self.schedule_for_node(at, to, incarnation, event);
     }
 
-    /// Answers a claim as recorded without asking anyone.
-    fn answer_blindly(&mut self, from: &NodeId, to: &NodeId, message: &PeerMessage) -> bool {
+    /// Answers a claim as recorded without sending it to the other node.
+    fn answer_without_claim(&mut self, from: &NodeId, to: &NodeId, message: &PeerMessage) -> bool {
         let PeerMessage::Claim { epoch, request, .. } = message else {
             return false;
         };
@@ -103,84 +105,91 @@
                 answer: gorsebank_contract::ClaimAnswer::Recorded,
             },
         };
-        let life = self.life(from);
-        self.schedule_for_node(self.now + MILLISECOND, from, life, event);
+        let incarnation = self.incarnation(from);
+        self.schedule_for_node(self.now + MILLISECOND, from, incarnation, event);
         true
     }
 
-    pub(super) fn schedule_for_node(&mut self, at: u64, node: &NodeId, life: u32, event: Event) {
+    pub(super) fn schedule_for_node(
+        &mut self,
+        at: u64,
+        node: &NodeId,
+        incarnation: u32,
+        event: Event,
+    ) {
         let event = SimEvent::ToNode {
             node: node.clone(),
-            life,
+            incarnation,
             event: Box::new(event),
         };
         self.queue.add(at, event);
     }
 
     fn transact(&mut self, id: &NodeId, tag: TransactionTag, transaction: Transaction) {
-        let life = self.life(id);
-        match self.arrival(id.as_str(), TABLE) {
+        let incarnation = self.incarnation(id);
+        match self.arrival_time(id.as_str(), TABLE) {
             Some(at) => self.queue.add(
                 at,
                 SimEvent::TableArrives {
                     node: id.clone(),
-                    life,
+                    incarnation,
                     tag,
                     transaction: Box::new(transaction),
                 },
             ),
-            None => self.table_unknown(id, life, tag),
+            None => self.schedule_unknown_result(id, incarnation, tag),
         }
     }
 
-    fn table_unknown(&mut self, id: &NodeId, life: u32, tag: TransactionTag) {
+    fn schedule_unknown_result(&mut self, id: &NodeId, incarnation: u32, tag: TransactionTag) {
         let event = Event::TableAnswered {
             tag,
             answer: TableAnswer::Unknown,
         };
-        self.schedule_for_node(self.now + PLATFORM_TIMEOUT, id, life, event);
+        self.schedule_for_node(self.now + PLATFORM_TIMEOUT_US, id, incarnation, event);
     }
 
     pub(super) fn table_arrives(
         &mut self,
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         tag: TransactionTag,
         transaction: &Transaction,
     ) {
         let mode = self.table.mode(self.now);
         if mode == TableMode::Down {
-            return self.table_unknown(&node, life, tag);
+            return self.schedule_unknown_result(&node, incarnation, tag);
         }
         let (answer, decisions) = self.table.transact(self.now, transaction, self.ablation);
         self.history.decisions.extend(decisions);
         let delay = if mode == TableMode::Slow {
-            SLOW_TABLE
+            SLOW_TABLE_DELAY_US
         } else {
             0
         };
-        match self.arrival(TABLE, node.as_str()) {
+        match self.arrival_time(TABLE, node.as_str()) {
             Some(at) if mode != TableMode::Silent => {
                 self.schedule_for_node(
                     at + delay,
                     &node,
-                    life,
+                    incarnation,
                     Event::TableAnswered { tag, answer },
                 );
             }
-            _ => self.table_unknown(&node, life, tag),
+            _ => self.schedule_unknown_result(&node, incarnation, tag),
         }
     }
 
     fn read_list(&mut self, id: &NodeId) {
-        let life = self.life(id);
-        if let Some(at) = self.arrival(id.as_str(), MACHINE_LIST) {
+        let incarnation = self.incarnation(id);
+        if let Some(at) = self.arrival_time(id.as_str(), MACHINE_LIST) {
             let node = id.clone();
-            self.queue.add(at, SimEvent::ListArrives { node, life });
+            self.queue
+                .add(at, SimEvent::ListArrives { node, incarnation });
         }
     }
 
-    pub(super) fn list_arrives(&mut self, id: NodeId, life: u32) {
+    pub(super) fn list_arrives(&mut self, id: NodeId, incarnation: u32) {
         let hidden = self.ablation == Some(Ablation::MachineList);
         let Some(node) = self.nodes.get_mut(&id) else {
             return;
@@ -190,13 +199,13 @@
         }
         node.has_read_list = true;
         let list = self.list.read(self.now);
-        if let Some(at) = self.arrival(MACHINE_LIST, id.as_str()) {
-            self.schedule_for_node(at, &id, life, Event::MachineListRead(list));
+        if let Some(at) = self.arrival_time(MACHINE_LIST, id.as_str()) {
+            self.schedule_for_node(at, &id, incarnation, Event::MachineListRead(list));
         }
     }
 
-    fn give_order(&mut self, id: &NodeId, machine: &Machine, order: Order) {
-        let life = self.life(id);
+    fn send_order(&mut self, id: &NodeId, machine: &Machine, order: Order) {
+        let incarnation = self.incarnation(id);
         let unknown = Event::OrderAnswered {
             back_end: machine.id.clone(),
             fence: order.fence,
@@ -204,54 +213,54 @@
             result: OrderResult::Unknown,
         };
         let timeout = match order.action {
-            OrderAction::Inspect => PLATFORM_TIMEOUT,
-            _ => ORDER_TIMEOUT,
+            OrderAction::Inspect => PLATFORM_TIMEOUT_US,
+            _ => ORDER_TIMEOUT_US,
         };
-        match self.arrival(id.as_str(), machine.id.as_str()) {
+        match self.arrival_time(id.as_str(), machine.id.as_str()) {
             Some(at) => {
                 let event = SimEvent::OrderArrives {
                     node: id.clone(),
-                    life,
+                    incarnation,
                     back_end: machine.id.clone(),
                     order: Box::new(order),
                 };
                 self.queue.add(at, event);
-                self.schedule_for_node(self.now + timeout, id, life, unknown);
+                self.schedule_for_node(self.now + timeout, id, incarnation, unknown);
             }
-            None => self.schedule_for_node(self.now + CONNECT_TIMEOUT, id, life, unknown),
+            None => self.schedule_for_node(self.now + CONNECT_TIMEOUT_US, id, incarnation, unknown),
         }
     }
 
     fn read_report(&mut self, id: &NodeId, machine: &Machine) {
-        let life = self.life(id);
-        match self.arrival(id.as_str(), machine.id.as_str()) {
+        let incarnation = self.incarnation(id);
+        match self.arrival_time(id.as_str(), machine.id.as_str()) {
             Some(at) => self.queue.add(
                 at,
                 SimEvent::ReportArrives {
                     node: id.clone(),
-                    life,
+                    incarnation,
                     back_end: machine.id.clone(),
                 },
             ),
-            None => self.report_unknown(id, life, machine.id.clone()),
+            None => self.schedule_missing_report(id, incarnation, machine.id.clone()),
         }
     }
 
-    pub(super) fn report_unknown(
+    pub(super) fn schedule_missing_report(
         &mut self,
         id: &NodeId,
-        life: u32,
+        incarnation: u32,
         back_end: gorsebank_world::BackEndId,
     ) {
         let event = Event::ReportRead {
             back_end,
             report: None,
         };
-        self.schedule_for_node(self.now + PLATFORM_TIMEOUT, id, life, event);
+        self.schedule_for_node(self.now + PLATFORM_TIMEOUT_US, id, incarnation, event);
     }
 
     fn dispatch(&mut self, id: &NodeId, ticket: TicketId, machine: &Machine) {
-        let life = self.life(id);
+        let incarnation = self.incarnation(id);
         let stream = stream_name(ticket, &machine.id);
         let Some(node) = self.nodes.get_mut(id) else {
             return;
@@ -270,9 +279,9 @@
         });
         let plan = self.callers[open.caller.0].clone();
         let call = Call {
-            node: (id.clone(), life),
+            node: (id.clone(), incarnation),
             id: ticket,
-            artifact: self.artifact_of(id, &plan.of, plan.is_service),
+            artifact: self.resolve_artifact(id, &plan.of, plan.is_service),
             class: plan.class,
             tokens: plan.tokens,
             key: plan.key.clone(),
@@ -280,7 +289,7 @@
         };
         let to = StreamEnd {
             node: id.clone(),
-            life,
+            incarnation,
             request: ticket.request,
             connection: first_connection(ticket),
         };
@@ -290,7 +299,7 @@
             id: ticket,
         };
         self.queue.add(times_out, event);
-        match self.arrival(id.as_str(), machine.id.as_str()) {
+        match self.arrival_time(id.as_str(), machine.id.as_str()) {
             Some(at) => self.queue.add(
                 at,
                 SimEvent::CallArrives {
@@ -300,7 +309,7 @@
                 },
             ),
             None => self.queue.add(
-                self.now + CONNECT_TIMEOUT,
+                self.now + CONNECT_TIMEOUT_US,
                 SimEvent::StreamArrives {
                     to,
                     item: StreamItem::NotSent,
@@ -309,7 +318,7 @@
         }
     }
 
-    fn artifact_of(
+    fn resolve_artifact(
         &self,
         id: &NodeId,
         of: &str,
@@ -323,7 +332,7 @@
     }
 
     pub(super) fn stream_arrives(&mut self, to: StreamEnd, item: StreamItem) {
-        match self.defer(&to.node, to.life) {
+        match self.resume_time(&to.node, to.incarnation) {
             Some(0) => return,
             Some(resumes) => {
                 let event = SimEvent::StreamArrives { to, item };
@@ -351,12 +360,12 @@
             StreamItem::NotStarted => self.attempt_ended(&to, AttemptOutcome::NotStarted),
             StreamItem::Broken => self.reconnect(&to),
             StreamItem::Event { id, is_last } => {
-                let verdict = if checks {
+                let decision = if checks {
                     attempt.guard.judge(&id, is_last)
                 } else {
                     Verdict::Forward
                 };
-                match verdict {
+                match decision {
                     Verdict::Duplicate => {}
                     Verdict::Gap | Verdict::Foreign => self.reconnect(&to),
                     Verdict::Forward => {
@@ -372,7 +381,7 @@
         }
     }
 
-    /// Asks for the rest of a stream; an application's answer cannot be resumed.
+    /// Requests the rest of a stream. Streams of applications cannot be resumed.
     fn reconnect(&mut self, to: &StreamEnd) {
         let Some(attempt) = self.open_attempt(to) else {
             return;
@@ -393,11 +402,11 @@
             return self.attempt_lost(&to);
         }
         let pause = if resumes > 1 {
-            RESUME_PAUSE << (resumes - 2)
+            RESUME_BACKOFF_US << (resumes - 2)
         } else {
             0
         };
-        match self.arrival(to.node.as_str(), back_end.as_str()) {
+        match self.arrival_time(to.node.as_str(), back_end.as_str()) {
             Some(at) => self.queue.add(
                 at + pause,
                 SimEvent::ResumeArrives {
@@ -408,7 +417,7 @@
                 },
             ),
             None => self.queue.add(
-                self.now + CONNECT_TIMEOUT + pause,
+                self.now + CONNECT_TIMEOUT_US + pause,
                 SimEvent::StreamArrives {
                     to,
                     item: StreamItem::Broken,
@@ -434,8 +443,8 @@
             self.attempt_ended(to, AttemptOutcome::LostDuringAnswer);
             self.finish_request(&to.node, to.request, CallerEnd::Interrupted);
         } else {
-            let honest = self.ablation != Some(Ablation::HonestOutcomes);
-            let outcome = if honest {
+            let reports_loss = self.ablation != Some(Ablation::HonestOutcomes);
+            let outcome = if reports_loss {
                 AttemptOutcome::LostBeforeAnswer
             } else {
                 AttemptOutcome::NotSent
@@ -445,7 +454,7 @@
     }
 
     pub(super) fn attempt_times_out(&mut self, to: &StreamEnd, id: TicketId) {
-        match self.defer(&to.node, to.life) {
+        match self.resume_time(&to.node, to.incarnation) {
             Some(0) => return,
             Some(resumes) => {
                 let event = SimEvent::AttemptTimesOut { to: to.clone(), id };
@@ -473,15 +482,15 @@
             return;
         };
         let id = attempt.id;
-        self.tell(&to.node, Event::AttemptEnded { id, outcome });
+        self.deliver_event(&to.node, Event::AttemptEnded { id, outcome });
     }
 
     fn attempt_completed(&mut self, to: &StreamEnd) {
         let Some(attempt) = self.open_attempt(to) else {
             return;
         };
-        let whole = attempt.stream.clone();
-        let whole = self.wholes.get(&whole).copied().unwrap_or(0);
+        let stream = attempt.stream.clone();
+        let whole = self.stream_lengths.get(&stream).copied().unwrap_or(0);
         self.attempt_ended(to, AttemptOutcome::Completed);
         let end = CallerEnd::Answered { whole };
         self.finish_request(&to.node, to.request, end);
--- a/crates/replay/src/simulation/node_host.rs
+++ b/crates/replay/src/simulation/node_host.rs
@@ -1,4 +1,4 @@
-//! A node in virtual time: the decision logic with what its shell keeps beside.
+//! State of a simulated node: its decision logic, and its open requests and attempts.
 
 use std::collections::HashMap;
 
@@ -12,61 +12,61 @@
 /// An attempt that a node has sent.
 #[derive(Clone, Debug)]
 pub struct OpenAttempt {
-    /// Request and try.
+    /// Request and attempt.
     pub id: TicketId,
-    /// Where it was sent.
+    /// Back end that the attempt was sent to.
     pub back_end: BackEndId,
-    /// The name of its stream.
+    /// Name of the stream of the response.
     pub stream: String,
-    /// Checks its events.
+    /// Check of the stream events for gaps and duplicates.
     pub guard: StreamGuard,
-    /// Grows with every connection; events of former ones are dropped.
+    /// Number of the current connection. Events of previous connections are dropped.
     pub connection: u32,
-    /// Connections made without an event in between.
+    /// Number of resumptions since the last event.
     pub resumes: u32,
-    /// Whether an event went to the caller.
+    /// Whether the node forwarded an event to the caller.
     pub has_begun: bool,
 }
 
 /// A request that a node has not finished.
 #[derive(Clone, Debug)]
 pub struct OpenRequest {
-    /// The caller and its try.
+    /// Indexes of the caller and of its attempt in the history.
     pub caller: (usize, usize),
-    /// The attempt that runs.
+    /// Current attempt at a back end.
     pub attempt: Option<OpenAttempt>,
 }
 
-/// One node.
+/// A simulated node.
 pub struct SimNode {
-    /// Its name.
+    /// Name of the node.
     pub id: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneId,
-    /// The decision logic, while the process runs.
+    /// Decision logic, or `None` if the process does not run.
     pub node: Option<Node>,
-    /// Grows with every start.
-    pub life: u32,
-    /// It stands still until then.
+    /// Number of starts and kills of the process, which identifies its incarnation.
+    pub incarnation: u32,
+    /// Time until which the process is suspended, in microseconds.
     pub paused_until: u64,
-    /// It was asked to stop.
+    /// Whether the node was asked to stop.
     pub is_stopping: bool,
-    /// No fault touched it since then.
+    /// Time since which no fault has affected the node, in microseconds.
     pub undisturbed_since: u64,
-    /// Requests without an end.
+    /// Requests without an outcome.
     pub open: HashMap<RequestId, OpenRequest>,
-    /// The machine list was read once.
+    /// Whether the node has read the machine list since its start.
     pub has_read_list: bool,
 }
 
 impl SimNode {
-    /// A node that does not run yet.
+    /// Creates a node that does not run yet.
     pub fn new(id: NodeId, zone: ZoneId) -> Self {
         SimNode {
             id,
             zone,
             node: None,
-            life: 0,
+            incarnation: 0,
             paused_until: 0,
             is_stopping: false,
             undisturbed_since: 0,
@@ -77,15 +77,15 @@
 
     /// Starts the process at `now` microseconds.
     pub fn start(&mut self, now: u64, settings: &CoordinationSettings, seed: u64) {
-        self.life += 1;
+        self.incarnation += 1;
         let identity = Identity {
             node: self.id.clone(),
-            incarnation: Incarnation(u64::from(self.life)),
+            incarnation: Incarnation(u64::from(self.incarnation)),
             cell: CellId::from(CELL),
             zone: self.zone.clone(),
         };
         let seed = seed
-            .wrapping_add(u64::from(self.life))
+            .wrapping_add(u64::from(self.incarnation))
             .wrapping_add(gorsebank_coordination::rendezvous::weight("seed", &self.id));
         let start = Timestamp(now / 1_000);
         self.node = Some(Node::new(identity, settings.clone(), start, seed));
@@ -95,10 +95,10 @@
         self.has_read_list = false;
     }
 
-    /// Ends the process; gives the callers that were cut off.
+    /// Kills the process. Returns the callers of its open requests, with their attempts.
     pub fn kill(&mut self) -> Vec<(usize, usize)> {
         self.node = None;
-        self.life += 1;
+        self.incarnation += 1;
         let mut callers: Vec<(usize, usize)> =
             self.open.drain().map(|(_, open)| open.caller).collect();
         callers.sort_unstable();
--- a/crates/replay/src/simulation/operator.rs
+++ b/crates/replay/src/simulation/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they change labels, and read the configuration at every node.
+//! Simulates operators, who change labels and read the configuration of every node.
 
 use std::collections::BTreeMap;
 
@@ -7,23 +7,24 @@
 
 use crate::trace::format::ChangeEvent;
 
-/// The change that an operator asks for at a node.
-pub fn change_of(event: &ChangeEvent, node: &Node) -> Change {
+/// Builds the change that an operator requests at a node. A conditional change expects the revision
+/// that the node has.
+pub fn change_from_event(event: &ChangeEvent, node: &Node) -> Change {
     let key = RowKey {
         kind: event.kind,
         name: event.name.as_str().into(),
     };
-    let seen = node
+    let revision = node
         .with_configuration(|configuration| configuration.row(&key).map_or(0, |row| row.revision));
     Change {
         key,
-        expected: event.conditional.then_some(seen),
+        expected: event.conditional.then_some(revision),
         edit: Edit::Label(event.labels.clone()),
     }
 }
 
-/// Versions of all rows that a node has in force.
-pub fn versions(node: &Node) -> BTreeMap<RowKey, u64> {
+/// Revisions of all live rows in the configuration of a node.
+pub fn row_revisions(node: &Node) -> BTreeMap<RowKey, u64> {
     const KINDS: [RowKind; 5] = [
         RowKind::Deployment,
         RowKind::Model,
--- a/crates/replay/src/simulation/platform.rs
+++ b/crates/replay/src/simulation/platform.rs
@@ -1,4 +1,5 @@
-//! The platform: table service, machine list and weight store with their faults.
+//! Simulates the platform: the table service, the machine list and the weight store, with their
+//! faults. Times are in microseconds unless overrides otherwise.
 
 use std::collections::VecDeque;
 
@@ -14,20 +15,20 @@
 /// The table service.
 #[derive(Debug, Default)]
 pub struct Table {
-    /// Its rows.
+    /// Rows and transactions of the table.
     pub model: TableModel,
     mode: TableMode,
     mode_until: u64,
 }
 
 impl Table {
-    /// Makes it fail.
+    /// Sets the fault mode until `until`.
     pub fn fail(&mut self, mode: TableMode, until: u64) {
         self.mode = mode;
         self.mode_until = until;
     }
 
-    /// How it works now.
+    /// Fault mode at `now`.
     pub fn mode(&self, now: u64) -> TableMode {
         if now < self.mode_until {
             self.mode
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Carries a transaction out; gives the answer and the decisions it wrote.
+    /// Executes a transaction. Returns its result and the back-end plans that it wrote.
     pub fn transact(
         &mut self,
         now: u64,
@@ -54,7 +55,7 @@
         };
         let is_committed = matches!(answer, TableAnswer::Committed { .. });
         let decisions = if is_committed {
-            decisions_of(now, transaction)
+            written_plans(now, transaction)
         } else {
             Vec::new()
         };
@@ -62,7 +63,7 @@
     }
 }
 
-fn decisions_of(now: u64, transaction: &Transaction) -> Vec<DecisionRecord> {
+fn written_plans(now: u64, transaction: &Transaction) -> Vec<DecisionRecord> {
     transaction
         .puts
         .iter()
@@ -78,7 +79,7 @@
         .collect()
 }
 
-/// The machine list with its lag.
+/// A machine list whose changes become visible with a lag.
 #[derive(Debug)]
 pub struct LaggingList {
     lag: u64,
@@ -87,7 +88,7 @@
 }
 
 impl LaggingList {
-    /// A list that is visible at once; later ones are after `lag`.
+    /// Creates a list that is visible immediately. Changes become visible after `lag`.
     pub fn new(list: MachineList, lag: u64) -> Self {
         LaggingList {
             lag,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Changes the list; gives the time from which readers see it.
+    /// Edits the list. Returns the time from which readers see the change.
     pub fn change(&mut self, now: u64, edit: impl FnOnce(&mut MachineList)) -> u64 {
         edit(&mut self.newest);
         let visible_at = now + self.lag;
@@ -104,7 +105,7 @@
         visible_at
     }
 
-    /// What readers see.
+    /// The list that readers see at `now`.
     pub fn read(&mut self, now: u64) -> MachineList {
         while self.visible.get(1).is_some_and(|(at, _)| *at <= now) {
             self.visible.pop_front();
@@ -116,16 +117,16 @@
     }
 }
 
-/// The weight store with its slow times.
+/// The weight store, with its periods of slow loads.
 #[derive(Debug)]
 pub struct Store {
-    /// Its limits.
+    /// Limits and current loads of the store.
     pub model: StoreModel,
     slow_until: u64,
 }
 
 impl Store {
-    /// A store at full speed.
+    /// Creates a store without slowdown.
     pub fn new(model: StoreModel) -> Self {
         Store {
             model,
@@ -133,13 +134,13 @@
         }
     }
 
-    /// Makes loads take longer.
+    /// Multiplies the duration of loads by `slowdown` until `until`.
     pub fn slow_down(&mut self, slowdown: f64, until: u64) {
         self.model.slowdown = slowdown;
         self.slow_until = until;
     }
 
-    /// Starts a load; gives the time that it takes, in milliseconds.
+    /// Starts a load. Returns its duration in milliseconds.
     pub fn start(&mut self, now: u64, bytes: u64) -> u64 {
         if now >= self.slow_until {
             self.model.slowdown = 1.0;
--- a/crates/replay/src/simulation/queue.rs
+++ b/crates/replay/src/simulation/queue.rs
@@ -1,4 +1,4 @@
-//! The event queue: by time, then in the order in which events were added.
+//! A priority queue that returns events by time, and events of the same time in insertion order.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -7,13 +7,13 @@
 #[derive(Debug)]
 struct Scheduled<E> {
     at: u64,
-    number: u64,
+    sequence: u64,
     event: E,
 }
 
 impl<E> PartialEq for Scheduled<E> {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -26,40 +26,40 @@
 }
 
 impl<E> Ord for Scheduled<E> {
-    /// Reversed, since the heap gives the greatest first.
+    /// Reverses the order, since `BinaryHeap` returns the greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
-/// Events to come.
+/// Queue of future events.
 #[derive(Debug)]
 pub struct EventQueue<E> {
     heap: BinaryHeap<Scheduled<E>>,
-    numbers: u64,
+    last_sequence: u64,
 }
 
 impl<E> Default for EventQueue<E> {
     fn default() -> Self {
         EventQueue {
             heap: BinaryHeap::new(),
-            numbers: 0,
+            last_sequence: 0,
         }
     }
 }
 
 impl<E> EventQueue<E> {
-    /// Adds an event.
+    /// Adds an event at the time `at`, in microseconds.
     pub fn add(&mut self, at: u64, event: E) {
-        self.numbers += 1;
+        self.last_sequence += 1;
         self.heap.push(Scheduled {
             at,
-            number: self.numbers,
+            sequence: self.last_sequence,
             event,
         });
     }
 
-    /// The next event with its time.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(u64, E)> {
         self.heap
             .pop()
--- a/crates/replay/src/simulation/world.rs
+++ b/crates/replay/src/simulation/world.rs
@@ -1,4 +1,5 @@
-//! The simulated world: its parts, its event queue, and the run.
+//! The simulation: its state, its events, and the loop that runs a trace and returns the history.
+//! Times are in microseconds.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -32,117 +33,117 @@
 pub const MILLISECOND: u64 = 1_000;
 /// Microseconds in a second.
 pub const SECOND: u64 = 1_000_000;
-/// Between two ticks of a node, unless the trace says otherwise.
-const TICK: u64 = 50 * MILLISECOND;
-/// Between two readings of the configuration by operators.
-const PROBE: u64 = 500 * MILLISECOND;
+/// Interval between two ticks of a node, unless the trace sets another.
+const DEFAULT_TICK_US: u64 = 50 * MILLISECOND;
+/// Interval at which operators read the configuration of all nodes.
+const PROBE_INTERVAL_US: u64 = 500 * MILLISECOND;
 
-/// What happens next in the world.
+/// An event of the simulation.
 #[derive(Debug)]
 pub enum SimEvent {
-    /// A node's clock ticks.
-    Tick { node: NodeId, life: u32 },
-    /// Something reaches a node's decision logic.
+    /// The timer of a node fires.
+    Tick { node: NodeId, incarnation: u32 },
+    /// An event reaches the decision logic of a node.
     ToNode {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         event: Box<Event>,
     },
     /// A transaction reaches the table.
     TableArrives {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         tag: TransactionTag,
         transaction: Box<Transaction>,
     },
-    /// A node's reading reaches the machine list.
-    ListArrives { node: NodeId, life: u32 },
-    /// A node's reading reaches an engine.
+    /// A read request of a node reaches the machine list.
+    ListArrives { node: NodeId, incarnation: u32 },
+    /// A node's request for a report reaches an engine.
     ReportArrives {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         back_end: BackEndId,
     },
     /// An order reaches an engine.
     OrderArrives {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         back_end: BackEndId,
         order: Box<Order>,
     },
-    /// A load is over.
+    /// A load on an engine ends.
     LoadEnds {
         back_end: BackEndId,
-        life: u32,
+        incarnation: u32,
         artifact: Artifact,
         is_remote: bool,
         reply: OrderReply,
     },
-    /// A request reaches a back end; if it has waited for a process that
-    /// stood still, the life of that process.
+    /// A request reaches a back end. `waited` is the incarnation of the process if the request
+    /// waited while the process was suspended.
     CallArrives {
         back_end: BackEndId,
         waited: Option<u32>,
         call: Box<Call>,
     },
-    /// A back end has made an event of an answer.
-    EventMade {
+    /// A back end has generated an event of a response.
+    EventGenerated {
         back_end: BackEndId,
-        life: u32,
+        incarnation: u32,
         to: StreamEnd,
         id: EventId,
         is_last: bool,
     },
-    /// A back end has made the whole answer.
-    AnswerEnds {
+    /// A back end has generated a complete response.
+    ResponseEnds {
         back_end: BackEndId,
-        life: u32,
+        incarnation: u32,
         artifact: Option<Artifact>,
     },
-    /// A node asks for the rest of a stream.
+    /// A node's request for the rest of a stream reaches a back end.
     ResumeArrives {
         back_end: BackEndId,
         to: StreamEnd,
         stream: String,
         next: u64,
     },
-    /// Something of an answer reaches a node.
+    /// An event of a stream, or a notice of its failure, reaches a node.
     StreamArrives { to: StreamEnd, item: StreamItem },
-    /// A node has waited for an answer until its deadline.
+    /// The deadline of an attempt passes at a node.
     AttemptTimesOut { to: StreamEnd, id: TicketId },
-    /// A caller sends its request for the first time or again.
+    /// A caller sends its request, as the first attempt or as a retry.
     CallerSends { caller: usize },
     /// An event of the trace.
     FromTrace(usize),
-    /// A fault made from the seed.
+    /// A random fault, generated from the seed.
     Fault(Box<crate::trace::format::FaultEvent>),
     /// A node starts.
     NodeStarts { node: NodeId },
-    /// A back end starts again.
+    /// A back end restarts.
     BackEndStarts { back_end: BackEndId },
-    /// A back end dies.
+    /// A back end is killed.
     BackEndDies { back_end: BackEndId },
-    /// A stopping node looks whether it may end.
+    /// A stopping node checks whether it may exit.
     StopCheck {
         node: NodeId,
-        life: u32,
+        incarnation: u32,
         asked: u64,
         restart: Option<u64>,
     },
-    /// Operators read the configuration everywhere.
+    /// Operators read the configuration of every node.
     Probe,
 }
 
-/// To whom an engine answers an order.
+/// Recipient of the response of an engine to an order.
 #[derive(Clone, Debug)]
 pub struct OrderReply {
     /// The node.
     pub node: NodeId,
-    /// Its life.
-    pub life: u32,
-    /// The order's fence.
+    /// The incarnation of the node.
+    pub incarnation: u32,
+    /// Fencing token of the order.
     pub fence: Fence,
-    /// The order's sequence.
+    /// Sequence number of the order.
     pub sequence: Sequence,
 }
 
@@ -151,35 +152,35 @@
 pub struct StreamEnd {
     /// The node.
     pub node: NodeId,
-    /// Its life.
-    pub life: u32,
+    /// The incarnation of the node.
+    pub incarnation: u32,
     /// The request.
     pub request: RequestId,
-    /// The connection.
+    /// The number of the connection.
     pub connection: u32,
 }
 
-/// What arrives of an answer.
+/// A part of a response, or its failure, as a node receives it.
 #[derive(Clone, Debug)]
 pub enum StreamItem {
-    /// An event.
+    /// A stream event.
     Event { id: EventId, is_last: bool },
     /// The connection broke.
     Broken,
-    /// Nothing was sent.
+    /// The request did not reach the back end.
     NotSent,
-    /// The back end attests that it did not start.
+    /// The back end confirmed that it did not start the request.
     NotStarted,
 }
 
-/// The world.
+/// State of a simulation.
 pub struct Simulation {
     pub(super) now: u64,
     pub(super) queue: EventQueue<SimEvent>,
     pub(super) random: ChaCha8Rng,
     pub(super) seed: u64,
     pub(super) settings: CoordinationSettings,
-    /// Between two ticks of a node.
+    /// Interval between two ticks of a node.
     tick: u64,
     pub(super) ablation: Option<Ablation>,
     pub(super) trace: Trace,
@@ -191,14 +192,15 @@
     pub(super) store: Store,
     pub(super) callers: Vec<CallerPlan>,
     pub(super) changes: HashMap<ChangeId, usize>,
-    pub(super) last_on_link: HashMap<(String, String), u64>,
+    pub(super) last_arrivals: HashMap<(String, String), u64>,
     pub(super) history: History,
-    pub(super) fences_given: u64,
-    /// Events of every whole answer, by stream.
-    pub(super) wholes: HashMap<String, u64>,
+    pub(super) issued_fences: u64,
+    /// Number of events in each complete response, by stream.
+    pub(super) stream_lengths: HashMap<String, u64>,
 }
 
-/// Plays a trace on a seed; gives what back ends, callers and operators saw.
+/// Runs a trace with a seed, without the mechanism `ablation` if one is given. Returns the history
+/// as back ends, callers and operators observed it.
 pub fn play(trace: &Trace, seed: u64, ablation: Option<Ablation>) -> History {
     let mut simulation = Simulation::new(trace, seed, ablation);
     simulation.run();
@@ -206,7 +208,7 @@
 }
 
 impl Simulation {
-    /// The world at the beginning of a trace.
+    /// Creates the initial state of a trace.
     pub fn new(trace: &Trace, seed: u64, ablation: Option<Ablation>) -> Self {
         let header = &trace.header;
         let list = machine_list(header);
@@ -230,7 +232,7 @@
             bandwidth: header.store.bandwidth.as_u64(),
         });
         let mut table = Table::default();
-        table.model.transact(&first_rows(header));
+        table.model.transact(&initial_rows(header));
         let mut simulation = Simulation {
             now: 0,
             queue: EventQueue::default(),
@@ -240,7 +242,7 @@
             tick: header
                 .settings
                 .tick
-                .map_or(TICK, |tick| tick.as_micros() as u64),
+                .map_or(DEFAULT_TICK_US, |tick| tick.as_micros() as u64),
             ablation,
             trace: trace.clone(),
             nodes,
@@ -251,10 +253,10 @@
             store: Store::new(store),
             callers: Vec::new(),
             changes: HashMap::new(),
-            last_on_link: HashMap::new(),
+            last_arrivals: HashMap::new(),
             history: History::default(),
-            fences_given: 0,
-            wholes: HashMap::new(),
+            issued_fences: 0,
+            stream_lengths: HashMap::new(),
         };
         simulation.schedule_start();
         simulation
@@ -270,7 +272,7 @@
             let at = self.trace.events[index].at;
             self.queue.add(at, SimEvent::FromTrace(index));
         }
-        self.queue.add(PROBE, SimEvent::Probe);
+        self.queue.add(PROBE_INTERVAL_US, SimEvent::Probe);
     }
 
     fn run(&mut self) {
@@ -280,7 +282,7 @@
                 break;
             }
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
@@ -297,52 +299,56 @@
         self.history
     }
 
-    fn happen(&mut self, event: SimEvent) {
+    fn handle_event(&mut self, event: SimEvent) {
         match event {
-            SimEvent::Tick { node, life } => self.tick(node, life),
-            SimEvent::ToNode { node, life, event } => self.node_event(node, life, event),
+            SimEvent::Tick { node, incarnation } => self.tick(node, incarnation),
+            SimEvent::ToNode {
+                node,
+                incarnation,
+                event,
+            } => self.node_event(node, incarnation, event),
             SimEvent::TableArrives {
                 node,
-                life,
+                incarnation,
                 tag,
                 transaction,
-            } => self.table_arrives(node, life, tag, &transaction),
+            } => self.table_arrives(node, incarnation, tag, &transaction),
             SimEvent::ReportArrives {
                 node,
-                life,
+                incarnation,
                 back_end,
-            } => self.report_arrives(node, life, back_end),
-            SimEvent::ListArrives { node, life } => self.list_arrives(node, life),
+            } => self.report_arrives(node, incarnation, back_end),
+            SimEvent::ListArrives { node, incarnation } => self.list_arrives(node, incarnation),
             SimEvent::OrderArrives {
                 node,
-                life,
+                incarnation,
                 back_end,
                 order,
-            } => self.order_arrives(node, life, back_end, order),
+            } => self.order_arrives(node, incarnation, back_end, order),
             SimEvent::LoadEnds {
                 back_end,
-                life,
+                incarnation,
                 artifact,
                 is_remote,
                 reply,
-            } => self.load_ends(&back_end, life, &artifact, is_remote, reply),
+            } => self.load_ends(&back_end, incarnation, &artifact, is_remote, reply),
             SimEvent::CallArrives {
                 back_end,
                 waited,
                 call,
             } => self.call_arrives(back_end, waited, call),
-            SimEvent::EventMade {
+            SimEvent::EventGenerated {
                 back_end,
-                life,
+                incarnation,
                 to,
                 id,
                 is_last,
-            } => self.event_made(&back_end, life, to, id, is_last),
-            SimEvent::AnswerEnds {
+            } => self.event_generated(&back_end, incarnation, to, id, is_last),
+            SimEvent::ResponseEnds {
                 back_end,
-                life,
+                incarnation,
                 artifact,
-            } => self.answer_ends(&back_end, life, artifact.as_ref()),
+            } => self.response_ends(&back_end, incarnation, artifact.as_ref()),
             SimEvent::ResumeArrives {
                 back_end,
                 to,
@@ -353,16 +359,16 @@
             SimEvent::AttemptTimesOut { to, id } => self.attempt_times_out(&to, id),
             SimEvent::CallerSends { caller } => self.caller_sends(caller),
             SimEvent::FromTrace(index) => self.trace_event(index),
-            SimEvent::Fault(fault) => self.fault(&fault),
+            SimEvent::Fault(fault) => self.inject_fault(&fault),
             SimEvent::NodeStarts { node } => self.node_starts(&node),
             SimEvent::BackEndStarts { back_end } => self.back_end_starts(&back_end),
             SimEvent::BackEndDies { back_end } => self.back_end_dies(&back_end),
             SimEvent::StopCheck {
                 node,
-                life,
+                incarnation,
                 asked,
                 restart,
-            } => self.stop_check(node, life, asked, restart),
+            } => self.stop_check(node, incarnation, asked, restart),
             SimEvent::Probe => self.probe(),
         }
     }
@@ -371,7 +377,7 @@
         match self.trace.events[index].event.clone() {
             TraceEvent::Request(request) => self.plan_callers(index, &request),
             TraceEvent::Change(change) => self.operator_changes(&change),
-            TraceEvent::Fault(fault) => self.fault(&fault),
+            TraceEvent::Fault(fault) => self.inject_fault(&fault),
         }
     }
 
@@ -382,53 +388,59 @@
             return;
         };
         node.start(now, &settings, seed);
-        let life = node.life;
+        let incarnation = node.incarnation;
         let node = id.clone();
-        self.note(format!("{id} starts"));
-        self.queue.add(now, SimEvent::Tick { node, life });
+        self.log_event(format!("{id} starts"));
+        self.queue.add(now, SimEvent::Tick { node, incarnation });
     }
 
-    fn tick(&mut self, node: NodeId, life: u32) {
-        if let Some(resumes) = self.defer(&node, life) {
+    fn tick(&mut self, node: NodeId, incarnation: u32) {
+        if let Some(resumes) = self.resume_time(&node, incarnation) {
             if resumes > 0 {
-                self.queue.add(resumes, SimEvent::Tick { node, life });
+                self.queue
+                    .add(resumes, SimEvent::Tick { node, incarnation });
             }
             return;
         }
-        self.tell(&node, Event::Tick);
+        self.deliver_event(&node, Event::Tick);
         let next = self.now + self.tick;
-        self.queue.add(next, SimEvent::Tick { node, life });
+        self.queue.add(next, SimEvent::Tick { node, incarnation });
     }
 
-    fn node_event(&mut self, node: NodeId, life: u32, event: Box<Event>) {
-        match self.defer(&node, life) {
+    fn node_event(&mut self, node: NodeId, incarnation: u32, event: Box<Event>) {
+        match self.resume_time(&node, incarnation) {
             Some(0) => {}
-            Some(resumes) => self
-                .queue
-                .add(resumes, SimEvent::ToNode { node, life, event }),
-            None => self.tell(&node, *event),
+            Some(resumes) => self.queue.add(
+                resumes,
+                SimEvent::ToNode {
+                    node,
+                    incarnation,
+                    event,
+                },
+            ),
+            None => self.deliver_event(&node, *event),
         }
     }
 
-    /// `None` if the node can take something now; otherwise when it can, or 0
-    /// if that life is over.
-    pub(super) fn defer(&self, node: &NodeId, life: u32) -> Option<u64> {
+    /// Time at which a suspended node resumes, `None` if the node can handle an event now, and 0 if
+    /// the incarnation has ended.
+    pub(super) fn resume_time(&self, node: &NodeId, incarnation: u32) -> Option<u64> {
         let node = self.nodes.get(node)?;
-        if node.life != life || node.node.is_none() {
+        if node.incarnation != incarnation || node.node.is_none() {
             return Some(0);
         }
         (node.paused_until > self.now).then_some(node.paused_until)
     }
 
-    /// Hands an event to a node and carries out what follows.
-    pub(super) fn tell(&mut self, id: &NodeId, event: Event) {
+    /// Delivers an event to the decision logic of a node and executes the resulting actions.
+    pub(super) fn deliver_event(&mut self, id: &NodeId, event: Event) {
         let now = Timestamp(self.now / MILLISECOND);
         let Some(node) = self.nodes.get(id).and_then(|node| node.node.as_ref()) else {
             return;
         };
         let actions = node.handle(now, event);
         for action in actions {
-            self.perform(id, action);
+            self.execute_action(id, action);
         }
     }
 
@@ -443,34 +455,35 @@
             self.history.readings.push(ConfigurationReading {
                 at: self.now,
                 node: id.clone(),
-                life: node.life,
-                versions: operator::versions(running),
+                life: node.incarnation,
+                versions: operator::row_revisions(running),
                 undisturbed_since: node.undisturbed_since,
             });
         }
-        self.queue.add(self.now + PROBE, SimEvent::Probe);
+        self.queue
+            .add(self.now + PROBE_INTERVAL_US, SimEvent::Probe);
     }
 
-    /// Notes something for people who read the history.
-    pub(super) fn note(&mut self, text: String) {
+    /// Adds a line to the log of the history, for human readers.
+    pub(super) fn log_event(&mut self, text: String) {
         self.history.log.push((self.now, text));
     }
 }
 
 fn settings(header: &Header) -> CoordinationSettings {
     let mut settings = CoordinationSettings::default();
-    let stated = &header.settings;
+    let overrides = &header.settings;
     let placement: &mut PlacementSettings = &mut settings.placement;
     placement.store_starts_per_second = header.store.starts_per_second;
     placement.store_concurrency = header.store.concurrency;
     placement.store_bandwidth = header.store.bandwidth.as_u64();
-    if let Some(least) = stated.keep_alive_min {
+    if let Some(least) = overrides.keep_alive_min {
         placement.keep_alive_min = least.as_millis() as u64;
     }
-    if let Some(most) = stated.keep_alive_max {
+    if let Some(most) = overrides.keep_alive_max {
         placement.keep_alive_max = most.as_millis() as u64;
     }
-    if let Some(share) = stated.standby_share {
+    if let Some(share) = overrides.standby_share {
         placement.standby_share = share;
     }
     settings
@@ -512,8 +525,8 @@
     }
 }
 
-/// The configuration at the start, as the table has it.
-fn first_rows(header: &Header) -> Transaction {
+/// Builds the transaction that writes the initial configuration to the table.
+fn initial_rows(header: &Header) -> Transaction {
     let mut puts = Vec::new();
     for (index, entry) in header.rows.iter().enumerate() {
         let key = RowKey {
