--- a/crates/clients/src/engine_client.rs
+++ b/crates/clients/src/engine_client.rs
@@ -20,7 +20,7 @@
 
 /// The response of an engine to an order.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct OrderAnswer {
+pub struct OrderResponse {
     /// The reason why the order was not executed; `None` if it was executed.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused: Option<OrderError>,
@@ -62,19 +62,19 @@
         };
         let result = self
             .http
-            .call::<_, OrderAnswer>(Method::POST, address, ORDERS_PATH, Some(order), time_limit)
+            .call::<_, OrderResponse>(Method::POST, address, ORDERS_PATH, Some(order), time_limit)
             .await;
         match result {
             Ok((
                 _,
-                OrderAnswer {
+                OrderResponse {
                     refused: None,
                     inventory,
                 },
             )) => OrderResult::Done(inventory),
             Ok((
                 _,
-                OrderAnswer {
+                OrderResponse {
                     refused: Some(error),
                     inventory,
                 },
--- a/crates/clients/src/machine_list.rs
+++ b/crates/clients/src/machine_list.rs
@@ -177,7 +177,7 @@
 fn parse_state(group: &TargetGroup) -> Result<MachineState, String> {
     match group.labels.get("state").map(String::as_str) {
         None | Some("live") => Ok(MachineState::Live),
-        Some("leaving") => Ok(MachineState::Leaving),
+        Some("leaving") => Ok(MachineState::Draining),
         Some(other) => Err(format!("label state=`{other}` is unknown")),
     }
 }
--- a/crates/clients/src/table_client.rs
+++ b/crates/clients/src/table_client.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 use http::Method;
 
 use crate::etcd::{
@@ -44,11 +44,11 @@
 
     /// Runs a transaction. Any failure yields [`TableAnswer::Unknown`], because the service may have
     /// committed the transaction or may still commit it.
-    pub async fn transact(&self, transaction: &Transaction) -> TableAnswer {
+    pub async fn transact(&self, transaction: &Transaction) -> TransactionResult {
         let request = self.build_request(transaction);
         let index = self.address_index.load(Ordering::Relaxed);
         let Some(address) = self.addresses.get(index % self.addresses.len().max(1)) else {
-            return TableAnswer::Unknown;
+            return TransactionResult::Unknown;
         };
         let result = self
             .http
@@ -65,7 +65,7 @@
             _ => {
                 self.address_index
                     .store(index.wrapping_add(1), Ordering::Relaxed);
-                TableAnswer::Unknown
+                TransactionResult::Unknown
             }
         }
     }
@@ -109,7 +109,7 @@
         RequestOp::RequestRange(RangeRequest { key, range_end })
     }
 
-    fn decode_response(&self, response: TxnResponse) -> TableAnswer {
+    fn decode_response(&self, response: TxnResponse) -> TransactionResult {
         let rows = response
             .responses
             .into_iter()
@@ -121,12 +121,12 @@
             .filter_map(|pair| self.decode_row(pair))
             .collect();
         if response.succeeded {
-            TableAnswer::Committed {
+            TransactionResult::Committed {
                 revision: response.header.revision.0,
                 rows,
             }
         } else {
-            TableAnswer::Conflict { rows }
+            TransactionResult::Conflict { rows }
         }
     }
 
--- a/crates/contract/src/claim.rs
+++ b/crates/contract/src/claim.rs
@@ -49,7 +49,7 @@
 
 /// The response of a group member to a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum ClaimAnswer {
+pub enum ClaimResponse {
     /// The key is recorded for this request.
     Recorded,
     /// The key is recorded for another request.
--- a/crates/contract/src/lib.rs
+++ b/crates/contract/src/lib.rs
@@ -14,14 +14,14 @@
 pub mod request;
 pub mod table;
 
-pub use claim::{ClaimAnswer, ClaimGroup, ClaimRecord, ClaimState};
+pub use claim::{ClaimGroup, ClaimRecord, ClaimResponse, ClaimState};
 pub use fence::{Epoch, Fence, Incarnation, Revision, Sequence};
 pub use lease::Lease;
 pub use message::{Heartbeat, HeldSlots, NodeState, PeerMessage, ReplicaOffer, ReplicaSet};
 pub use order::{
     EngineReport, EngineRole, Inventory, Order, OrderAction, OrderError, OrderResult, SourceTier,
 };
-pub use outcome::{AttemptOutcome, Ran, Refusal, RefusalReason};
+pub use outcome::{AttemptOutcome, ExecutionStatus, Refusal, RefusalReason};
 pub use plan::{BackEndPlan, Standby};
 pub use request::{Attempt, Grant, PriorityClass, RequestId, Ticket, TicketId};
-pub use table::{Compare, Put, TableAnswer, TableRow, Transaction, TransactionId};
+pub use table::{Compare, Put, TableRow, Transaction, TransactionId, TransactionResult};
--- a/crates/contract/src/message.rs
+++ b/crates/contract/src/message.rs
@@ -14,7 +14,7 @@
 use gorsebank_world::{Artifact, BackEndId, CellId, MachineList, QueueKey, Row, ZoneId};
 use serde::{Deserialize, Serialize};
 
-use crate::claim::{ClaimAnswer, ClaimGroup, ClaimRecord};
+use crate::claim::{ClaimGroup, ClaimRecord, ClaimResponse};
 use crate::fence::{Epoch, Fence, Incarnation, Revision};
 use crate::order::EngineReport;
 use crate::outcome::Refusal;
@@ -28,7 +28,7 @@
     Active,
     /// The node is draining: it finishes its open requests and accepts no new ones.
     #[serde(rename = "l")]
-    Leaving,
+    Draining,
 }
 
 /// A periodic message by which a node announces that it is alive, and its state.
@@ -60,7 +60,7 @@
     pub epoch: Epoch,
     /// The version of the machine list that the node has.
     #[serde(rename = "m")]
-    pub machines: u64,
+    pub machine_list_version: u64,
 }
 
 /// A replica to which requests may be sent.
@@ -111,7 +111,7 @@
     /// Set if the artifact cannot be placed at present: the time in milliseconds after which a
     /// retry makes sense.
     #[serde(rename = "n")]
-    pub no_place: Option<u64>,
+    pub retry_after_ms: Option<u64>,
 }
 
 /// A message from one node to another.
@@ -167,7 +167,7 @@
         /// Whether the back end rejected a request, could not be reached or failed before it
         /// responded.
         #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
-        troubled: bool,
+        has_failure: bool,
     },
     /// Front to owner, periodically: all slots that the front holds from this owner. The owner
     /// corrects its counts by this message, because a lost grant or release would otherwise occupy
@@ -226,10 +226,10 @@
     },
     /// Requests the machine list.
     #[serde(rename = "mq")]
-    MachinesWanted,
+    MachineListRequest,
     /// Requests the configuration rows above a revision.
     #[serde(rename = "cq")]
-    ConfigurationWanted {
+    ConfigurationRequest {
         /// The revision up to which the sender has every row.
         above: Revision,
     },
@@ -255,14 +255,14 @@
     },
     /// Claim member to front: the response to a claim.
     #[serde(rename = "ca")]
-    ClaimAnswered {
+    ClaimResponse {
         /// The epoch.
         epoch: Epoch,
         /// The request.
         request: RequestId,
         /// The response.
         #[serde(rename = "answer")]
-        answer: ClaimAnswer,
+        response: ClaimResponse,
     },
     /// Front to claim member: the request ran to completion, or (if `withdrawn`) the request was
     /// never sent and the key is free again.
@@ -314,7 +314,7 @@
     ClaimGroupChanged(ClaimGroup),
     /// Requests the claim group.
     #[serde(rename = "cw")]
-    ClaimGroupWanted,
+    ClaimGroupRequest,
 }
 
 impl PeerMessage {
@@ -335,18 +335,18 @@
             PeerMessage::Report { .. } => "report",
             PeerMessage::Suspect { .. } => "suspect",
             PeerMessage::Machines { .. } => "machines",
-            PeerMessage::MachinesWanted => "machines_wanted",
-            PeerMessage::ConfigurationWanted { .. } => "configuration_wanted",
+            PeerMessage::MachineListRequest => "machines_wanted",
+            PeerMessage::ConfigurationRequest { .. } => "configuration_wanted",
             PeerMessage::Configuration { .. } => "configuration",
             PeerMessage::Claim { .. } => "claim",
-            PeerMessage::ClaimAnswered { .. } => "claim_answered",
+            PeerMessage::ClaimResponse { .. } => "claim_answered",
             PeerMessage::ClaimEnded { .. } => "claim_ended",
             PeerMessage::ClaimSeal { .. } => "claim_seal",
             PeerMessage::ClaimSealed { .. } => "claim_sealed",
             PeerMessage::ClaimInstall { .. } => "claim_install",
             PeerMessage::ClaimInstalled { .. } => "claim_installed",
             PeerMessage::ClaimGroupChanged(_) => "claim_group_changed",
-            PeerMessage::ClaimGroupWanted => "claim_group_wanted",
+            PeerMessage::ClaimGroupRequest => "claim_group_wanted",
         }
     }
 }
--- a/crates/contract/src/outcome.rs
+++ b/crates/contract/src/outcome.rs
@@ -5,7 +5,7 @@
 /// Whether a request without a complete response ran on a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// The request did not run and will not run.
     No,
     /// The request may have run or may still be running.
@@ -40,7 +40,7 @@
     /// The reason.
     pub reason: RefusalReason,
     /// Whether the request ran.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
     /// Time in milliseconds after which a retry makes sense, computed from the expected capacity.
     pub retry_after: Option<u64>,
 }
@@ -50,7 +50,7 @@
     pub fn not_run(reason: RefusalReason, retry_after: Option<u64>) -> Self {
         Refusal {
             reason,
-            ran: Ran::No,
+            ran: ExecutionStatus::No,
             retry_after,
         }
     }
@@ -59,7 +59,7 @@
     pub fn may_have_run(reason: RefusalReason) -> Self {
         Refusal {
             reason,
-            ran: Ran::Unknown,
+            ran: ExecutionStatus::Unknown,
             retry_after: None,
         }
     }
@@ -77,11 +77,11 @@
     /// The request was sent, and the connection failed before any part of the response was sent to
     /// the caller.
     #[serde(rename = "LostBeforeAnswer")]
-    LostBeforeAnswer,
+    LostBeforeResponse,
     /// The response was interrupted after part of it was sent to the caller.
     #[serde(rename = "LostDuringAnswer")]
-    LostDuringAnswer,
+    LostDuringResponse,
     /// The caller disconnected.
     #[serde(rename = "CallerGone")]
-    CallerGone,
+    CallerDisconnected,
 }
--- a/crates/contract/src/plan.rs
+++ b/crates/contract/src/plan.rs
@@ -31,13 +31,13 @@
 
 impl BackEndPlan {
     /// Reserved bytes, including the standby memory.
-    pub fn booked(&self) -> u64 {
+    pub fn reserved_bytes(&self) -> u64 {
         self.reservations.values().sum::<u64>() + self.standby.bytes
     }
 
     /// Bytes that are not reserved.
-    pub fn free(&self) -> u64 {
-        self.capacity.saturating_sub(self.booked())
+    pub fn free_bytes(&self) -> u64 {
+        self.capacity.saturating_sub(self.reserved_bytes())
     }
 
     /// Whether the plan allows the back end to load `artifact`.
--- a/crates/contract/src/table.rs
+++ b/crates/contract/src/table.rs
@@ -73,7 +73,7 @@
 
 /// The result of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum TableAnswer {
+pub enum TransactionResult {
     /// All conditions held and all rows were written at this table revision.
     Committed {
         revision: u64,
@@ -94,12 +94,14 @@
     Unknown,
 }
 
-impl TableAnswer {
+impl TransactionResult {
     /// The rows that were read; empty if the call was rejected or got no response.
     pub fn into_rows(self) -> Vec<TableRow> {
         match self {
-            TableAnswer::Committed { rows, .. } | TableAnswer::Conflict { rows } => rows,
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => Vec::new(),
+            TransactionResult::Committed { rows, .. } | TransactionResult::Conflict { rows } => {
+                rows
+            }
+            TransactionResult::Refused { .. } | TransactionResult::Unknown => Vec::new(),
         }
     }
 }
--- a/crates/contract/tests/frames.rs
+++ b/crates/contract/tests/frames.rs
@@ -74,7 +74,7 @@
     fn revision_round_trips_through_a_frame(above in any::<u64>()) {
         let envelope = Envelope {
             from: "n".into(),
-            message: PeerMessage::ConfigurationWanted { above: Revision(above) },
+            message: PeerMessage::ConfigurationRequest { above: Revision(above) },
         };
         let mut bytes = BytesMut::new();
         let mut codec = EnvelopeCodec::default();
--- a/crates/coordination/src/claim_group.rs
+++ b/crates/coordination/src/claim_group.rs
@@ -60,7 +60,7 @@
 
 /// State of the claim group and of its reconfiguration on the placement holder.
 #[derive(Debug)]
-pub struct ClaimGroupKeeper {
+pub struct ClaimGroupManager {
     settings: ClaimSettings,
     current: ClaimGroup,
     step: Step,
@@ -69,11 +69,11 @@
     last_epoch: Epoch,
 }
 
-impl ClaimGroupKeeper {
+impl ClaimGroupManager {
     /// Creates the state from the group row that the table holds.
     pub fn new(settings: ClaimSettings, fence: Fence, current: ClaimGroup) -> Self {
         let first = Epoch(fence.0 * EPOCHS_PER_FENCE);
-        ClaimGroupKeeper {
+        ClaimGroupManager {
             settings,
             last_epoch: first.max(current.epoch),
             current,
@@ -89,7 +89,7 @@
     }
 
     /// Returns the group that the holder has to write to the table, if any.
-    pub fn wanted_row(&self) -> Option<&ClaimGroup> {
+    pub fn row_to_write(&self) -> Option<&ClaimGroup> {
         match &self.step {
             Step::Writing { group } => Some(group),
             _ => None,
@@ -97,8 +97,8 @@
     }
 
     /// Makes `group` the current group after its row has been written.
-    pub fn written(&mut self, group: ClaimGroup) {
-        if self.wanted_row() == Some(&group) {
+    pub fn record_written(&mut self, group: ClaimGroup) {
+        if self.row_to_write() == Some(&group) {
             self.current = group;
             self.step = Step::Steady;
             self.member_missing_since = None;
--- a/crates/coordination/src/claim_member.rs
+++ b/crates/coordination/src/claim_member.rs
@@ -12,7 +12,7 @@
 use crate::collections::HashMap;
 use std::collections::BTreeMap;
 
-use gorsebank_contract::{ClaimAnswer, ClaimGroup, ClaimRecord, ClaimState, Epoch, RequestId};
+use gorsebank_contract::{ClaimGroup, ClaimRecord, ClaimResponse, ClaimState, Epoch, RequestId};
 
 use crate::settings::ClaimSettings;
 use crate::time::{Periodic, Timestamp};
@@ -36,15 +36,15 @@
 }
 
 impl Ledger {
-    fn claim(&mut self, now: Timestamp, key: &str, request: RequestId) -> ClaimAnswer {
+    fn claim(&mut self, now: Timestamp, key: &str, request: RequestId) -> ClaimResponse {
         if let Some(stored) = self.records.get(key) {
             if stored.record.request == request {
-                return ClaimAnswer::Recorded;
+                return ClaimResponse::Recorded;
             }
-            return ClaimAnswer::Taken(stored.record);
+            return ClaimResponse::Taken(stored.record);
         }
         if now < self.in_doubt_until {
-            return ClaimAnswer::InDoubt(self.in_doubt_until.since(now));
+            return ClaimResponse::InDoubt(self.in_doubt_until.since(now));
         }
         let record = ClaimRecord {
             request,
@@ -52,7 +52,7 @@
         };
         self.records
             .insert(key.to_owned(), StoredClaim { record, since: now });
-        ClaimAnswer::Recorded
+        ClaimResponse::Recorded
     }
 
     fn snapshot(&self) -> BTreeMap<String, ClaimRecord> {
@@ -95,15 +95,15 @@
         epoch: Epoch,
         key: &str,
         request: RequestId,
-    ) -> ClaimAnswer {
+    ) -> ClaimResponse {
         self.activate_epoch(epoch);
         let is_sealed = epoch < self.sealed_below;
         match &mut self.active {
             Some(ledger) if ledger.group.epoch == epoch && !is_sealed => {
                 ledger.claim(now, key, request)
             }
-            Some(ledger) => ClaimAnswer::WrongEpoch(ledger.group.clone()),
-            None => ClaimAnswer::WrongEpoch(ClaimGroup::default()),
+            Some(ledger) => ClaimResponse::WrongEpoch(ledger.group.clone()),
+            None => ClaimResponse::WrongEpoch(ClaimGroup::default()),
         }
     }
 
--- a/crates/coordination/src/claim_round.rs
+++ b/crates/coordination/src/claim_round.rs
@@ -13,7 +13,7 @@
 use crate::collections::HashMap;
 use std::collections::BTreeSet;
 
-use gorsebank_contract::{ClaimAnswer, ClaimGroup, Epoch, PeerMessage, RequestId};
+use gorsebank_contract::{ClaimGroup, ClaimResponse, Epoch, PeerMessage, RequestId};
 use gorsebank_world::NodeId;
 
 use crate::rendezvous;
@@ -27,7 +27,7 @@
 
 /// The result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ClaimVerdict {
+pub enum ClaimOutcome {
     /// The key belongs to this request, which may be sent once.
     Won,
     /// The key belongs to another request, which may have run.
@@ -46,7 +46,7 @@
     /// Send a message to a member.
     Send(NodeId, PeerMessage),
     /// The claim is decided.
-    Decided(RequestId, ClaimVerdict),
+    Decided(RequestId, ClaimOutcome),
     /// A member reported this group as the active one.
     GroupReported(ClaimGroup),
 }
@@ -118,7 +118,7 @@
         member: &NodeId,
         epoch: Epoch,
         request: RequestId,
-        answer: ClaimAnswer,
+        answer: ClaimResponse,
     ) -> Vec<RoundOutput> {
         let Some(round) = self.rounds.get_mut(&request) else {
             return Vec::new();
@@ -127,10 +127,10 @@
             return Vec::new();
         }
         match answer {
-            ClaimAnswer::Recorded => {
+            ClaimResponse::Recorded => {
                 round.recorded.insert(member.clone());
                 if round.recorded.len() >= self.group.majority() {
-                    return self.decide(request, ClaimVerdict::Won);
+                    return self.decide(request, ClaimOutcome::Won);
                 }
                 if !std::mem::take(&mut round.is_first_member_only) {
                     return Vec::new();
@@ -138,15 +138,15 @@
                 let round = round.clone();
                 claim_messages(&self.group, request, &round)
             }
-            ClaimAnswer::Taken(_) => self.decide(request, ClaimVerdict::Taken),
-            ClaimAnswer::InDoubt(retry_after) => {
-                self.decide(request, ClaimVerdict::InDoubt { retry_after })
+            ClaimResponse::Taken(_) => self.decide(request, ClaimOutcome::Taken),
+            ClaimResponse::InDoubt(retry_after) => {
+                self.decide(request, ClaimOutcome::InDoubt { retry_after })
             }
-            ClaimAnswer::WrongEpoch(group) => vec![RoundOutput::GroupReported(group)],
+            ClaimResponse::WrongEpoch(group) => vec![RoundOutput::GroupReported(group)],
         }
     }
 
-    fn decide(&mut self, request: RequestId, outcome: ClaimVerdict) -> Vec<RoundOutput> {
+    fn decide(&mut self, request: RequestId, outcome: ClaimOutcome) -> Vec<RoundOutput> {
         self.rounds.remove(&request);
         vec![RoundOutput::Decided(request, outcome)]
     }
@@ -184,7 +184,7 @@
         }
         for request in expired {
             let retry_after = self.settings.timeout;
-            output.extend(self.decide(request, ClaimVerdict::InDoubt { retry_after }));
+            output.extend(self.decide(request, ClaimOutcome::InDoubt { retry_after }));
         }
         output
     }
--- a/crates/coordination/src/configuration_writer.rs
+++ b/crates/coordination/src/configuration_writer.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 
 use gorsebank_contract::{
-    Compare, Incarnation, Put, Revision, TableAnswer, TableRow, Transaction, TransactionId,
+    Compare, Incarnation, Put, Revision, TableRow, Transaction, TransactionId, TransactionResult,
 };
 use gorsebank_world::{NodeId, Row};
 use serde::{Deserialize, Serialize};
@@ -212,30 +212,32 @@
         &mut self,
         now: Timestamp,
         number: u64,
-        answer: TableAnswer,
+        answer: TransactionResult,
         configuration: &Configuration,
     ) -> Vec<WriterOutput> {
         let Some(in_flight) = self.in_flight.take_if(|sent| sent.number == number) else {
             return Vec::new();
         };
         match (in_flight.step, answer) {
-            (step @ Step::Write(_), TableAnswer::Unknown) => {
+            (step @ Step::Write(_), TransactionResult::Unknown) => {
                 self.unconfirmed_write = Some(step);
                 self.resume_at = now + RESEND_DELAY_MS;
                 Vec::new()
             }
-            (_, TableAnswer::Refused { .. } | TableAnswer::Unknown) => {
+            (_, TransactionResult::Refused { .. } | TransactionResult::Unknown) => {
                 self.resume_at = now + RESEND_DELAY_MS;
                 Vec::new()
             }
             (Step::ReadHead, answer) => self.handle_head(now, &answer.into_rows(), configuration),
             (Step::ReadAll, answer) => self.handle_all_rows(&answer.into_rows(), configuration),
-            (Step::Write(write), TableAnswer::Committed { .. }) => self.complete_write(*write),
-            (Step::Write(write), TableAnswer::Conflict { rows }) => {
+            (Step::Write(write), TransactionResult::Committed { .. }) => {
+                self.complete_write(*write)
+            }
+            (Step::Write(write), TransactionResult::Conflict { rows }) => {
                 if self.has_written(&rows, &write.id) {
                     return self.complete_write(*write);
                 }
-                self.head_read_timer.hurry();
+                self.head_read_timer.make_due();
                 Vec::new()
             }
         }
@@ -276,7 +278,7 @@
         if head > configuration.complete().0 {
             self.behind_since.get_or_insert(now);
             self.resume_at = now + RESEND_DELAY_MS;
-            self.head_read_timer.hurry();
+            self.head_read_timer.make_due();
             return Vec::new();
         }
         self.behind_since = None;
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -5,7 +5,7 @@
 
 use gorsebank_contract::{
     AttemptOutcome, EngineReport, Fence, Order, OrderResult, PeerMessage, PriorityClass, Refusal,
-    RequestId, Sequence, TableAnswer, TicketId, Transaction,
+    RequestId, Sequence, TicketId, Transaction, TransactionResult,
 };
 use gorsebank_world::{
     BackEndId, Labels, Machine, MachineList, NodeId, QueueKey, Row, RowKey, Spec,
@@ -130,7 +130,7 @@
         /// Identifies the transaction.
         tag: TransactionTag,
         /// The response.
-        answer: TableAnswer,
+        answer: TransactionResult,
     },
     /// The machine list has been read from the platform.
     MachineListRead(MachineList),
--- a/crates/coordination/src/front/credits.rs
+++ b/crates/coordination/src/front/credits.rs
@@ -55,14 +55,14 @@
 
     /// Records a message from a node. `is_current` says that the node's machine
     /// list is no newer than this node's.
-    pub fn heard(&mut self, now: Timestamp, node: &NodeId, is_current: bool) {
+    pub fn record_message(&mut self, now: Timestamp, node: &NodeId, is_current: bool) {
         if is_current {
             self.current_owners.insert(node.clone(), now);
         }
     }
 
     /// Returns all unused slots of a queue, because requests wait at its owner.
-    pub fn recalled(&mut self, now: Timestamp, queue: &QueueKey) -> Vec<FrontOutput> {
+    pub fn return_recalled_slots(&mut self, now: Timestamp, queue: &QueueKey) -> Vec<FrontOutput> {
         let until = now + RECALL_DURATION_MS;
         self.recalled.insert(queue.clone(), until);
         for credit in self.credits.remove(queue).unwrap_or_default() {
--- a/crates/coordination/src/front/mod.rs
+++ b/crates/coordination/src/front/mod.rs
@@ -16,13 +16,13 @@
 use crate::collections::{HashMap, HashSet};
 
 use gorsebank_contract::{
-    Attempt, AttemptOutcome, Grant, HeldSlots, Ran, Refusal, RefusalReason, RequestId, Ticket,
-    TicketId,
+    Attempt, AttemptOutcome, ExecutionStatus, Grant, HeldSlots, Refusal, RefusalReason, RequestId,
+    Ticket, TicketId,
 };
 use gorsebank_world::{BackEndId, MachineState, NodeId, QueueKey};
 use rand_chacha::ChaCha8Rng;
 
-use crate::claim_round::ClaimVerdict;
+use crate::claim_round::ClaimOutcome;
 use crate::event::Arrival;
 use crate::machines::MachineTable;
 use crate::membership::View;
@@ -58,7 +58,7 @@
     /// Return slots to an owner.
     Release(NodeId, Release),
     /// Report to an owner which slots this front holds.
-    Account(NodeId, Vec<HeldSlots>),
+    ReportHeldSlots(NodeId, Vec<HeldSlots>),
 }
 
 /// A slot at a back end, held for one request.
@@ -90,7 +90,7 @@
     attempt: Attempt,
     stage: Stage,
     claimed: bool,
-    ran: Ran,
+    ran: ExecutionStatus,
 }
 
 impl Pending {
@@ -202,7 +202,7 @@
     }
 
     /// Accepts a request, or refuses it if its deadline has passed.
-    pub fn arrive(
+    pub fn accept_request(
         &mut self,
         now: Timestamp,
         arrival: Arrival,
@@ -222,7 +222,7 @@
             attempt: Attempt(1),
             stage: Stage::Unoffered { not_before: now },
             claimed: false,
-            ran: Ran::No,
+            ran: ExecutionStatus::No,
         };
         self.pending.insert(request, pending);
         self.unsent.insert(request);
@@ -296,7 +296,7 @@
     }
 
     /// Applies a grant from an owner.
-    pub fn granted(
+    pub fn apply_grant(
         &mut self,
         now: Timestamp,
         owner: &NodeId,
@@ -334,7 +334,7 @@
     }
 
     /// Applies a refusal from an owner.
-    pub fn refused(&mut self, id: TicketId, refusal: Refusal) -> Vec<FrontOutput> {
+    pub fn apply_refusal(&mut self, id: TicketId, refusal: Refusal) -> Vec<FrontOutput> {
         if !self.is_waiting(id) {
             return Vec::new();
         }
@@ -342,7 +342,12 @@
     }
 
     /// Offers the tickets again that an owner returned.
-    pub fn returned(&mut self, now: Timestamp, ids: &[TicketId], view: &View) -> Vec<FrontOutput> {
+    pub fn reoffer_tickets(
+        &mut self,
+        now: Timestamp,
+        ids: &[TicketId],
+        view: &View,
+    ) -> Vec<FrontOutput> {
         let mut output = Vec::new();
         for id in ids {
             if self.is_waiting(*id) {
@@ -353,11 +358,11 @@
     }
 
     /// Applies the result of a claim.
-    pub fn claimed(
+    pub fn apply_claim_result(
         &mut self,
         now: Timestamp,
         request: RequestId,
-        verdict: ClaimVerdict,
+        verdict: ClaimOutcome,
     ) -> Vec<FrontOutput> {
         let Some(pending) = self.pending.get_mut(&request) else {
             return Vec::new();
@@ -366,17 +371,17 @@
             return Vec::new();
         };
         match verdict {
-            ClaimVerdict::Won => {
+            ClaimOutcome::Won => {
                 pending.claimed = true;
                 self.use_slot(request, slot)
             }
-            ClaimVerdict::Taken => {
+            ClaimOutcome::Taken => {
                 let queue = pending.arrival.queue.clone();
-                pending.ran = Ran::Unknown;
+                pending.ran = ExecutionStatus::Unknown;
                 self.release_slot(now, &queue, &slot, false, false);
                 self.finish_refused(request, RefusalReason::KeyUsed, None)
             }
-            ClaimVerdict::InDoubt { retry_after } => {
+            ClaimOutcome::InDoubt { retry_after } => {
                 let queue = pending.arrival.queue.clone();
                 self.release_slot(now, &queue, &slot, false, false);
                 self.finish_refused(request, RefusalReason::KeyInDoubt, Some(retry_after))
@@ -385,7 +390,7 @@
     }
 
     /// Applies the outcome of an attempt.
-    pub fn attempt_ended(
+    pub fn apply_outcome(
         &mut self,
         now: Timestamp,
         id: TicketId,
@@ -404,11 +409,13 @@
         let is_completed = outcome == AttemptOutcome::Completed;
         let has_failure = matches!(
             outcome,
-            AttemptOutcome::NotSent | AttemptOutcome::NotStarted | AttemptOutcome::LostBeforeAnswer
+            AttemptOutcome::NotSent
+                | AttemptOutcome::NotStarted
+                | AttemptOutcome::LostBeforeResponse
         );
         let is_repeatable = pending.arrival.repeatable;
-        if outcome == AttemptOutcome::LostBeforeAnswer {
-            pending.ran = Ran::Unknown;
+        if outcome == AttemptOutcome::LostBeforeResponse {
+            pending.ran = ExecutionStatus::Unknown;
         }
         if !(is_completed && self.retain(now, &queue, &slot)) {
             self.release_slot(now, &queue, &slot, is_completed, has_failure);
@@ -418,13 +425,13 @@
             AttemptOutcome::NotSent | AttemptOutcome::NotStarted => {
                 self.schedule_retry(now, id.request)
             }
-            AttemptOutcome::LostBeforeAnswer if is_repeatable => {
+            AttemptOutcome::LostBeforeResponse if is_repeatable => {
                 self.schedule_retry(now, id.request)
             }
-            AttemptOutcome::LostBeforeAnswer => {
+            AttemptOutcome::LostBeforeResponse => {
                 self.finish_refused(id.request, RefusalReason::ConnectionLost, None)
             }
-            AttemptOutcome::LostDuringAnswer | AttemptOutcome::CallerGone => {
+            AttemptOutcome::LostDuringResponse | AttemptOutcome::CallerDisconnected => {
                 self.counts.unknown += 1;
                 self.remove(id.request);
                 Vec::new()
@@ -443,7 +450,7 @@
         let not_before = now + pause;
         let may_retry = attempt < self.settings.attempts
             && not_before < pending.arrival.deadline
-            && self.budget.withdraw();
+            && self.budget.take_permit();
         if !may_retry {
             let retry_after = Some(self.settings.backoff_limit);
             return self.finish_refused(request, RefusalReason::RetriesExhausted, retry_after);
@@ -474,8 +481,8 @@
             return Vec::new();
         };
         match pending.ran {
-            Ran::No => self.counts.refused += 1,
-            Ran::Unknown => self.counts.unknown += 1,
+            ExecutionStatus::No => self.counts.refused += 1,
+            ExecutionStatus::Unknown => self.counts.unknown += 1,
         }
         let refusal = Refusal {
             reason,
@@ -483,7 +490,7 @@
             retry_after,
         };
         let mut output = Vec::new();
-        let is_unsent = pending.ran == Ran::No;
+        let is_unsent = pending.ran == ExecutionStatus::No;
         if let Some(key) = pending.arrival.key
             && is_unsent
         {
@@ -499,7 +506,7 @@
     }
 
     /// Removes a request whose caller disconnected before the request was sent.
-    pub fn abandoned(&mut self, now: Timestamp, request: RequestId) -> Vec<FrontOutput> {
+    pub fn cancel_request(&mut self, now: Timestamp, request: RequestId) -> Vec<FrontOutput> {
         if !self.unsent.contains(&request) {
             return Vec::new();
         }
--- a/crates/coordination/src/front/slots.rs
+++ b/crates/coordination/src/front/slots.rs
@@ -52,7 +52,7 @@
                     slots: total.slots,
                     service_time: (total.completed > 0)
                         .then(|| total.service_time / u64::from(total.completed.max(1))),
-                    troubled: total.has_failure,
+                    has_failure: total.has_failure,
                 };
                 FrontOutput::Release(key.owner, release)
             })
@@ -85,7 +85,7 @@
         }
         self.reported_owners = holding;
         held.into_iter()
-            .map(|(owner, slots)| FrontOutput::Account(owner, held_slots(slots)))
+            .map(|(owner, slots)| FrontOutput::ReportHeldSlots(owner, held_slots(slots)))
             .collect()
     }
 }
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -35,5 +35,5 @@
 pub use membership::{Identity, View};
 pub use node::{Node, NodeStatus};
 pub use settings::CoordinationSettings;
-pub use stream::{EventId, StreamGuard, Verdict};
+pub use stream::{EventDecision, EventId, StreamChecker};
 pub use time::Timestamp;
--- a/crates/coordination/src/machines.rs
+++ b/crates/coordination/src/machines.rs
@@ -70,7 +70,7 @@
             .collect();
         let draining = by_id
             .values()
-            .filter(|machine| machine.state == MachineState::Leaving)
+            .filter(|machine| machine.state == MachineState::Draining)
             .map(|machine| machine.id.clone());
         let removed = self
             .by_id
--- a/crates/coordination/src/membership.rs
+++ b/crates/coordination/src/membership.rs
@@ -180,8 +180,8 @@
 
     /// Announces that this node is draining and accepts no new work.
     pub fn start_draining(&mut self) {
-        self.state = NodeState::Leaving;
-        self.heartbeat_timer.hurry();
+        self.state = NodeState::Draining;
+        self.heartbeat_timer.make_due();
         self.rebuild_view();
     }
 
@@ -189,7 +189,7 @@
     pub fn set_held_fence(&mut self, held_fence: Option<Fence>) {
         if self.held_fence != held_fence {
             self.held_fence = held_fence;
-            self.heartbeat_timer.hurry();
+            self.heartbeat_timer.make_due();
             self.rebuild_view();
         }
     }
@@ -259,7 +259,7 @@
             fence: self.view.fence,
             holder: state.held_fence.is_some(),
             epoch: state.epoch,
-            machines: state.machines,
+            machine_list_version: state.machines,
         };
         Some((heartbeat, self.receivers()))
     }
--- a/crates/coordination/src/node/apply.rs
+++ b/crates/coordination/src/node/apply.rs
@@ -57,7 +57,7 @@
                 FrontOutput::Refuse(request, refusal) => {
                     context.actions.push(Action::Refuse { request, refusal });
                 }
-                FrontOutput::Account(owner, held) => {
+                FrontOutput::ReportHeldSlots(owner, held) => {
                     self.send(context, owner, PeerMessage::Held(held));
                 }
                 FrontOutput::Release(owner, release) => {
@@ -66,7 +66,7 @@
                         back_end: release.back_end,
                         slots: release.slots,
                         service_time: release.service_time,
-                        troubled: release.troubled,
+                        has_failure: release.has_failure,
                     };
                     self.send(context, owner, message);
                 }
@@ -87,7 +87,7 @@
             }),
             None => {
                 let outcome = AttemptOutcome::NotSent;
-                let output = self.front.lock().attempt_ended(context.now, id, outcome);
+                let output = self.front.lock().apply_outcome(context.now, id, outcome);
                 self.apply_front(context, output);
             }
         }
@@ -98,7 +98,10 @@
             match output {
                 RoundOutput::Send(to, message) => self.send(context, to, message),
                 RoundOutput::Decided(request, outcome) => {
-                    let output = self.front.lock().claimed(context.now, request, outcome);
+                    let output =
+                        self.front
+                            .lock()
+                            .apply_claim_result(context.now, request, outcome);
                     self.apply_front(context, output);
                 }
                 RoundOutput::GroupReported(group) => self.apply_claim_group(context, group),
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -268,15 +268,18 @@
             Event::Received { from, message } => self.receive(context, &from, message),
             Event::RequestArrived(arrival) => {
                 let (view, machines) = (self.view(), self.machines());
-                let output = self.front.lock().arrive(now, arrival, &view, &machines);
+                let output = self
+                    .front
+                    .lock()
+                    .accept_request(now, arrival, &view, &machines);
                 self.apply_front(context, output);
             }
             Event::RequestAbandoned(request) => {
-                let output = self.front.lock().abandoned(now, request);
+                let output = self.front.lock().cancel_request(now, request);
                 self.apply_front(context, output);
             }
             Event::AttemptEnded { id, outcome } => {
-                let output = self.front.lock().attempt_ended(now, id, outcome);
+                let output = self.front.lock().apply_outcome(now, id, outcome);
                 self.apply_front(context, output);
             }
             Event::TableAnswered { tag, answer } => match tag {
@@ -285,7 +288,7 @@
                     let output = self
                         .placement
                         .lock()
-                        .table_answered(now, number, answer, &view);
+                        .apply_table_response(now, number, answer, &view);
                     self.apply_placement(context, output);
                     self.tick_placement(context);
                 }
@@ -312,7 +315,7 @@
             } => {
                 self.placement
                     .lock()
-                    .order_answered(now, &back_end, fence, sequence, result);
+                    .apply_order_result(now, &back_end, fence, sequence, result);
                 self.tick_placement(context);
             }
             Event::ReportRead { back_end, report } => {
@@ -330,7 +333,7 @@
                 }
             }
             Event::ChangeRequested { id, change } => {
-                if self.membership.lock().state() == NodeState::Leaving {
+                if self.membership.lock().state() == NodeState::Draining {
                     let result = Err(ChangeError::Stopping);
                     context.actions.push(Action::AnswerChange { id, result });
                     return;
@@ -432,9 +435,9 @@
         let (returned, decisions, demands) = {
             let mut queues = self.queues.lock();
             queues.apply_view(&view);
-            let returned = queues.hand_back(&view, &self.identity.node);
+            let returned = queues.return_tickets(&view, &self.identity.node);
             let decisions = queues.review(context.now);
-            let demands = queues.demands(context.now);
+            let demands = queues.due_demands(context.now);
             (returned, decisions, demands)
         };
         for (front, id) in returned {
--- a/crates/coordination/src/node/receive.rs
+++ b/crates/coordination/src/node/receive.rs
@@ -18,7 +18,7 @@
                 let (decisions, demands) = {
                     let mut queues = self.queues.lock();
                     let decisions = queues.offer(now, from, &tickets, &machines);
-                    (decisions, queues.demands(now))
+                    (decisions, queues.due_demands(now))
                 };
                 self.apply_decisions(context, decisions);
                 let view = self.view();
@@ -30,21 +30,21 @@
                     let output = self
                         .front
                         .lock()
-                        .granted(now, from, grant, &view, &machines);
+                        .apply_grant(now, from, grant, &view, &machines);
                     self.apply_front(context, output);
                 }
             }
             PeerMessage::Refused { id, refusal } => {
-                let output = self.front.lock().refused(id, refusal);
+                let output = self.front.lock().apply_refusal(id, refusal);
                 self.apply_front(context, output);
             }
             PeerMessage::Returned(ids) => {
                 let view = self.view();
-                let output = self.front.lock().returned(now, &ids, &view);
+                let output = self.front.lock().reoffer_tickets(now, &ids, &view);
                 self.apply_front(context, output);
             }
             PeerMessage::Recall(queue) => {
-                let output = self.front.lock().recalled(now, &queue);
+                let output = self.front.lock().return_recalled_slots(now, &queue);
                 self.apply_front(context, output);
             }
             PeerMessage::Cancel { queue, id } => self.queues.lock().cancel(&queue, id),
@@ -53,18 +53,18 @@
                 back_end,
                 slots,
                 service_time,
-                troubled,
+                has_failure: troubled,
             } => {
                 let release = Release {
                     queue,
                     back_end,
                     slots,
                     service_time,
-                    troubled,
+                    has_failure: troubled,
                 };
                 self.release_slots(context, from, &release);
             }
-            PeerMessage::Held(held) => self.queues.lock().correct_held(now, from, &held),
+            PeerMessage::Held(held) => self.queues.lock().apply_held_report(now, from, &held),
             PeerMessage::Demand {
                 artifact,
                 waiting,
@@ -83,7 +83,7 @@
                     let configuration = self.configuration.read();
                     self.placement
                         .lock()
-                        .demanded(now, from, &demand, &configuration);
+                        .apply_demand(now, from, &demand, &configuration);
                 }
                 if demand.waiting > 0 {
                     self.tick_placement(context);
@@ -95,19 +95,23 @@
                 self.apply_decisions(context, decisions);
             }
             PeerMessage::Report { back_end, report } => {
-                self.placement.lock().reported(now, &back_end, report);
+                self.placement
+                    .lock()
+                    .apply_engine_report(now, &back_end, report);
                 self.tick_placement(context);
             }
-            PeerMessage::Suspect { back_end } => self.placement.lock().suspected(now, &back_end),
+            PeerMessage::Suspect { back_end } => {
+                self.placement.lock().inspect_back_end(now, &back_end)
+            }
             PeerMessage::Machines { version, machines } => {
                 let updated = self.machines().with_received_list(version, machines);
                 self.apply_machine_list(context, updated, false);
             }
-            PeerMessage::MachinesWanted => {
+            PeerMessage::MachineListRequest => {
                 let message = machines_message(&self.machines());
                 self.send(context, from.clone(), message);
             }
-            PeerMessage::ConfigurationWanted { above } => {
+            PeerMessage::ConfigurationRequest { above } => {
                 let message = self.configuration_above(above);
                 self.send(context, from.clone(), message);
             }
@@ -141,17 +145,17 @@
                 request,
             } => {
                 let answer = self.claims.lock().member.claim(now, epoch, &key, request);
-                let message = PeerMessage::ClaimAnswered {
+                let message = PeerMessage::ClaimResponse {
                     epoch,
                     request,
-                    answer,
+                    response: answer,
                 };
                 self.send(context, from.clone(), message);
             }
-            PeerMessage::ClaimAnswered {
+            PeerMessage::ClaimResponse {
                 epoch,
                 request,
-                answer,
+                response: answer,
             } => {
                 let output = self
                     .claims
@@ -200,7 +204,7 @@
                 self.tick_placement(context);
             }
             PeerMessage::ClaimGroupChanged(group) => self.apply_claim_group(context, group),
-            PeerMessage::ClaimGroupWanted => {
+            PeerMessage::ClaimGroupRequest => {
                 let group = self.claims.lock().rounds.group().clone();
                 let message = PeerMessage::ClaimGroupChanged(group);
                 self.send(context, from.clone(), message);
@@ -220,19 +224,21 @@
         let own_epoch = self.claims.lock().rounds.group().epoch;
         let is_same_cell = heartbeat.cell == self.identity.cell;
         if heartbeat.revision > own_revision {
-            let message = PeerMessage::ConfigurationWanted {
+            let message = PeerMessage::ConfigurationRequest {
                 above: own_revision,
             };
             self.send(context, from.clone(), message);
         }
-        if is_same_cell && heartbeat.machines > own_machines {
-            self.send(context, from.clone(), PeerMessage::MachinesWanted);
+        if is_same_cell && heartbeat.machine_list_version > own_machines {
+            self.send(context, from.clone(), PeerMessage::MachineListRequest);
         }
         if is_same_cell && heartbeat.epoch > own_epoch {
-            self.send(context, from.clone(), PeerMessage::ClaimGroupWanted);
+            self.send(context, from.clone(), PeerMessage::ClaimGroupRequest);
         }
-        let is_current = is_same_cell && heartbeat.machines <= own_machines;
-        self.front.lock().heard(context.now, from, is_current);
+        let is_current = is_same_cell && heartbeat.machine_list_version <= own_machines;
+        self.front
+            .lock()
+            .record_message(context.now, from, is_current);
         self.membership.lock().observe(context.now, from, heartbeat);
     }
 
@@ -244,7 +250,7 @@
     ) {
         let decisions = self.queues.lock().release(context.now, from, release);
         self.apply_decisions(context, decisions);
-        if !release.troubled {
+        if !release.has_failure {
             return;
         }
         if let Some(holder) = self.view().holder.clone() {
--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/spread.rs
@@ -46,7 +46,7 @@
                 // may have further rows, which this node requests.
                 if let Some(from) = from {
                     let above = delta.complete;
-                    let message = PeerMessage::ConfigurationWanted { above };
+                    let message = PeerMessage::ConfigurationRequest { above };
                     self.send(context, from.clone(), message);
                 }
             }
@@ -71,7 +71,7 @@
                     self.send(
                         context,
                         from.clone(),
-                        PeerMessage::ConfigurationWanted { above },
+                        PeerMessage::ConfigurationRequest { above },
                     );
                 }
             }
--- a/crates/coordination/src/placement/announce.rs
+++ b/crates/coordination/src/placement/announce.rs
@@ -55,7 +55,7 @@
                 version: self.last_version,
                 ready: state.ready.clone(),
                 expected: state.expected.map(|at| at.since(now)),
-                no_place: state.no_place.then_some(NO_PLACE_RETRY_MS),
+                retry_after_ms: state.no_place.then_some(NO_PLACE_RETRY_MS),
             };
             output.push(PlacementOutput::Send(
                 state.owner.clone(),
--- a/crates/coordination/src/placement/decisions.rs
+++ b/crates/coordination/src/placement/decisions.rs
@@ -7,7 +7,7 @@
 use gorsebank_contract::{ClaimGroup, Put};
 use gorsebank_world::{Artifact, BackEndId};
 
-use crate::claim_group::ClaimGroupKeeper;
+use crate::claim_group::ClaimGroupManager;
 use crate::configuration::Configuration;
 use crate::configuration_writer::to_json;
 use crate::placement::engine::Engine;
@@ -100,7 +100,9 @@
     }
 
     fn wanted_group(&self) -> Option<&ClaimGroup> {
-        self.groups.as_ref().and_then(ClaimGroupKeeper::wanted_row)
+        self.groups
+            .as_ref()
+            .and_then(ClaimGroupManager::row_to_write)
     }
 }
 
@@ -125,7 +127,7 @@
     let has_reservation = engine.next.reservations.contains_key(artifact);
     let has_standby_memory = engine.is_standby(artifact)
         && (engine.may_hold(artifact) || engine.standby_free() >= bytes);
-    if has_reservation || has_standby_memory || engine.next.free() < bytes {
+    if has_reservation || has_standby_memory || engine.next.free_bytes() < bytes {
         return;
     }
     Arc::make_mut(&mut engine.next)
--- a/crates/coordination/src/placement/engine/memory.rs
+++ b/crates/coordination/src/placement/engine/memory.rs
@@ -123,7 +123,7 @@
             .filter(|(artifact, _)| !self.is_standby(artifact))
             .map(|(_, bytes)| bytes)
             .sum();
-        (self.next.free() + released).saturating_sub(promised)
+        (self.next.free_bytes() + released).saturating_sub(promised)
     }
 
     /// Bytes of the standby share that are available to another artifact under
--- a/crates/coordination/src/placement/engine/mod.rs
+++ b/crates/coordination/src/placement/engine/mod.rs
@@ -288,7 +288,7 @@
     /// Whether the engine is unlisted or draining, and has not responded for a
     /// long time.
     pub fn is_removable(&self, now: Timestamp) -> bool {
-        self.machine.state == MachineState::Leaving
+        self.machine.state == MachineState::Draining
             && now.since(self.last_answer) > UNLISTED_RETENTION_MS
     }
 
--- a/crates/coordination/src/placement/lease_keeper.rs
+++ b/crates/coordination/src/placement/lease_keeper.rs
@@ -12,7 +12,7 @@
 //! lease.
 
 use gorsebank_contract::{
-    Compare, Fence, Lease, Put, TableAnswer, TableRow, Transaction, TransactionId,
+    Compare, Fence, Lease, Put, TableRow, Transaction, TransactionId, TransactionResult,
 };
 use gorsebank_world::CellId;
 
@@ -227,13 +227,13 @@
         &mut self,
         now: Timestamp,
         number: u64,
-        answer: TableAnswer,
+        answer: TransactionResult,
         view: &View,
     ) -> (LeaseEvent, Option<(u64, Transaction)>) {
         let Some(mut sent) = self.in_flight.take_if(|sent| sent.number == number) else {
             return (LeaseEvent::Nothing, None);
         };
-        if answer == TableAnswer::Unknown {
+        if answer == TransactionResult::Unknown {
             if !matches!(sent.purpose, Purpose::ReadLease) {
                 sent.resend_at = Some(now + RESEND_DELAY_MS);
                 self.in_flight = Some(sent);
@@ -253,7 +253,7 @@
     fn apply_lease_read(
         &mut self,
         now: Timestamp,
-        answer: TableAnswer,
+        answer: TransactionResult,
         view: &View,
     ) -> Option<(u64, Transaction)> {
         if !is_candidate(view, &self.identity) {
@@ -275,7 +275,7 @@
         &mut self,
         now: Timestamp,
         lease: &Lease,
-        answer: TableAnswer,
+        answer: TransactionResult,
     ) -> LeaseEvent {
         let Some((modified, rows)) = self.committed_at(lease, answer) else {
             self.step_down(now);
@@ -297,7 +297,7 @@
         now: Timestamp,
         number: u64,
         lease: &Lease,
-        answer: TableAnswer,
+        answer: TransactionResult,
     ) -> LeaseEvent {
         let Some((modified, _)) = self.committed_at(lease, answer) else {
             self.step_down(now);
@@ -313,17 +313,21 @@
 
     /// The revision at which the transaction that wrote `lease` took effect, and
     /// the rows that were read; `None` if the transaction had no effect.
-    fn committed_at(&self, lease: &Lease, answer: TableAnswer) -> Option<(u64, Vec<TableRow>)> {
+    fn committed_at(
+        &self,
+        lease: &Lease,
+        answer: TransactionResult,
+    ) -> Option<(u64, Vec<TableRow>)> {
         match answer {
-            TableAnswer::Committed { revision, rows } => Some((revision, rows)),
-            TableAnswer::Conflict { rows } => {
+            TransactionResult::Committed { revision, rows } => Some((revision, rows)),
+            TransactionResult::Conflict { rows } => {
                 let key = lease_key(&self.identity.cell);
                 let row = rows.iter().find(|row| row.key == key)?;
                 let written: Lease = serde_json::from_str(&row.value).ok()?;
                 let modified = row.modified;
                 (written.transaction == lease.transaction).then_some((modified, rows))
             }
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => None,
+            TransactionResult::Refused { .. } | TransactionResult::Unknown => None,
         }
     }
 }
--- a/crates/coordination/src/placement/mod.rs
+++ b/crates/coordination/src/placement/mod.rs
@@ -28,11 +28,11 @@
 
 use gorsebank_contract::{
     BackEndPlan, ClaimGroup, EngineReport, Fence, Incarnation, Order, OrderResult, PeerMessage,
-    Sequence, TableAnswer, TableRow, Transaction,
+    Sequence, TableRow, Transaction, TransactionResult,
 };
 use gorsebank_world::{Artifact, BackEndId, Machine, MachineRole, MachineState, NodeId};
 
-use crate::claim_group::ClaimGroupKeeper;
+use crate::claim_group::ClaimGroupManager;
 use crate::configuration::Configuration;
 use crate::machines::MachineTable;
 use crate::membership::{Identity, View};
@@ -78,7 +78,7 @@
     policy: KeepAlivePolicy,
     store: StoreBudget,
     slowdown: LoadSlowdown,
-    groups: Option<ClaimGroupKeeper>,
+    groups: Option<ClaimGroupManager>,
     awaiting_commit: Vec<(BackEndId, Incarnation)>,
     group_in_flight: Option<ClaimGroup>,
     standby_reviews: Periodic,
@@ -204,11 +204,11 @@
     }
 
     /// Applies the table's response to transaction `number`.
-    pub fn table_answered(
+    pub fn apply_table_response(
         &mut self,
         now: Timestamp,
         number: u64,
-        answer: TableAnswer,
+        answer: TransactionResult,
         view: &View,
     ) -> Vec<PlacementOutput> {
         let (event, next) = self.lease.apply_response(now, number, answer, view);
@@ -241,12 +241,12 @@
                 self.unlisted_plans.insert(BackEndId::from(id), plan);
             }
         }
-        self.groups = Some(ClaimGroupKeeper::new(
+        self.groups = Some(ClaimGroupManager::new(
             self.claim_settings.clone(),
             fence,
             group,
         ));
-        self.standby_reviews.hurry();
+        self.standby_reviews.make_due();
         self.store = StoreBudget::new(&self.settings);
         self.store.try_start(now, 0);
     }
@@ -264,13 +264,13 @@
             return Vec::new();
         };
         if let Some(groups) = &mut self.groups {
-            groups.written(group.clone());
+            groups.record_written(group.clone());
         }
         vec![PlacementOutput::GroupInForce(group)]
     }
 
     /// The claim group keeper, if this node holds the lease.
-    pub fn claim_groups(&mut self) -> Option<&mut ClaimGroupKeeper> {
+    pub fn claim_groups(&mut self) -> Option<&mut ClaimGroupManager> {
         self.groups.as_mut()
     }
 
@@ -300,7 +300,7 @@
             .iter_mut()
             .filter(|(id, _)| !present.contains(*id));
         for (_, engine) in unlisted {
-            engine.machine.state = MachineState::Leaving;
+            engine.machine.state = MachineState::Draining;
         }
         self.remove_engines(now);
     }
@@ -351,7 +351,7 @@
     }
 
     /// Applies an engine's response to an order.
-    pub fn order_answered(
+    pub fn apply_order_result(
         &mut self,
         now: Timestamp,
         back_end: &BackEndId,
@@ -386,14 +386,19 @@
     }
 
     /// Schedules an inspection after a front reported trouble with a back end.
-    pub fn suspected(&mut self, now: Timestamp, back_end: &BackEndId) {
+    pub fn inspect_back_end(&mut self, now: Timestamp, back_end: &BackEndId) {
         if let Some(engine) = self.engines.get_mut(back_end) {
             engine.inspect_soon(now);
         }
     }
 
     /// Applies a watcher's report about an engine.
-    pub fn reported(&mut self, now: Timestamp, back_end: &BackEndId, report: Option<EngineReport>) {
+    pub fn apply_engine_report(
+        &mut self,
+        now: Timestamp,
+        back_end: &BackEndId,
+        report: Option<EngineReport>,
+    ) {
         if let Some(engine) = self.engines.get_mut(back_end) {
             engine.apply_report(now, report);
         }
--- a/crates/coordination/src/placement/replicas.rs
+++ b/crates/coordination/src/placement/replicas.rs
@@ -57,7 +57,7 @@
 
 impl Placement {
     /// Applies a demand report of a queue owner.
-    pub fn demanded(
+    pub fn apply_demand(
         &mut self,
         now: Timestamp,
         owner: &NodeId,
@@ -192,7 +192,7 @@
     }
 
     fn is_table_available(&self, now: Timestamp) -> bool {
-        self.lease.pending_time(now) < self.settings.table_patience
+        self.lease.pending_time(now) < self.settings.table_outage_timeout
     }
 
     /// Number of targets whose loads have not started.
--- a/crates/coordination/src/placement/standby.rs
+++ b/crates/coordination/src/placement/standby.rs
@@ -133,7 +133,7 @@
     let share = engine.next.standby.bytes;
     let limit = (engine.next.capacity as f64 * settings.standby_share) as u64;
     let growth = bytes.saturating_sub(share);
-    bytes <= share || (bytes <= limit && growth <= engine.next.free())
+    bytes <= share || (bytes <= limit && growth <= engine.next.free_bytes())
 }
 
 fn add_member(engine: &mut Engine, parts: &[(Artifact, u64)]) {
--- a/crates/coordination/src/queue.rs
+++ b/crates/coordination/src/queue.rs
@@ -275,7 +275,7 @@
         }
         self.replica_version = version;
         self.expected = set.expected.map(|remaining| now + remaining);
-        self.no_place_until = set.no_place.map(|remaining| now + remaining);
+        self.no_place_until = set.retry_after_ms.map(|remaining| now + remaining);
         self.use_replicas(usable);
         true
     }
--- a/crates/coordination/src/queues.rs
+++ b/crates/coordination/src/queues.rs
@@ -95,7 +95,7 @@
             return Vec::new();
         };
         queue.release(now, front, &release.back_end, release.slots);
-        if release.troubled {
+        if release.has_failure {
             queue.suspend(&release.back_end, now + self.settings.suspension);
         }
         if let Some(milliseconds) = release.service_time {
@@ -105,7 +105,7 @@
     }
 
     /// Replaces the number of slots that a front holds by the front's own report.
-    pub fn correct_held(&mut self, now: Timestamp, front: &NodeId, held: &[HeldSlots]) {
+    pub fn apply_held_report(&mut self, now: Timestamp, front: &NodeId, held: &[HeldSlots]) {
         let mut reports: HashMap<&QueueKey, HashMap<&BackEndId, u32>> = HashMap::default();
         for slots in held {
             reports
@@ -177,11 +177,11 @@
 
     /// Returns the tickets of queues that another node owns now, or of all queues
     /// if this node is draining.
-    pub fn hand_back(&mut self, view: &View, this: &NodeId) -> Vec<(NodeId, TicketId)> {
+    pub fn return_tickets(&mut self, view: &View, this: &NodeId) -> Vec<(NodeId, TicketId)> {
         let is_draining = view
             .nodes
             .get(this)
-            .is_none_or(|node| node.state == NodeState::Leaving);
+            .is_none_or(|node| node.state == NodeState::Draining);
         let mut returned = Vec::new();
         for (key, queue) in &mut self.queues {
             if queue.waiting_count() == 0 {
@@ -211,7 +211,7 @@
     }
 
     /// Demand reports that are due.
-    pub fn demands(&mut self, now: Timestamp) -> Vec<Demand> {
+    pub fn due_demands(&mut self, now: Timestamp) -> Vec<Demand> {
         let mut demands = Vec::new();
         for (key, queue) in &mut self.queues {
             let Some(artifact) = key.artifact() else {
@@ -256,7 +256,7 @@
     pub service_time: Option<u64>,
     /// Whether the back end rejected a request, could not be reached, or lost the
     /// connection before its response.
-    pub troubled: bool,
+    pub has_failure: bool,
 }
 
 fn new_queue(key: &QueueKey, now: Timestamp, machines: &MachineTable) -> ModelQueue {
--- a/crates/coordination/src/retry.rs
+++ b/crates/coordination/src/retry.rs
@@ -32,7 +32,7 @@
     }
 
     /// Takes one retry out of the budget. Returns `false` if the budget is used up.
-    pub fn withdraw(&mut self) -> bool {
+    pub fn take_permit(&mut self) -> bool {
         if self.balance < 1.0 {
             return false;
         }
--- a/crates/coordination/src/settings.rs
+++ b/crates/coordination/src/settings.rs
@@ -95,7 +95,7 @@
     /// Time without the table after which dormant models may be loaded into the
     /// standby memory of engines without a transaction.
     #[serde(rename = "table_patience")]
-    pub table_patience: u64,
+    pub table_outage_timeout: u64,
     /// Time after which an engine that did not respond is inspected again.
     pub inspect_interval: u64,
     /// Fraction of an engine's memory that is reserved for dormant models.
@@ -121,7 +121,7 @@
         PlacementSettings {
             lease_interval: 2_000,
             table_timeout: 1_000,
-            table_patience: 1_500,
+            table_outage_timeout: 1_500,
             inspect_interval: 1_000,
             standby_share: 0.34,
             store_starts_per_second: 2.0,
--- a/crates/coordination/src/stream.rs
+++ b/crates/coordination/src/stream.rs
@@ -46,7 +46,7 @@
 
 /// Decision about an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum EventDecision {
     /// Forward the event to the caller.
     Forward,
     /// Drop the event, because the caller has already received it.
@@ -59,16 +59,16 @@
 
 /// Checks the order of the events of one response stream.
 #[derive(Clone, Debug)]
-pub struct StreamGuard {
+pub struct StreamChecker {
     stream: String,
     next: u64,
     finished: bool,
 }
 
-impl StreamGuard {
+impl StreamChecker {
     /// Creates a guard for the stream `stream`, whose next event has number `next`.
     pub fn new(stream: impl Into<String>, next: u64) -> Self {
-        StreamGuard {
+        StreamChecker {
             stream: stream.into(),
             next,
             finished: false,
@@ -76,19 +76,19 @@
     }
 
     /// Decides what to do with an event. `last` marks the last event of the stream.
-    pub fn judge(&mut self, id: &EventId, last: bool) -> Verdict {
+    pub fn check_event(&mut self, id: &EventId, last: bool) -> EventDecision {
         if id.stream != self.stream {
-            return Verdict::Foreign;
+            return EventDecision::Foreign;
         }
         if id.number < self.next {
-            return Verdict::Duplicate;
+            return EventDecision::Duplicate;
         }
         if id.number > self.next {
-            return Verdict::Gap;
+            return EventDecision::Gap;
         }
         self.next += 1;
         self.finished = last;
-        Verdict::Forward
+        EventDecision::Forward
     }
 
     /// Returns the number of the next expected event.
--- a/crates/coordination/src/time.rs
+++ b/crates/coordination/src/time.rs
@@ -64,7 +64,7 @@
     }
 
     /// Makes the timer due immediately.
-    pub fn hurry(&mut self) {
+    pub fn make_due(&mut self) {
         self.next = Timestamp(0);
     }
 }
--- a/crates/emulator/src/model/engine.rs
+++ b/crates/emulator/src/model/engine.rs
@@ -64,9 +64,9 @@
 
 /// The state of an order after the engine received it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum OrderStart {
+pub enum OrderProgress {
     /// The order is finished, with this result.
-    Settled(OrderResult),
+    Finished(OrderResult),
     /// The load is running; call [`EngineModel::load_ended`] when it ends.
     Loading {
         /// The artifact of the event.
@@ -138,7 +138,7 @@
     }
 
     /// Executes an order. A load only begins.
-    pub fn order(&mut self, now: u64, order: &Order) -> OrderStart {
+    pub fn order(&mut self, now: u64, order: &Order) -> OrderProgress {
         if let Err(error) = self.admit(order) {
             return self.refuse_order(error);
         }
@@ -166,7 +166,7 @@
         Ok(())
     }
 
-    fn change_role(&mut self, now: u64, role: EngineRole) -> OrderStart {
+    fn change_role(&mut self, now: u64, role: EngineRole) -> OrderProgress {
         if !self.loaded.is_empty() || !self.loading.is_empty() {
             return self.refuse_order(OrderError::Busy);
         }
@@ -175,7 +175,7 @@
         self.finish_order()
     }
 
-    fn load(&mut self, now: u64, artifact: &Artifact, bytes: u64) -> OrderStart {
+    fn load(&mut self, now: u64, artifact: &Artifact, bytes: u64) -> OrderProgress {
         if self.loaded.contains_key(artifact) {
             return self.finish_order();
         }
@@ -197,7 +197,7 @@
         };
         self.record(now, event);
         let tier = self.cached.get(artifact).copied();
-        OrderStart::Loading {
+        OrderProgress::Loading {
             artifact: artifact.clone(),
             bytes,
             tier: tier.unwrap_or(SourceTier::Remote),
@@ -232,7 +232,7 @@
         }
     }
 
-    fn unload(&mut self, now: u64, artifact: &Artifact) -> OrderStart {
+    fn unload(&mut self, now: u64, artifact: &Artifact) -> OrderProgress {
         let has_adapters = self
             .loaded
             .keys()
@@ -272,12 +272,12 @@
         }
     }
 
-    fn finish_order(&self) -> OrderStart {
-        OrderStart::Settled(OrderResult::Done(self.inventory()))
+    fn finish_order(&self) -> OrderProgress {
+        OrderProgress::Finished(OrderResult::Done(self.inventory()))
     }
 
-    fn refuse_order(&self, error: OrderError) -> OrderStart {
-        OrderStart::Settled(OrderResult::Refused(error, self.inventory()))
+    fn refuse_order(&self, error: OrderError) -> OrderProgress {
+        OrderProgress::Finished(OrderResult::Refused(error, self.inventory()))
     }
 
     /// The inventory of the engine.
--- a/crates/emulator/src/model/table.rs
+++ b/crates/emulator/src/model/table.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 
 #[derive(Clone, Debug)]
 struct Value {
@@ -21,14 +21,14 @@
 
 impl TableModel {
     /// Executes a transaction.
-    pub fn transact(&mut self, transaction: &Transaction) -> TableAnswer {
+    pub fn transact(&mut self, transaction: &Transaction) -> TransactionResult {
         self.transactions += 1;
         let compares_hold = transaction
             .compares
             .iter()
             .all(|compare| self.modified(&compare.key) == compare.modified);
         if !compares_hold {
-            return TableAnswer::Conflict {
+            return TransactionResult::Conflict {
                 rows: self.read(&transaction.reads),
             };
         }
@@ -42,7 +42,7 @@
             };
             self.rows.insert(put.key.clone(), value);
         }
-        TableAnswer::Committed {
+        TransactionResult::Committed {
             revision: self.revision,
             rows: self.read(&transaction.reads),
         }
--- a/crates/emulator/src/server/engine.rs
+++ b/crates/emulator/src/server/engine.rs
@@ -19,7 +19,7 @@
 use axum::{Json, Router};
 use futures_util::stream;
 use gorsebank_clients::HttpClient;
-use gorsebank_clients::engine_client::{ORDERS_PATH, OrderAnswer, REPORT_PATH};
+use gorsebank_clients::engine_client::{ORDERS_PATH, OrderResponse, REPORT_PATH};
 use gorsebank_contract::{EngineReport, Order, OrderResult, SourceTier};
 use gorsebank_world::Artifact;
 use parking_lot::Mutex;
@@ -27,7 +27,7 @@
 use serde_json::{Value, json};
 use tokio::sync::Notify;
 
-use crate::model::engine::{EngineModel, EngineRecord, OrderStart};
+use crate::model::engine::{EngineModel, EngineRecord, OrderProgress};
 use crate::server::clock::{Clock, new_incarnation};
 use crate::server::store::StoreServer;
 use crate::server::stream::{ResponseStream, ResponseStreams};
@@ -64,7 +64,7 @@
     /// The prefill time of a prompt without a cached prefix.
     pub prefill: Duration,
     /// The time between two tokens.
-    pub token: Duration,
+    pub token_interval: Duration,
     /// The bandwidth of loads from disk, in bytes per second.
     pub disk_bandwidth: u64,
     /// The bandwidth of loads from main memory, in bytes per second.
@@ -236,8 +236,8 @@
 ) -> Response {
     let start = server.model.lock().order(server.clock.now(), &order);
     let result = match start {
-        OrderStart::Settled(result) => result,
-        OrderStart::Loading {
+        OrderProgress::Finished(result) => result,
+        OrderProgress::Loading {
             artifact,
             bytes,
             tier,
@@ -248,13 +248,13 @@
         }
     };
     match result {
-        OrderResult::Done(inventory) => Json(OrderAnswer {
+        OrderResult::Done(inventory) => Json(OrderResponse {
             refused: None,
             inventory,
         })
         .into_response(),
         OrderResult::Refused(error, inventory) => {
-            let answer = OrderAnswer {
+            let answer = OrderResponse {
                 refused: Some(error),
                 inventory,
             };
@@ -405,7 +405,7 @@
                 break;
             }
             if number > 0 {
-                tokio::time::sleep(self.server.settings.token).await;
+                tokio::time::sleep(self.server.settings.token_interval).await;
             }
             let word = format!("{}-{number} ", self.artifact.model);
             self.response.push(self.chunk(&word, None));
--- a/crates/emulator/src/server/table.rs
+++ b/crates/emulator/src/server/table.rs
@@ -15,7 +15,7 @@
     Base64, KeyValue, Number, PutResponse, RangeRequest, RangeResponse, RequestOp, ResponseHeader,
     ResponseOp, TxnRequest, TxnResponse,
 };
-use gorsebank_contract::{Compare, Put, TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{Compare, Put, TableRow, Transaction, TransactionResult};
 use parking_lot::Mutex;
 use serde::{Deserialize, Serialize};
 
@@ -103,18 +103,18 @@
     let answer = server.table.lock().transact(&transaction);
     let put_count = transaction.puts.len();
     match answer {
-        TableAnswer::Committed { revision, rows } => TxnResponse {
+        TransactionResult::Committed { revision, rows } => TxnResponse {
             header: ResponseHeader {
                 revision: Number(revision),
             },
             succeeded: true,
             responses: responses(put_count, rows),
         },
-        TableAnswer::Conflict { rows } => TxnResponse {
+        TransactionResult::Conflict { rows } => TxnResponse {
             responses: responses(0, rows),
             ..TxnResponse::default()
         },
-        TableAnswer::Refused { .. } | TableAnswer::Unknown => TxnResponse::default(),
+        TransactionResult::Refused { .. } | TransactionResult::Unknown => TxnResponse::default(),
     }
 }
 
--- a/crates/gateway/src/lease_session.rs
+++ b/crates/gateway/src/lease_session.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_contract::{Put, TableAnswer, Transaction};
+use gorsebank_contract::{Put, Transaction, TransactionResult};
 use gorsebank_fleet::{Candidacy, LeaseKeeper, LeaseRow, LeaseStep};
 use parking_lot::Mutex;
 
@@ -120,20 +120,20 @@
         let mut transaction = Transaction::put_if(self.key.clone(), expected, value);
         transaction.puts.extend(extra_put);
         let response = shared.table().transact(transaction).await;
-        self.must_read_table = !matches!(response, TableAnswer::Committed { .. });
+        self.must_read_table = !matches!(response, TransactionResult::Committed { .. });
         let now = self.shared.now();
         let mut keeper = self.keeper.lock();
         match response {
-            TableAnswer::Committed { revision, .. } => {
+            TransactionResult::Committed { revision, .. } => {
                 self.newest_version = revision;
                 keeper.record_write(now, revision, &row);
                 LeaseStepResult::Written
             }
-            TableAnswer::Conflict { .. } => {
+            TransactionResult::Conflict { .. } => {
                 keeper.record_conflict();
                 LeaseStepResult::Done
             }
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => {
+            TransactionResult::Refused { .. } | TransactionResult::Unknown => {
                 keeper.record_unconfirmed_write();
                 LeaseStepResult::Idle(NO_RESPONSE_PAUSE)
             }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 use gorsebank_fleet::{MemberRow, MembershipConvergence};
 use tokio::time::sleep;
 
@@ -124,15 +124,15 @@
     while !shared.is_stopping() {
         let transaction = Transaction::put_if(key.clone(), version, value.clone());
         match shared.table().transact(transaction).await {
-            TableAnswer::Committed { .. } => return,
-            TableAnswer::Conflict { rows } => {
+            TransactionResult::Committed { .. } => return,
+            TransactionResult::Conflict { rows } => {
                 let current = rows.into_iter().find(|row| row.key == key);
                 if current.as_ref().is_some_and(|row| row.value == value) {
                     return;
                 }
                 version = current.map_or(0, |row| row.modified);
             }
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => backoff.wait().await,
+            TransactionResult::Refused { .. } | TransactionResult::Unknown => backoff.wait().await,
         }
     }
 }
@@ -161,7 +161,7 @@
         return;
     };
     let response = shared.table().remove(&row.key, row.modified).await;
-    let removed = matches!(response, TableAnswer::Committed { .. });
+    let removed = matches!(response, TransactionResult::Committed { .. });
     event_log::write(
         LogPriority::Decision,
         "member_left",
--- a/crates/gateway/src/placed_rows.rs
+++ b/crates/gateway/src/placed_rows.rs
@@ -7,7 +7,7 @@
 
 use std::time::Duration;
 
-use gorsebank_contract::{Compare, Put, TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{Compare, Put, TableRow, Transaction, TransactionResult};
 use gorsebank_fleet::PlacedRow;
 use gorsebank_world::BackEndId;
 use tokio::time::sleep;
@@ -69,17 +69,19 @@
     };
     for _ in 0..MAX_ATTEMPTS {
         match shared.table().transact(transaction.clone()).await {
-            TableAnswer::Committed { revision, .. } => {
+            TransactionResult::Committed { revision, .. } => {
                 return map_rows(rows, |_| RowWriteResult::Committed(revision));
             }
-            TableAnswer::Conflict { rows: current } => {
+            TransactionResult::Conflict { rows: current } => {
                 let mut puts = puts.iter();
                 return map_rows(rows, |row| match puts.next() {
                     Some(put) => conflict_result(row, put, &current),
                     None => RowWriteResult::Unknown,
                 });
             }
-            TableAnswer::Refused { .. } | TableAnswer::Unknown => sleep(RETRY_DELAY).await,
+            TransactionResult::Refused { .. } | TransactionResult::Unknown => {
+                sleep(RETRY_DELAY).await
+            }
         }
     }
     map_rows(rows, |_| RowWriteResult::Unknown)
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 use gorsebank_fleet::placement::{OrderKind, OrderResult};
 use gorsebank_fleet::{
     ApiKey, BackEndReport, Configuration, EngineReport, Prompt, RequestedPause, StatedLimit,
@@ -156,10 +156,10 @@
     ) -> BoxFuture<'a, Result<TableChanges, TableError>>;
 
     /// Runs a transaction. Rows that the transaction reads are not returned.
-    fn transact(&self, transaction: Transaction) -> BoxFuture<'_, TableAnswer>;
+    fn transact(&self, transaction: Transaction) -> BoxFuture<'_, TransactionResult>;
 
     /// Removes a row if `version` is the version at which the row was last written.
-    fn remove<'a>(&'a self, key: &'a str, version: u64) -> BoxFuture<'a, TableAnswer>;
+    fn remove<'a>(&'a self, key: &'a str, version: u64) -> BoxFuture<'a, TransactionResult>;
 }
 
 /// Why a row could not be parsed.
--- a/crates/gateway/src/prefill_speed_rows.rs
+++ b/crates/gateway/src/prefill_speed_rows.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 use gorsebank_fleet::PrefillSpeedRow;
 use gorsebank_world::{BackEndId, ServiceId};
 use tokio::time::sleep;
@@ -118,14 +118,16 @@
         let key = format!("{}/{service}", self.shared.platform.tables().prefill_speeds);
         let transaction = Transaction::put_if(key, version, value);
         match self.shared.table().transact(transaction).await {
-            TableAnswer::Committed { revision, .. } => {
+            TransactionResult::Committed { revision, .. } => {
                 self.written.insert(service, (row, revision));
             }
             // The row was written by another placement holder, or by an earlier write of this
             // gateway that took effect late.
-            TableAnswer::Conflict { .. } | TableAnswer::Unknown => self.read_rows().await,
+            TransactionResult::Conflict { .. } | TransactionResult::Unknown => {
+                self.read_rows().await
+            }
             // The refused write had no effect; the next iteration writes the values known by then.
-            TableAnswer::Refused { .. } => {}
+            TransactionResult::Refused { .. } => {}
         }
     }
 }
--- a/crates/gateway/src/quarantine_row.rs
+++ b/crates/gateway/src/quarantine_row.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_contract::{TableAnswer, TableRow, Transaction};
+use gorsebank_contract::{TableRow, Transaction, TransactionResult};
 use gorsebank_fleet::Fingerprint;
 use gorsebank_fleet::quarantine::OutcomeNotice;
 use tokio::time::{sleep, timeout};
@@ -182,17 +182,17 @@
             return;
         }
         match write(shared, row.version, &outcomes).await {
-            TableAnswer::Committed { revision, .. } => {
+            TransactionResult::Committed { revision, .. } => {
                 record_success(shared, "written", &outcomes, revision);
                 return;
             }
-            TableAnswer::Conflict { .. } => record_write_failure(shared, "conflict"),
-            TableAnswer::Refused { .. } => {
+            TransactionResult::Conflict { .. } => record_write_failure(shared, "conflict"),
+            TransactionResult::Refused { .. } => {
                 record_write_failure(shared, "refused");
                 backoff.wait().await;
             }
             // The write may have taken effect, or may do so later.
-            TableAnswer::Unknown => {
+            TransactionResult::Unknown => {
                 record_write_failure(shared, "unknown");
                 backoff.wait().await;
             }
@@ -200,7 +200,7 @@
     }
 }
 
-async fn write(shared: &Shared, version: u64, outcomes: &[OutcomeNotice]) -> TableAnswer {
+async fn write(shared: &Shared, version: u64, outcomes: &[OutcomeNotice]) -> TransactionResult {
     match serde_json::to_string(outcomes) {
         Ok(value) => {
             let transaction = Transaction::put_if(key(shared), version, value);
--- a/crates/gateway/src/relay/message.rs
+++ b/crates/gateway/src/relay/message.rs
@@ -1,7 +1,7 @@
 //! Requests and responses between gateways: calls of the table, requests for updates, demand,
 //! quotas, and crash records for the quarantine.
 
-use gorsebank_contract::{TableAnswer, Transaction};
+use gorsebank_contract::{Transaction, TransactionResult};
 use gorsebank_fleet::DemandRow;
 use gorsebank_fleet::quarantine::OutcomeNotice;
 use gorsebank_fleet::running::Counts;
@@ -114,7 +114,7 @@
     #[serde(rename = "Noted")]
     Acknowledged,
     /// The result of a transaction or a removal.
-    Transacted(TableAnswer),
+    Transacted(TransactionResult),
     /// The table did not respond, or the responding gateway does not reach it either.
     Failed(TableError),
 }
--- a/crates/gateway/src/relay/table.rs
+++ b/crates/gateway/src/relay/table.rs
@@ -14,7 +14,7 @@
 
 use futures_util::FutureExt;
 use futures_util::future::BoxFuture;
-use gorsebank_contract::{TableAnswer, Transaction};
+use gorsebank_contract::{Transaction, TransactionResult};
 use parking_lot::Mutex;
 use prometheus::IntCounterVec;
 use rand::seq::SliceRandom;
@@ -294,7 +294,7 @@
         }
     }
 
-    async fn transact_by_path(&self, transaction: Transaction) -> TableAnswer {
+    async fn transact_by_path(&self, transaction: Transaction) -> TransactionResult {
         if self.choose_path() == CallPath::Direct {
             let response = self.platform.table().transact(transaction).await;
             self.record_write(&response);
@@ -303,7 +303,7 @@
         self.relay_write(RelayRequest::Transact(transaction)).await
     }
 
-    async fn remove_by_path(&self, key: &str, version: u64) -> TableAnswer {
+    async fn remove_by_path(&self, key: &str, version: u64) -> TransactionResult {
         if self.choose_path() == CallPath::Direct {
             let response = self.platform.table().remove(key, version).await;
             self.record_write(&response);
@@ -314,20 +314,22 @@
             .await
     }
 
-    fn record_write(&self, response: &TableAnswer) {
+    fn record_write(&self, response: &TransactionResult) {
         match response {
-            TableAnswer::Committed { .. } | TableAnswer::Conflict { .. } => self.record_success(),
-            TableAnswer::Refused { throttled: true } => self.record_throttled(),
-            TableAnswer::Refused { throttled: false } | TableAnswer::Unknown => {
+            TransactionResult::Committed { .. } | TransactionResult::Conflict { .. } => {
+                self.record_success()
+            }
+            TransactionResult::Refused { throttled: true } => self.record_throttled(),
+            TransactionResult::Refused { throttled: false } | TransactionResult::Unknown => {
                 self.record_failure()
             }
         }
     }
 
-    async fn relay_write(&self, request: RelayRequest) -> TableAnswer {
+    async fn relay_write(&self, request: RelayRequest) -> TransactionResult {
         match self.relay(request, Duration::ZERO).await {
             Some(RelayResponse::Transacted(response)) => response,
-            _ => TableAnswer::Unknown,
+            _ => TransactionResult::Unknown,
         }
     }
 }
@@ -343,7 +345,7 @@
         | RelayResponse::Acknowledged => false,
         RelayResponse::Transacted(response) => matches!(
             response,
-            TableAnswer::Committed { .. } | TableAnswer::Conflict { .. }
+            TransactionResult::Committed { .. } | TransactionResult::Conflict { .. }
         ),
         RelayResponse::Failed(error) => {
             matches!(
@@ -377,11 +379,11 @@
         self.changes_by_path(table, version, wait).boxed()
     }
 
-    fn transact(&self, transaction: Transaction) -> BoxFuture<'_, TableAnswer> {
+    fn transact(&self, transaction: Transaction) -> BoxFuture<'_, TransactionResult> {
         self.transact_by_path(transaction).boxed()
     }
 
-    fn remove<'a>(&'a self, key: &'a str, version: u64) -> BoxFuture<'a, TableAnswer> {
+    fn remove<'a>(&'a self, key: &'a str, version: u64) -> BoxFuture<'a, TransactionResult> {
         self.remove_by_path(key, version).boxed()
     }
 }
--- a/crates/gateway/src/sweeper.rs
+++ b/crates/gateway/src/sweeper.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use gorsebank_contract::TableAnswer;
+use gorsebank_contract::TransactionResult;
 use gorsebank_fleet::Sweep;
 use gorsebank_world::BackEndId;
 use tokio::time::sleep;
@@ -64,7 +64,7 @@
         .collect();
     for (key, version) in sweep.observe(shared.now(), &rows) {
         let response = shared.table().remove(&key, version).await;
-        let removed = matches!(response, TableAnswer::Committed { .. });
+        let removed = matches!(response, TransactionResult::Committed { .. });
         let fields = format_args!("row={key} version={version} removed={removed}");
         event_log::write(LogPriority::Decision, "row_swept", fields);
     }
--- a/crates/gorsebank/src/bin/gorsebank-standin.rs
+++ b/crates/gorsebank/src/bin/gorsebank-standin.rs
@@ -139,7 +139,7 @@
                 memory: memory.as_u64(),
                 slots,
                 prefill: Duration::from(prefill),
-                token: Duration::from(token),
+                token_interval: Duration::from(token),
                 disk_bandwidth: 4_000_000_000,
                 memory_bandwidth: 20_000_000_000,
                 cached,
--- a/crates/gorsebank/src/commands/dev.rs
+++ b/crates/gorsebank/src/commands/dev.rs
@@ -41,8 +41,8 @@
     let settings = build_settings(&arguments, table, list)?;
     logging::start(&settings.log)?;
     let process = NodeProcess::start(settings).await?;
-    write_initial_rows(process.admin()).await?;
-    println!("listening on {}", process.callers());
+    write_initial_rows(process.admin_address()).await?;
+    println!("listening on {}", process.caller_address());
     node::wait_for_stop().await?;
     process.stop().await;
     Ok(())
@@ -74,7 +74,7 @@
         memory: 24 << 30,
         slots: 16,
         prefill: Duration::from_millis(80),
-        token: Duration::from_millis(20),
+        token_interval: Duration::from_millis(20),
         disk_bandwidth: 8_000_000_000,
         memory_bandwidth: 40_000_000_000,
         cached: BTreeMap::new(),
--- a/crates/gorsebank/src/commands/node.rs
+++ b/crates/gorsebank/src/commands/node.rs
@@ -11,13 +11,13 @@
     let settings = read_settings(arguments)?;
     logging::start(&settings.log)?;
     let process = NodeProcess::start(settings).await?;
-    println!("listening on {}", process.callers());
+    println!("listening on {}", process.caller_address());
     log::info!(
         "node {} is listening for callers on {}, for nodes on {}, for admin requests on {}",
         process.host().node().identity().node,
-        process.callers(),
-        process.nodes(),
-        process.admin()
+        process.caller_address(),
+        process.node_address(),
+        process.admin_address()
     );
     wait_for_stop().await?;
     process.stop().await;
--- a/crates/gorsebank/tests/failures.rs
+++ b/crates/gorsebank/tests/failures.rs
@@ -249,11 +249,11 @@
     let mut deployment = Deployment::start("leaving", 2).await;
     deployment
         .live
-        .list_as_leaving("a1")
+        .list_as_draining("a1")
         .await
         .expect("the machine list changes");
     tokio::time::sleep(Duration::from_secs(3)).await;
-    let before = deployment.live.lines_of("a1").len();
+    let before = deployment.live.output_lines("a1").len();
     for _ in 0..20 {
         let address = deployment.callers("n1");
         let response = deployment
@@ -261,7 +261,7 @@
             .await;
         assert_eq!(response.status, 200, "{}", response.text);
     }
-    assert_eq!(deployment.live.lines_of("a1").len(), before);
+    assert_eq!(deployment.live.output_lines("a1").len(), before);
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/gorsebank/tests/live_traces.rs
+++ b/crates/gorsebank/tests/live_traces.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use gorsebank_replay::live::{Binaries, play_live};
+use gorsebank_replay::live::{Binaries, replay_live};
 use gorsebank_replay::trace::Trace;
 
 async fn assert_no_violations(path: &str) {
@@ -14,7 +14,7 @@
         gorsebank: PathBuf::from(env!("CARGO_BIN_EXE_gorsebank")),
         standin: PathBuf::from(env!("CARGO_BIN_EXE_gorsebank-standin")),
     };
-    let (history, violations) = play_live(binaries, &trace).await.expect("the trace runs");
+    let (history, violations) = replay_live(binaries, &trace).await.expect("the trace runs");
     assert_eq!(violations, []);
     assert!(!history.executions.is_empty(), "nothing ran");
 }
--- a/crates/gorsebank/tests/recording.rs
+++ b/crates/gorsebank/tests/recording.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use gorsebank_replay::record::{RecordOptions, record};
-use gorsebank_replay::run::play_seed;
+use gorsebank_replay::run::run_seed;
 use gorsebank_replay::trace::Trace;
 use http::Method;
 use tokio::net::TcpListener;
@@ -53,5 +53,5 @@
     let trace = Trace::read(&out).expect("the trace can be read");
     std::fs::remove_file(&out).expect("the trace file exists");
     assert_eq!(trace.events.len(), 2);
-    assert_eq!(play_seed(&trace, 1, None).violations, []);
+    assert_eq!(run_seed(&trace, 1, None).violations, []);
 }
--- a/crates/gorsebank/tests/support/mod.rs
+++ b/crates/gorsebank/tests/support/mod.rs
@@ -130,7 +130,7 @@
     fn records(&self, back_ends: &[&str]) -> Vec<Value> {
         back_ends
             .iter()
-            .flat_map(|id| self.live.lines_of(id))
+            .flat_map(|id| self.live.output_lines(id))
             .filter_map(|line| serde_json::from_str(&line).ok())
             .collect()
     }
--- a/crates/node/src/caller/attempt.rs
+++ b/crates/node/src/caller/attempt.rs
@@ -77,7 +77,7 @@
     let response = match timeout(limit, http.send(request)).await {
         Ok(Ok(response)) => response,
         Ok(Err(HttpError::Connect(_))) => return Err(AttemptOutcome::NotSent),
-        Ok(Err(_)) | Err(_) => return Err(AttemptOutcome::LostBeforeAnswer),
+        Ok(Err(_)) | Err(_) => return Err(AttemptOutcome::LostBeforeResponse),
     };
     if response.headers().contains_key(NOT_STARTED_HEADER) {
         return Err(AttemptOutcome::NotStarted);
@@ -87,7 +87,7 @@
         .get(REQUEST_ID_HEADER)
         .is_some_and(|value| value.as_bytes() != name.as_bytes());
     if is_of_other_request {
-        return Err(AttemptOutcome::LostBeforeAnswer);
+        return Err(AttemptOutcome::LostBeforeResponse);
     }
     Ok(response)
 }
@@ -124,6 +124,6 @@
     let read = Limited::new(body, max_bytes as usize).collect();
     match timeout(limit, read).await {
         Ok(Ok(body)) => Ok(Response::from_parts(head, body.to_bytes())),
-        Ok(Err(_)) | Err(_) => Err(AttemptOutcome::LostBeforeAnswer),
+        Ok(Err(_)) | Err(_) => Err(AttemptOutcome::LostBeforeResponse),
     }
 }
--- a/crates/node/src/caller/error.rs
+++ b/crates/node/src/caller/error.rs
@@ -3,7 +3,7 @@
 use axum::Json;
 use axum::http::{HeaderValue, Method, StatusCode, Uri, header};
 use axum::response::{IntoResponse, Response};
-use gorsebank_contract::{Ran, Refusal, RefusalReason};
+use gorsebank_contract::{ExecutionStatus, Refusal, RefusalReason};
 use gorsebank_coordination::ResolveError;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -33,7 +33,7 @@
     /// The error code.
     pub code: String,
     /// Whether the request ran: `no` or `unknown`.
-    pub ran: Ran,
+    pub ran: ExecutionStatus,
 }
 
 /// An error that the node returns to a caller.
@@ -138,10 +138,10 @@
         }
     }
 
-    fn ran(&self) -> Ran {
+    fn ran(&self) -> ExecutionStatus {
         match self {
             CallerError::Refused(refusal) => refusal.ran,
-            _ => Ran::No,
+            _ => ExecutionStatus::No,
         }
     }
 
@@ -178,8 +178,8 @@
     fn into_response(self) -> Response {
         let mut response = (self.status(), Json(self.body())).into_response();
         let ran = match self.ran() {
-            Ran::No => "no",
-            Ran::Unknown => "unknown",
+            ExecutionStatus::No => "no",
+            ExecutionStatus::Unknown => "unknown",
         };
         let headers = response.headers_mut();
         headers.insert(RAN_HEADER, HeaderValue::from_static(ran));
@@ -198,8 +198,8 @@
         (RefusalReason::KeyUsed, _) => StatusCode::CONFLICT,
         (RefusalReason::ConnectionLost, _) => StatusCode::BAD_GATEWAY,
         (RefusalReason::DeadlinePassed, _) => StatusCode::GATEWAY_TIMEOUT,
-        (_, Ran::Unknown) => StatusCode::BAD_GATEWAY,
-        (_, Ran::No) => StatusCode::SERVICE_UNAVAILABLE,
+        (_, ExecutionStatus::Unknown) => StatusCode::BAD_GATEWAY,
+        (_, ExecutionStatus::No) => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
@@ -229,8 +229,8 @@
         RefusalReason::Stopping => "this node is shutting down",
     };
     let ran = match refusal.ran {
-        Ran::No => "the request did not run",
-        Ran::Unknown => "the request may have run",
+        ExecutionStatus::No => "the request did not run",
+        ExecutionStatus::Unknown => "the request may have run",
     };
     format!("{reason}; {ran}")
 }
--- a/crates/node/src/caller/request.rs
+++ b/crates/node/src/caller/request.rs
@@ -110,7 +110,7 @@
 impl Drop for OpenRequest {
     fn drop(&mut self) {
         self.host.unregister(self.request);
-        self.finish_attempt(AttemptOutcome::CallerGone);
+        self.finish_attempt(AttemptOutcome::CallerDisconnected);
         self.host.handle(Event::RequestAbandoned(self.request));
     }
 }
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -18,7 +18,7 @@
 use futures_util::{Stream, StreamExt, stream};
 use gorsebank_clients::HttpClient;
 use gorsebank_contract::AttemptOutcome;
-use gorsebank_coordination::{EventId, StreamGuard, Verdict};
+use gorsebank_coordination::{EventDecision, EventId, StreamChecker};
 use http_body_util::{BodyStream, Full};
 use hyper::body::Incoming;
 use serde_json::json;
@@ -44,7 +44,7 @@
     address: SocketAddr,
     name: String,
     events: Option<Events>,
-    checker: StreamGuard,
+    checker: StreamChecker,
     stall: Duration,
     first: Option<SourceEvent>,
     resume_count: u64,
@@ -65,7 +65,7 @@
             address,
             name: name.to_owned(),
             events: Some(events_of(response)),
-            checker: StreamGuard::new(name, 0),
+            checker: StreamChecker::new(name, 0),
             stall,
             first: None,
             resume_count: 0,
@@ -86,7 +86,7 @@
             address,
             name: name.to_owned(),
             events: None,
-            checker: StreamGuard::new(name, next),
+            checker: StreamChecker::new(name, next),
             stall,
             first: None,
             resume_count: 0,
@@ -100,7 +100,7 @@
         self.first = self.next_event().await;
         match self.first {
             Some(_) => Ok(()),
-            None => Err(AttemptOutcome::LostBeforeAnswer),
+            None => Err(AttemptOutcome::LostBeforeResponse),
         }
     }
 
@@ -141,13 +141,16 @@
                     return None;
                 }
             };
-            let decision = event.id.parse::<EventId>().map_or(Verdict::Foreign, |id| {
-                self.checker.judge(&id, event.data == LAST_EVENT_DATA)
-            });
+            let decision = event
+                .id
+                .parse::<EventId>()
+                .map_or(EventDecision::Foreign, |id| {
+                    self.checker.check_event(&id, event.data == LAST_EVENT_DATA)
+                });
             match decision {
-                Verdict::Forward => return Some(event),
-                Verdict::Duplicate => self.rejected_event_count += 1,
-                Verdict::Gap | Verdict::Foreign => {
+                EventDecision::Forward => return Some(event),
+                EventDecision::Duplicate => self.rejected_event_count += 1,
+                EventDecision::Gap | EventDecision::Foreign => {
                     self.rejected_event_count += 1;
                     self.events = None;
                     return None;
@@ -245,7 +248,7 @@
         None if source.is_finished() => None,
         None => {
             open.host().metrics().streams_broken.inc();
-            open.finish_attempt(AttemptOutcome::LostDuringAnswer);
+            open.finish_attempt(AttemptOutcome::LostDuringResponse);
             Some((Ok(interruption_event()), None))
         }
     }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use gorsebank_clients::{EngineClient, HttpClient, MachineListClient, TableClient};
-use gorsebank_contract::{Order, Refusal, RequestId, TableAnswer, TicketId, Transaction};
+use gorsebank_contract::{Order, Refusal, RequestId, TicketId, Transaction, TransactionResult};
 use gorsebank_coordination::{
     Action, Change, ChangeError, ChangeId, Event, Node, Timestamp, TransactionTag,
 };
@@ -200,16 +200,16 @@
     async fn transact(self: Arc<Self>, tag: TransactionTag, transaction: Transaction) {
         let answer = self.table.transact(&transaction).await;
         let outcome = match &answer {
-            TableAnswer::Committed { .. } => "committed",
-            TableAnswer::Conflict { .. } => "conflict",
-            TableAnswer::Refused { .. } => "refused",
-            TableAnswer::Unknown => "unknown",
+            TransactionResult::Committed { .. } => "committed",
+            TransactionResult::Conflict { .. } => "conflict",
+            TransactionResult::Refused { .. } => "refused",
+            TransactionResult::Unknown => "unknown",
         };
         self.metrics
             .transactions
             .with_label_values(&[outcome])
             .inc();
-        *self.is_table_responding.lock() = Some(answer != TableAnswer::Unknown);
+        *self.is_table_responding.lock() = Some(answer != TransactionResult::Unknown);
         self.handle(Event::TableAnswered { tag, answer });
     }
 
--- a/crates/node/src/process.rs
+++ b/crates/node/src/process.rs
@@ -117,17 +117,17 @@
     }
 
     /// The address for callers.
-    pub fn callers(&self) -> SocketAddr {
+    pub fn caller_address(&self) -> SocketAddr {
         self.callers
     }
 
     /// The address for other nodes.
-    pub fn nodes(&self) -> SocketAddr {
+    pub fn node_address(&self) -> SocketAddr {
         self.nodes
     }
 
     /// The address for operators.
-    pub fn admin(&self) -> SocketAddr {
+    pub fn admin_address(&self) -> SocketAddr {
         self.admin
     }
 
--- a/crates/replay/src/checker/configuration.rs
+++ b/crates/replay/src/checker/configuration.rs
@@ -36,7 +36,9 @@
     let mut violations = Vec::new();
     for reading in &history.readings {
         for (key, version) in &reading.versions {
-            let highest = seen.entry((&reading.node, reading.life, key)).or_default();
+            let highest = seen
+                .entry((&reading.node, reading.incarnation, key))
+                .or_default();
             if version < highest {
                 violations.push(Violation {
                     rule: Rule::Configuration,
--- a/crates/replay/src/checker/leaving.rs
+++ b/crates/replay/src/checker/leaving.rs
@@ -11,7 +11,7 @@
 /// Returns the violations of [`Rule::Leaving`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
-    for drain in &history.leaves {
+    for drain in &history.drains {
         let late = history.executions.iter().find(|execution| {
             execution.back_end == drain.back_end && execution.at > drain.visible + DRAIN_BOUND_US
         });
--- a/crates/replay/src/checker/memory.rs
+++ b/crates/replay/src/checker/memory.rs
@@ -18,9 +18,9 @@
         .iter()
         .flat_map(|(id, engine)| check_engine(id, engine));
     let plans = history
-        .decisions
+        .plans
         .iter()
-        .filter(|record| record.plan.booked() > record.plan.capacity)
+        .filter(|record| record.plan.reserved_bytes() > record.plan.capacity)
         .map(|record| Violation {
             rule: Rule::Memory,
             at: record.at,
--- a/crates/replay/src/checker/outcome.rs
+++ b/crates/replay/src/checker/outcome.rs
@@ -4,7 +4,7 @@
 use gorsebank_emulator::model::engine::EngineEvent;
 
 use crate::checker::{Rule, Violation};
-use crate::history::{CallerEnd, CallerRecord, History};
+use crate::history::{CallerOutcome, CallerRecord, History};
 use crate::trace::format::Outcome;
 
 /// Returns a violation for every stated outcome that the history does not have.
@@ -63,9 +63,9 @@
 
 fn is_answered(caller: &CallerRecord) -> bool {
     caller
-        .tries
+        .attempts
         .iter()
-        .any(|attempt| matches!(attempt.end, Some((_, CallerEnd::Answered { .. }))))
+        .any(|attempt| matches!(attempt.end, Some((_, CallerOutcome::Answered { .. }))))
 }
 
 fn check_answered(
@@ -77,7 +77,7 @@
     let callers: Vec<&CallerRecord> = history
         .callers
         .iter()
-        .filter(|caller| of.is_none_or(|of| caller.of == of))
+        .filter(|caller| of.is_none_or(|of| caller.target == of))
         .filter(|caller| class.is_none_or(|class| caller.class == class))
         .collect();
     let count = callers.iter().filter(|caller| is_answered(caller)).count();
@@ -97,7 +97,7 @@
         .callers
         .iter()
         .filter(|caller| class.is_none_or(|class| caller.class == class))
-        .flat_map(|caller| caller.tries.iter())
+        .flat_map(|caller| caller.attempts.iter())
         .filter_map(|attempt| Some(attempt.first_event? - attempt.at))
         .collect();
     times.sort_unstable();
@@ -145,9 +145,9 @@
     let is_early: Vec<bool> = history
         .callers
         .iter()
-        .flat_map(|caller| caller.tries.iter().map(move |attempt| (caller, attempt)))
+        .flat_map(|caller| caller.attempts.iter().map(move |attempt| (caller, attempt)))
         .filter_map(|(caller, attempt)| match &attempt.end {
-            Some((at, CallerEnd::Refused { .. })) => Some(at + ahead <= caller.deadline),
+            Some((at, CallerOutcome::Refused { .. })) => Some(at + ahead <= caller.deadline),
             _ => None,
         })
         .collect();
@@ -164,9 +164,9 @@
     let refusals: Vec<Option<u64>> = history
         .callers
         .iter()
-        .flat_map(|caller| &caller.tries)
+        .flat_map(|caller| &caller.attempts)
         .filter_map(|attempt| match &attempt.end {
-            Some((_, CallerEnd::Refused { retry_after, .. })) => Some(*retry_after),
+            Some((_, CallerOutcome::Refused { retry_after, .. })) => Some(*retry_after),
             _ => None,
         })
         .collect();
--- a/crates/replay/src/checker/planned_stop.rs
+++ b/crates/replay/src/checker/planned_stop.rs
@@ -3,7 +3,7 @@
 //! No connection of a caller breaks at a node that was asked to stop.
 
 use crate::checker::{Rule, Violation};
-use crate::history::{CallerEnd, History};
+use crate::history::{CallerOutcome, History};
 
 /// Time after the request to stop within which a broken connection counts as
 /// caused by the stop, in microseconds.
@@ -19,13 +19,13 @@
         let interrupted = history
             .callers
             .iter()
-            .flat_map(|caller| caller.tries.iter().map(move |attempt| (caller, attempt)))
+            .flat_map(|caller| caller.attempts.iter().map(move |attempt| (caller, attempt)))
             .filter(|(_, attempt)| attempt.node == *node)
             .find_map(|(caller, attempt)| match &attempt.end {
-                Some((at, CallerEnd::NodeDied))
+                Some((at, CallerOutcome::NodeDied))
                     if (*asked..*asked + STOP_WINDOW_US).contains(at) =>
                 {
-                    Some((*at, caller.of.clone()))
+                    Some((*at, caller.target.clone()))
                 }
                 _ => None,
             });
--- a/crates/replay/src/checker/refusal.rs
+++ b/crates/replay/src/checker/refusal.rs
@@ -2,10 +2,10 @@
 
 use std::collections::HashSet;
 
-use gorsebank_contract::{Ran, RequestId};
+use gorsebank_contract::{ExecutionStatus, RequestId};
 
 use crate::checker::{Rule, Violation};
-use crate::history::{CallerEnd, History};
+use crate::history::{CallerOutcome, History};
 
 /// Returns the violations of [`Rule::Refusal`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
@@ -17,11 +17,11 @@
     history
         .callers
         .iter()
-        .flat_map(|caller| caller.tries.iter().map(move |attempt| (caller, attempt)))
+        .flat_map(|caller| caller.attempts.iter().map(move |attempt| (caller, attempt)))
         .filter_map(|(caller, attempt)| {
             let (
                 at,
-                CallerEnd::Refused {
+                CallerOutcome::Refused {
                     ran: stated,
                     reason,
                     ..
@@ -30,13 +30,13 @@
             else {
                 return None;
             };
-            let is_false = *stated == Ran::No && ran.contains(&attempt.request?);
+            let is_false = *stated == ExecutionStatus::No && ran.contains(&attempt.request?);
             is_false.then(|| Violation {
                 rule: Rule::Refusal,
                 at: *at,
                 what: format!(
                     "a request for {} was refused ({reason:?}) as not run, but ran",
-                    caller.of
+                    caller.target
                 ),
             })
         })
--- a/crates/replay/src/checker/replicas.rs
+++ b/crates/replay/src/checker/replicas.rs
@@ -60,7 +60,7 @@
 /// beginning of its millisecond.
 fn sorted_steps<'a>(history: &'a History, id: &BackEndId) -> Vec<(u64, Step<'a>)> {
     let mut steps: BTreeMap<(u64, u8, usize), Step<'a>> = BTreeMap::new();
-    for (number, record) in history.decisions.iter().enumerate() {
+    for (number, record) in history.plans.iter().enumerate() {
         if record.back_end == *id {
             let millisecond = record.at / 1_000 * 1_000;
             steps.insert((millisecond, 0, number), Step::Plan(&record.plan));
--- a/crates/replay/src/checker/served.rs
+++ b/crates/replay/src/checker/served.rs
@@ -5,7 +5,7 @@
 //! deadline, since a paused node cannot respond.
 
 use crate::checker::{Rule, Violation};
-use crate::history::{CallerRecord, CallerTry, History};
+use crate::history::{CallerAttempt, CallerRecord, History};
 
 /// Time after the deadline by which an outcome may still arrive, in microseconds:
 /// a tick of the node and the network delay to the caller.
@@ -15,7 +15,7 @@
 pub fn check(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
     for caller in &history.callers {
-        for attempt in &caller.tries {
+        for attempt in &caller.attempts {
             if let Some(what) = describe_lateness(history, caller, attempt) {
                 violations.push(Violation {
                     rule: Rule::Served,
@@ -32,7 +32,7 @@
 fn describe_lateness(
     history: &History,
     caller: &CallerRecord,
-    attempt: &CallerTry,
+    attempt: &CallerAttempt,
 ) -> Option<String> {
     let latest = caller.deadline + DEADLINE_SLACK_US + paused_time(history, attempt);
     let has_begun = attempt.first_event.is_some_and(|at| at <= latest);
@@ -40,21 +40,21 @@
         Some((at, _)) if *at <= latest || has_begun => None,
         Some((at, end)) => Some(format!(
             "a request for {} at {} ended {} ms late: {end:?}",
-            caller.of,
+            caller.target,
             attempt.node,
             (at - caller.deadline) / 1_000
         )),
         None if history.end < latest || has_begun => None,
         None => Some(format!(
             "a request for {} at {} never ended",
-            caller.of, attempt.node
+            caller.target, attempt.node
         )),
     }
 }
 
 /// Returns the total duration of the node's pauses that ended after the attempt
 /// began, in microseconds.
-fn paused_time(history: &History, attempt: &CallerTry) -> u64 {
+fn paused_time(history: &History, attempt: &CallerAttempt) -> u64 {
     history
         .pauses
         .iter()
--- a/crates/replay/src/checker/whole_answer.rs
+++ b/crates/replay/src/checker/whole_answer.rs
@@ -4,16 +4,16 @@
 //! exactly once and in order.
 
 use crate::checker::{Rule, Violation};
-use crate::history::{CallerEnd, CallerTry, History};
+use crate::history::{CallerAttempt, CallerOutcome, History};
 
 /// Returns the violations of [`Rule::WholeAnswer`] in the history.
 pub fn check(history: &History) -> Vec<Violation> {
     history
         .callers
         .iter()
-        .flat_map(|caller| caller.tries.iter())
+        .flat_map(|caller| caller.attempts.iter())
         .filter_map(|attempt| {
-            let (at, CallerEnd::Answered { whole }) = attempt.end.as_ref()? else {
+            let (at, CallerOutcome::Answered { whole }) = attempt.end.as_ref()? else {
                 return find_foreign_event(attempt).map(|what| (attempt.at, what));
             };
             find_foreign_event(attempt)
@@ -30,7 +30,7 @@
 
 /// Describes the first event of another request in the response, however the
 /// response ended.
-fn find_foreign_event(attempt: &CallerTry) -> Option<String> {
+fn find_foreign_event(attempt: &CallerAttempt) -> Option<String> {
     let own = format!("{}-", attempt.request?);
     let (stream, _) = attempt
         .received
@@ -41,7 +41,7 @@
 
 /// Describes the received events if they are not the `event_count` events of the
 /// complete response in order.
-fn describe_incomplete(attempt: &CallerTry, event_count: u64) -> Option<String> {
+fn describe_incomplete(attempt: &CallerAttempt, event_count: u64) -> Option<String> {
     let numbers: Vec<u64> = attempt.received.iter().map(|(_, number)| *number).collect();
     let expected: Vec<u64> = (0..event_count).collect();
     (numbers != expected)
--- a/crates/replay/src/compare/clairvoyant.rs
+++ b/crates/replay/src/compare/clairvoyant.rs
@@ -12,7 +12,7 @@
 use gorsebank_world::{Artifact, MachineRole, Spec};
 
 use crate::compare::figures::{PolicyMetrics, quantile_ms};
-use crate::simulation::caller::plans;
+use crate::simulation::caller::plan_callers;
 use crate::trace::Trace;
 use crate::trace::format::{BackEndEntry, Header, TraceEvent};
 
@@ -99,7 +99,7 @@
         let TraceEvent::Request(request) = &event.event else {
             continue;
         };
-        for (at, plan) in plans(&nodes, 0, event.at, request) {
+        for (at, plan) in plan_callers(&nodes, 0, event.at, request) {
             let service = service_time(engine, plan.tokens);
             uses.entry(plan.of).or_default().push(Use {
                 at,
@@ -117,7 +117,7 @@
 /// Returns the time for which an engine runs a request that produces `tokens` tokens,
 /// in microseconds.
 fn service_time(engine: &BackEndEntry, tokens: u32) -> u64 {
-    engine.prefill.as_micros() as u64 + engine.token.as_micros() as u64 * u64::from(tokens)
+    engine.prefill.as_micros() as u64 + engine.token_interval.as_micros() as u64 * u64::from(tokens)
 }
 
 /// Load times of a model at the engine that loads it fastest, in microseconds.
--- a/crates/replay/src/compare/figures.rs
+++ b/crates/replay/src/compare/figures.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use crate::checker::outcome::{load_count, quantile_of};
-use crate::history::{CallerEnd, History};
+use crate::history::{CallerOutcome, History};
 
 /// Microseconds in an hour.
 const MICROS_PER_HOUR: f64 = 3.6e9;
@@ -61,14 +61,14 @@
         let outcomes = history
             .callers
             .iter()
-            .filter_map(|caller| caller.tries.last())
+            .filter_map(|caller| caller.attempts.last())
             .map(|attempt| attempt.end.as_ref().map(|(_, end)| end));
         let mut refusals = 0;
         let mut failures = 0;
         for outcome in outcomes {
             match outcome {
-                Some(CallerEnd::Answered { .. }) => {}
-                Some(CallerEnd::Refused { .. }) => refusals += 1,
+                Some(CallerOutcome::Answered { .. }) => {}
+                Some(CallerOutcome::Refused { .. }) => refusals += 1,
                 _ => failures += 1,
             }
         }
@@ -110,8 +110,8 @@
         if caller.class != PriorityClass::Interactive {
             continue;
         }
-        let loaded = by_model.get(&format!("{}@{VERSION}", caller.of));
-        for attempt in &caller.tries {
+        let loaded = by_model.get(&format!("{}@{VERSION}", caller.target));
+        for attempt in &caller.attempts {
             let Some(first) = attempt.first_event else {
                 continue;
             };
--- a/crates/replay/src/compare/policies.rs
+++ b/crates/replay/src/compare/policies.rs
@@ -50,11 +50,11 @@
             if let Some(weight) = weight {
                 set_weight(&mut trace.header, weight);
             }
-            PolicyMetrics::of(&simulation::play(&trace, seed, None))
+            PolicyMetrics::of(&simulation::simulate(&trace, seed, None))
         }
         Policy::FixedKeepAlive(keep) => {
             let trace = with_keep_alive(trace, keep);
-            PolicyMetrics::of(&simulation::play(&trace, seed, None))
+            PolicyMetrics::of(&simulation::simulate(&trace, seed, None))
         }
         Policy::IndependentRouters(keep) => {
             let trace = with_keep_alive(trace, keep);
@@ -98,7 +98,7 @@
         node_trace.events.retain(
             |event| !matches!(&event.event, TraceEvent::Request(request) if request.count == 0),
         );
-        let history = simulation::play(&node_trace, seed, None);
+        let history = simulation::simulate(&node_trace, seed, None);
         merged.callers.extend(history.callers);
         merged.executions.extend(history.executions);
         merged.engines.extend(history.engines);
--- a/crates/replay/src/generate.rs
+++ b/crates/replay/src/generate.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 use crate::trace::format::{
-    BackEndEntry, Header, Links, NodePlace, RequestEvent, RowEntry, Store, TraceSettings,
+    BackEndEntry, Header, Links, RequestEvent, RowEntry, Store, TraceNode, TraceSettings,
 };
 
 const SECONDS_PER_HOUR: u64 = 3_600;
@@ -155,11 +155,11 @@
     }
 }
 
-fn node((index, zone): (usize, &&str)) -> NodePlace {
-    NodePlace {
+fn node((index, zone): (usize, &&str)) -> TraceNode {
+    TraceNode {
         id: format!("n{}", index + 1),
         zone: (*zone).to_owned(),
-        starts: Duration::ZERO,
+        start_delay: Duration::ZERO,
     }
 }
 
@@ -191,7 +191,7 @@
         slots: 16,
         cached,
         prefill: Duration::from_millis(250),
-        token: Duration::from_millis(25),
+        token_interval: Duration::from_millis(25),
     }
 }
 
--- a/crates/replay/src/history.rs
+++ b/crates/replay/src/history.rs
@@ -7,7 +7,7 @@
 
 use std::collections::BTreeMap;
 
-use gorsebank_contract::{BackEndPlan, PriorityClass, Ran, RefusalReason, RequestId};
+use gorsebank_contract::{BackEndPlan, ExecutionStatus, PriorityClass, RefusalReason, RequestId};
 use gorsebank_emulator::model::engine::EngineRecord;
 use gorsebank_world::{Artifact, BackEndId, NodeId, RowKey};
 
@@ -15,7 +15,7 @@
 
 /// The outcome of a caller's attempt.
 #[derive(Clone, Debug, PartialEq)]
-pub enum CallerEnd {
+pub enum CallerOutcome {
     /// The response ended successfully.
     Answered {
         /// Number of events in the complete response, as the back end sent it.
@@ -26,7 +26,7 @@
         /// Reason of the refusal.
         reason: RefusalReason,
         /// Whether the request ran, according to the refusal.
-        ran: Ran,
+        ran: ExecutionStatus,
         /// Delay in milliseconds after which the refusal allows a retry.
         retry_after: Option<u64>,
     },
@@ -38,7 +38,7 @@
 
 /// One attempt of a caller at one node.
 #[derive(Clone, Debug)]
-pub struct CallerTry {
+pub struct CallerAttempt {
     /// The node that received the request.
     pub node: NodeId,
     /// The id that the node gave to the request.
@@ -50,14 +50,14 @@
     /// Stream and number of every received event.
     pub received: Vec<(String, u64)>,
     /// Time and kind of the outcome.
-    pub end: Option<(u64, CallerEnd)>,
+    pub end: Option<(u64, CallerOutcome)>,
 }
 
 /// A caller's request with its attempts.
 #[derive(Clone, Debug)]
 pub struct CallerRecord {
     /// Name of the requested model or service.
-    pub of: String,
+    pub target: String,
     /// Priority class of the request.
     pub class: PriorityClass,
     /// Deadline of the request.
@@ -67,19 +67,19 @@
     /// Whether it may run more than once.
     pub repeatable: bool,
     /// Attempts, in the order in which they began.
-    pub tries: Vec<CallerTry>,
+    pub attempts: Vec<CallerAttempt>,
 }
 
 impl CallerRecord {
     /// Creates the record of a caller that has not sent anything yet.
     pub fn new(plan: &CallerPlan) -> Self {
         CallerRecord {
-            of: plan.of.clone(),
+            target: plan.of.clone(),
             class: plan.class,
             deadline: plan.deadline,
             key: plan.key.clone(),
             repeatable: plan.repeatable,
-            tries: Vec::new(),
+            attempts: Vec::new(),
         }
     }
 }
@@ -124,7 +124,7 @@
     /// The node.
     pub node: NodeId,
     /// Incarnation of the node, counted from 0.
-    pub life: u32,
+    pub incarnation: u32,
     /// Version of each row.
     pub versions: BTreeMap<RowKey, u64>,
     /// Time since which no fault affected the node.
@@ -133,7 +133,7 @@
 
 /// A plan for an engine as the table has it from a time on.
 #[derive(Clone, Debug)]
-pub struct DecisionRecord {
+pub struct PlanRecord {
     /// Time at which the plan took effect.
     pub at: u64,
     /// The engine that the plan is for.
@@ -144,7 +144,7 @@
 
 /// The time at which the platform announced that a back end is draining.
 #[derive(Clone, Debug)]
-pub struct LeaveRecord {
+pub struct DrainRecord {
     /// The back end.
     pub back_end: BackEndId,
     /// Time from which readers of the machine list could see the drain.
@@ -181,13 +181,13 @@
     /// Events of engines.
     pub engines: BTreeMap<BackEndId, EngineHistory>,
     /// Plans for engines in the table.
-    pub decisions: Vec<DecisionRecord>,
+    pub plans: Vec<PlanRecord>,
     /// Configuration changes by operators.
     pub changes: Vec<ChangeRecord>,
     /// Configuration as operators read it.
     pub readings: Vec<ConfigurationReading>,
     /// Drains of back ends.
-    pub leaves: Vec<LeaveRecord>,
+    pub drains: Vec<DrainRecord>,
     /// Nodes that were asked to stop, with the time of the request.
     pub planned_stops: Vec<(NodeId, u64)>,
     /// Pauses of nodes.
--- a/crates/replay/src/live/callers.rs
+++ b/crates/replay/src/live/callers.rs
@@ -7,13 +7,13 @@
 use eventsource_stream::Eventsource;
 use futures_util::StreamExt;
 use gorsebank_clients::HttpClient;
-use gorsebank_contract::{PriorityClass, Ran, RefusalReason, RequestId};
+use gorsebank_contract::{ExecutionStatus, PriorityClass, RefusalReason, RequestId};
 use http::{HeaderMap, Request, Response};
 use http_body_util::{BodyExt, BodyStream, Full};
 use hyper::body::Incoming;
 use serde_json::{Value, json};
 
-use crate::history::{CallerEnd, CallerTry};
+use crate::history::{CallerAttempt, CallerOutcome};
 use crate::simulation::caller::CallerPlan;
 
 /// Longest time for which a caller waits for the end of a response, from the start of the request.
@@ -39,7 +39,7 @@
     }
 
     /// Sends the request, reads its response to the end, and adds the outcome to `record`.
-    pub async fn run(&self, record: &mut CallerTry) {
+    pub async fn run(&self, record: &mut CallerAttempt) {
         let end = match tokio::time::timeout(RESPONSE_TIMEOUT, self.exchange(record)).await {
             Ok(end) => end,
             // The record stays without an outcome, which the checker reports.
@@ -48,12 +48,12 @@
         record.end = Some((self.now(), end));
     }
 
-    async fn exchange(&self, record: &mut CallerTry) -> CallerEnd {
+    async fn exchange(&self, record: &mut CallerAttempt) -> CallerOutcome {
         let Ok(request) = self.build_request() else {
-            return CallerEnd::NodeDied;
+            return CallerOutcome::NodeDied;
         };
         let Ok(response) = self.http.send(request).await else {
-            return CallerEnd::NodeDied;
+            return CallerOutcome::NodeDied;
         };
         record.request = parse_request_id(response.headers());
         if !response.status().is_success() {
@@ -93,20 +93,24 @@
     async fn read_complete_response(
         &self,
         response: Response<Incoming>,
-        record: &mut CallerTry,
-    ) -> CallerEnd {
+        record: &mut CallerAttempt,
+    ) -> CallerOutcome {
         let stream = request_header(response.headers());
         match response.into_body().collect().await {
             Ok(_) => {
                 record.first_event = Some(self.now());
                 record.received.push((stream, 0));
-                CallerEnd::Answered { whole: 1 }
+                CallerOutcome::Answered { whole: 1 }
             }
-            Err(_) => CallerEnd::NodeDied,
+            Err(_) => CallerOutcome::NodeDied,
         }
     }
 
-    async fn read_stream(&self, response: Response<Incoming>, record: &mut CallerTry) -> CallerEnd {
+    async fn read_stream(
+        &self,
+        response: Response<Incoming>,
+        record: &mut CallerAttempt,
+    ) -> CallerOutcome {
         let data = BodyStream::new(response.into_body()).filter_map(|frame| async {
             match frame {
                 Ok(frame) => frame.into_data().ok().map(Ok),
@@ -116,10 +120,10 @@
         let mut events = Box::pin(data.eventsource());
         while let Some(event) = events.next().await {
             let Ok(event) = event else {
-                return CallerEnd::NodeDied;
+                return CallerOutcome::NodeDied;
             };
             if event.event == "error" {
-                return CallerEnd::Interrupted;
+                return CallerOutcome::Interrupted;
             }
             let Some((stream, number)) = event.id.rsplit_once(':') else {
                 continue;
@@ -131,10 +135,10 @@
                 // The emulator sends one event per token, one with the finish reason, and the
                 // last event.
                 let whole = u64::from(self.plan.tokens) + 2;
-                return CallerEnd::Answered { whole };
+                return CallerOutcome::Answered { whole };
             }
         }
-        CallerEnd::NodeDied
+        CallerOutcome::NodeDied
     }
 }
 
@@ -152,7 +156,7 @@
     id.parse().ok()
 }
 
-async fn read_refusal(response: Response<Incoming>) -> CallerEnd {
+async fn read_refusal(response: Response<Incoming>) -> CallerOutcome {
     let retry_after = response
         .headers()
         .get("retry-after")
@@ -161,14 +165,14 @@
         .map(|seconds| seconds * 1_000);
     let body = match response.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return CallerEnd::NodeDied,
+        Err(_) => return CallerOutcome::NodeDied,
     };
     let error: Value = serde_json::from_slice(&body).unwrap_or_default();
     let ran = match error["error"]["ran"].as_str() {
-        Some("no") => Ran::No,
-        _ => Ran::Unknown,
+        Some("no") => ExecutionStatus::No,
+        _ => ExecutionStatus::Unknown,
     };
-    CallerEnd::Refused {
+    CallerOutcome::Refused {
         reason: parse_refusal_reason(error["error"]["code"].as_str().unwrap_or_default()),
         ran,
         retry_after,
--- a/crates/replay/src/live/deployment.rs
+++ b/crates/replay/src/live/deployment.rs
@@ -19,7 +19,7 @@
 use crate::live::process::Process;
 use crate::live::relay::Relay;
 use crate::simulation::node_host::CELL;
-use crate::trace::format::{BackEndEntry, Header, NodePlace};
+use crate::trace::format::{BackEndEntry, Header, TraceNode};
 
 /// Time within which all processes must be ready and have the same configuration.
 const START_TIMEOUT: Duration = Duration::from_secs(60);
@@ -36,7 +36,7 @@
 
 impl Binaries {
     /// Finds the programs in the directory of the running program.
-    pub fn beside_this() -> eyre::Result<Self> {
+    pub fn find_beside_executable() -> eyre::Result<Self> {
         let this = std::env::current_exe()?;
         let directory = this
             .parent()
@@ -276,7 +276,7 @@
     }
 
     /// All lines that a back end printed, those of previous incarnations first.
-    pub fn lines_of(&self, id: &str) -> Vec<String> {
+    pub fn output_lines(&self, id: &str) -> Vec<String> {
         let mut lines = self.previous_lines.get(id).cloned().unwrap_or_default();
         lines.extend(
             self.back_ends
@@ -313,7 +313,7 @@
         Ok(())
     }
 
-    fn node_settings(&self, place: &NodePlace) -> String {
+    fn node_settings(&self, place: &TraceNode) -> String {
         let addresses = self.addresses[&place.id];
         let table = self.address_for(&place.id, "table", self.table.address());
         let store = &self.header.store;
@@ -364,7 +364,7 @@
     }
 
     /// Marks a back end as draining in every machine list.
-    pub async fn list_as_leaving(&mut self, id: &str) -> eyre::Result<()> {
+    pub async fn list_as_draining(&mut self, id: &str) -> eyre::Result<()> {
         self.back_end_states.insert(id.to_owned(), "leaving");
         for (node, list) in &self.machine_lists {
             let groups = self.machine_groups(node);
@@ -500,7 +500,7 @@
             add("--memory", format!("{}B", entry.memory.as_u64()));
             add("--slots", entry.slots.to_string());
             add("--prefill", format!("{}ms", entry.prefill.as_millis()));
-            add("--token", format!("{}ms", entry.token.as_millis()));
+            add("--token", format!("{}ms", entry.token_interval.as_millis()));
             for artifact in entry.cached.keys() {
                 add("--on-disk", artifact.to_string());
             }
--- a/crates/replay/src/live/mod.rs
+++ b/crates/replay/src/live/mod.rs
@@ -11,4 +11,4 @@
 pub mod relay;
 
 pub use deployment::{Binaries, LinkKind, LiveDeployment, free_address};
-pub use player::play_live;
+pub use player::replay_live;
--- a/crates/replay/src/live/player.rs
+++ b/crates/replay/src/live/player.rs
@@ -17,7 +17,9 @@
 use tokio::task::JoinSet;
 
 use crate::checker::{self, Violation};
-use crate::history::{CallerEnd, CallerRecord, CallerTry, EngineHistory, Execution, History};
+use crate::history::{
+    CallerAttempt, CallerOutcome, CallerRecord, EngineHistory, Execution, History,
+};
 use crate::live::callers::LiveCall;
 use crate::live::deployment::{Binaries, LinkKind, LiveDeployment};
 use crate::simulation::caller::{self, CallerPlan};
@@ -53,7 +55,7 @@
 }
 
 /// Replays a trace. Returns the history and the violations of rules that do not depend on timing.
-pub async fn play_live(
+pub async fn replay_live(
     binaries: Binaries,
     trace: &Trace,
 ) -> eyre::Result<(History, Vec<Violation>)> {
@@ -117,7 +119,7 @@
                     .map(NodeId::from)
                     .collect();
                 let index = self.history.lock().callers.len();
-                for (at, plan) in caller::plans(&nodes, index, self.now(), &request) {
+                for (at, plan) in caller::plan_callers(&nodes, index, self.now(), &request) {
                     self.spawn_caller(at, plan);
                 }
             }
@@ -246,7 +248,7 @@
                 self.schedule(*lasting, Action::HealStore);
             }
             FaultEvent::Leave { process, notice } => {
-                self.deployment.list_as_leaving(process).await?;
+                self.deployment.list_as_draining(process).await?;
                 if let Some(notice) = notice {
                     self.schedule(*notice, Action::KillBackEnd(process.clone()));
                 }
@@ -327,7 +329,7 @@
 
     fn collect_back_ends(&self, history: &mut History) {
         for (id, role, memory) in self.deployment.described_back_ends() {
-            let lines = self.deployment.lines_of(&id);
+            let lines = self.deployment.output_lines(&id);
             let back_end = BackEndId::from(id.as_str());
             match role {
                 MachineRole::Engine => {
@@ -421,7 +423,7 @@
             let Some((_, address)) = self.addresses.iter().find(|(id, _)| id == node) else {
                 return;
             };
-            let mut record = CallerTry {
+            let mut record = CallerAttempt {
                 node: node.clone(),
                 request: None,
                 at: self.now(),
@@ -436,12 +438,14 @@
                 plan: &self.plan,
             };
             call.run(&mut record).await;
-            let has_node_failed = matches!(record.end, Some((_, CallerEnd::NodeDied)));
+            let has_node_failed = matches!(record.end, Some((_, CallerOutcome::NodeDied)));
             // A refused connection does not count as an attempt.
             let was_refused =
                 has_node_failed && record.request.is_none() && record.received.is_empty();
             if !was_refused {
-                self.history.lock().callers[self.index].tries.push(record);
+                self.history.lock().callers[self.index]
+                    .attempts
+                    .push(record);
             }
             if !has_node_failed || (!self.plan.is_persistent && !was_refused) {
                 return;
--- a/crates/replay/src/main.rs
+++ b/crates/replay/src/main.rs
@@ -130,10 +130,11 @@
 /// passed.
 fn run_live(paths: &[PathBuf], print_summary: bool) -> eyre::Result<bool> {
     let runtime = tokio::runtime::Runtime::new()?;
-    let binaries = Binaries::beside_this()?;
+    let binaries = Binaries::find_beside_executable()?;
     let (mut passed, mut failed) = (0, 0);
     for trace in run::read_traces(paths)? {
-        let (history, violations) = runtime.block_on(live::play_live(binaries.clone(), &trace))?;
+        let (history, violations) =
+            runtime.block_on(live::replay_live(binaries.clone(), &trace))?;
         let name = &trace.header.trace;
         if violations.is_empty() {
             passed += 1;
--- a/crates/replay/src/run.rs
+++ b/crates/replay/src/run.rs
@@ -74,8 +74,8 @@
 }
 
 /// Replays one trace with one seed.
-pub fn play_seed(trace: &Trace, seed: u64, without: Option<Ablation>) -> SeedResult {
-    let history = simulation::play(trace, seed, without);
+pub fn run_seed(trace: &Trace, seed: u64, without: Option<Ablation>) -> SeedResult {
+    let history = simulation::simulate(trace, seed, without);
     let violations = checker::check(&history, &trace.outcomes);
     let events = if violations.is_empty() {
         Vec::new()
@@ -109,7 +109,7 @@
     for trace in &traces {
         let results: Vec<SeedResult> = (options.seeds.first..options.seeds.end)
             .into_par_iter()
-            .map(|seed| play_seed(trace, seed, options.without))
+            .map(|seed| run_seed(trace, seed, options.without))
             .collect();
         let failures: Vec<&SeedResult> = results
             .iter()
--- a/crates/replay/src/simulation/back_end.rs
+++ b/crates/replay/src/simulation/back_end.rs
@@ -142,7 +142,7 @@
     /// Plans the response to a call that starts at `now` microseconds.
     pub fn plan_response(&mut self, now: u64, stream: &str, tokens: u32) -> ResponsePlan {
         let pieces = tokens.clamp(1, MAX_EVENTS);
-        let generation_time = self.entry.token.as_micros() as u64 * u64::from(tokens);
+        let generation_time = self.entry.token_interval.as_micros() as u64 * u64::from(tokens);
         let plan = ResponsePlan {
             events: u64::from(pieces) + 1,
             first_at: now + self.entry.prefill.as_micros() as u64,
--- a/crates/replay/src/simulation/back_end_events.rs
+++ b/crates/replay/src/simulation/back_end_events.rs
@@ -2,7 +2,7 @@
 
 use gorsebank_contract::{Fence, Order, OrderAction, OrderResult, Sequence, SourceTier};
 use gorsebank_coordination::{Event, EventId};
-use gorsebank_emulator::model::engine::OrderStart;
+use gorsebank_emulator::model::engine::OrderProgress;
 use gorsebank_world::{Artifact, BackEndId, MachineRole, NodeId};
 use rand::RngExt;
 
@@ -68,8 +68,8 @@
         };
         let engine_life = engine.incarnation;
         match engine.engine.order(now, &order) {
-            OrderStart::Settled(result) => self.reply_to_order(&back_end, reply, result),
-            OrderStart::Loading {
+            OrderProgress::Finished(result) => self.reply_to_order(&back_end, reply, result),
+            OrderProgress::Loading {
                 artifact,
                 bytes,
                 tier,
--- a/crates/replay/src/simulation/caller.rs
+++ b/crates/replay/src/simulation/caller.rs
@@ -31,7 +31,7 @@
 
 /// Plans the callers of a request event at `now`, each with its start time, in microseconds.
 /// `index` makes the idempotency keys of different events distinct.
-pub fn plans(
+pub fn plan_callers(
     all_nodes: &[NodeId],
     index: usize,
     now: u64,
--- a/crates/replay/src/simulation/caller_events.rs
+++ b/crates/replay/src/simulation/caller_events.rs
@@ -6,7 +6,7 @@
 use gorsebank_world::{NodeId, QueueKey, Row};
 
 use crate::ablation::Ablation;
-use crate::history::{CallerEnd, CallerRecord, CallerTry, ChangeRecord};
+use crate::history::{CallerAttempt, CallerOutcome, CallerRecord, ChangeRecord};
 use crate::simulation::caller::{self, CallerPlan};
 use crate::simulation::node_host::OpenRequest;
 use crate::simulation::operator;
@@ -21,7 +21,7 @@
 impl Simulation {
     pub(super) fn plan_callers(&mut self, index: usize, request: &RequestEvent) {
         let nodes: Vec<NodeId> = self.nodes.keys().cloned().collect();
-        for (at, mut plan) in caller::plans(&nodes, index, self.now, request) {
+        for (at, mut plan) in caller::plan_callers(&nodes, index, self.now, request) {
             self.history.callers.push(CallerRecord::new(&plan));
             if self.ablation == Some(Ablation::Priorities) {
                 plan.class = PriorityClass::Interactive;
@@ -37,7 +37,7 @@
         if self.now >= plan.deadline {
             return;
         }
-        let tries = self.history.callers[caller].tries.len();
+        let tries = self.history.callers[caller].attempts.len();
         let chosen = (0..plan.nodes.len())
             .map(|offset| plan.nodes[(tries + offset) % plan.nodes.len()].clone())
             .find(|id| self.accepts_connections(id));
@@ -45,7 +45,7 @@
             let event = SimEvent::CallerSends { caller };
             return self.queue.add(self.now + NEXT_NODE_DELAY_US, event);
         };
-        self.history.callers[caller].tries.push(CallerTry {
+        self.history.callers[caller].attempts.push(CallerAttempt {
             node: id.clone(),
             request: None,
             at: self.now,
@@ -63,7 +63,7 @@
     }
 
     fn arrive_at(&mut self, caller: usize, id: &NodeId, plan: &CallerPlan) {
-        let attempt = self.history.callers[caller].tries.len() - 1;
+        let attempt = self.history.callers[caller].attempts.len() - 1;
         let Some(node) = self.nodes.get_mut(id) else {
             return;
         };
@@ -76,12 +76,12 @@
             running.resolve(&plan.of)
         };
         let request: RequestId = running.new_request();
-        self.history.callers[caller].tries[attempt].request = Some(request);
+        self.history.callers[caller].attempts[attempt].request = Some(request);
         let Ok(queue) = queue else {
             // The node does not know the model, or not yet, and refuses the request.
-            let end = CallerEnd::Refused {
+            let end = CallerOutcome::Refused {
                 reason: gorsebank_contract::RefusalReason::NoPlace,
-                ran: gorsebank_contract::Ran::No,
+                ran: gorsebank_contract::ExecutionStatus::No,
                 retry_after: Some(1_000),
             };
             return self.caller_ends((caller, attempt), end);
@@ -107,18 +107,18 @@
 
     pub(super) fn caller_receives(&mut self, caller: (usize, usize), id: EventId) {
         let now = self.now;
-        let record = &mut self.history.callers[caller.0].tries[caller.1];
+        let record = &mut self.history.callers[caller.0].attempts[caller.1];
         record.first_event.get_or_insert(now);
         record.received.push((id.stream, id.number));
     }
 
-    pub(super) fn caller_ends(&mut self, caller: (usize, usize), end: CallerEnd) {
+    pub(super) fn caller_ends(&mut self, caller: (usize, usize), end: CallerOutcome) {
         let now = self.now;
-        let record = &mut self.history.callers[caller.0].tries[caller.1];
+        let record = &mut self.history.callers[caller.0].attempts[caller.1];
         if record.end.is_some() {
             return;
         }
-        let may_retry = end == CallerEnd::NodeDied && self.callers[caller.0].is_persistent;
+        let may_retry = end == CallerOutcome::NodeDied && self.callers[caller.0].is_persistent;
         record.end = Some((now, end));
         if may_retry {
             let event = SimEvent::CallerSends { caller: caller.0 };
--- a/crates/replay/src/simulation/faults.rs
+++ b/crates/replay/src/simulation/faults.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::ablation::Ablation;
-use crate::history::{CallerEnd, LeaveRecord, PauseRecord};
+use crate::history::{CallerOutcome, DrainRecord, PauseRecord};
 use crate::simulation::caller_events::STOP_LINGER_US;
 use crate::simulation::world::{MILLISECOND, SECOND, SimEvent, Simulation};
 use crate::trace::format::{FaultEvent, RandomKind, TableMode};
@@ -159,7 +159,7 @@
             callers.len()
         ));
         for caller in callers {
-            self.caller_ends(caller, CallerEnd::NodeDied);
+            self.caller_ends(caller, CallerOutcome::NodeDied);
         }
     }
 
@@ -186,11 +186,11 @@
         let visible = self.list.change(self.now, |list| {
             for machine in &mut list.back_ends {
                 if machine.id == id {
-                    machine.state = MachineState::Leaving;
+                    machine.state = MachineState::Draining;
                 }
             }
         });
-        self.history.leaves.push(LeaveRecord {
+        self.history.drains.push(DrainRecord {
             back_end: id.clone(),
             visible,
         });
--- a/crates/replay/src/simulation/mod.rs
+++ b/crates/replay/src/simulation/mod.rs
@@ -17,4 +17,4 @@
 pub mod queue;
 pub mod world;
 
-pub use world::{Simulation, play};
+pub use world::{Simulation, simulate};
--- a/crates/replay/src/simulation/node_events.rs
+++ b/crates/replay/src/simulation/node_events.rs
@@ -2,14 +2,14 @@
 //! orders, requests to back ends) and delivers the responses.
 
 use gorsebank_contract::{
-    AttemptOutcome, Order, OrderAction, OrderResult, PeerMessage, Refusal, RequestId, TableAnswer,
-    TicketId, Transaction,
+    AttemptOutcome, Order, OrderAction, OrderResult, PeerMessage, Refusal, RequestId, TicketId,
+    Transaction, TransactionResult,
 };
-use gorsebank_coordination::{Action, Event, StreamGuard, TransactionTag, Verdict};
+use gorsebank_coordination::{Action, Event, EventDecision, StreamChecker, TransactionTag};
 use gorsebank_world::{Machine, MachineRole, NodeId};
 
 use crate::ablation::Ablation;
-use crate::history::CallerEnd;
+use crate::history::CallerOutcome;
 use crate::simulation::back_end::{Call, first_connection, stream_name};
 use crate::simulation::network::{MACHINE_LIST, TABLE};
 use crate::simulation::node_host::OpenAttempt;
@@ -72,7 +72,7 @@
             return;
         }
         if self.ablation == Some(Ablation::ConfigurationRepair)
-            && matches!(message, PeerMessage::ConfigurationWanted { .. })
+            && matches!(message, PeerMessage::ConfigurationRequest { .. })
         {
             return;
         }
@@ -99,10 +99,10 @@
         };
         let event = Event::Received {
             from: to.clone(),
-            message: PeerMessage::ClaimAnswered {
+            message: PeerMessage::ClaimResponse {
                 epoch: *epoch,
                 request: *request,
-                answer: gorsebank_contract::ClaimAnswer::Recorded,
+                response: gorsebank_contract::ClaimResponse::Recorded,
             },
         };
         let incarnation = self.incarnation(from);
@@ -144,7 +144,7 @@
     fn schedule_unknown_result(&mut self, id: &NodeId, incarnation: u32, tag: TransactionTag) {
         let event = Event::TableAnswered {
             tag,
-            answer: TableAnswer::Unknown,
+            answer: TransactionResult::Unknown,
         };
         self.schedule_for_node(self.now + PLATFORM_TIMEOUT_US, id, incarnation, event);
     }
@@ -161,7 +161,7 @@
             return self.schedule_unknown_result(&node, incarnation, tag);
         }
         let (answer, decisions) = self.table.transact(self.now, transaction, self.ablation);
-        self.history.decisions.extend(decisions);
+        self.history.plans.extend(decisions);
         let delay = if mode == TableMode::Slow {
             SLOW_TABLE_DELAY_US
         } else {
@@ -271,7 +271,7 @@
         open.attempt = Some(OpenAttempt {
             id: ticket,
             back_end: machine.id.clone(),
-            guard: StreamGuard::new(stream.as_str(), 0),
+            guard: StreamChecker::new(stream.as_str(), 0),
             stream,
             connection: first_connection(ticket),
             resumes: 0,
@@ -361,14 +361,14 @@
             StreamItem::Broken => self.reconnect(&to),
             StreamItem::Event { id, is_last } => {
                 let decision = if checks {
-                    attempt.guard.judge(&id, is_last)
+                    attempt.guard.check_event(&id, is_last)
                 } else {
-                    Verdict::Forward
+                    EventDecision::Forward
                 };
                 match decision {
-                    Verdict::Duplicate => {}
-                    Verdict::Gap | Verdict::Foreign => self.reconnect(&to),
-                    Verdict::Forward => {
+                    EventDecision::Duplicate => {}
+                    EventDecision::Gap | EventDecision::Foreign => self.reconnect(&to),
+                    EventDecision::Forward => {
                         attempt.has_begun = true;
                         attempt.resumes = 0;
                         self.caller_receives(caller, id);
@@ -440,12 +440,12 @@
             .open_attempt(to)
             .is_some_and(|attempt| attempt.has_begun);
         if has_begun {
-            self.attempt_ended(to, AttemptOutcome::LostDuringAnswer);
-            self.finish_request(&to.node, to.request, CallerEnd::Interrupted);
+            self.attempt_ended(to, AttemptOutcome::LostDuringResponse);
+            self.finish_request(&to.node, to.request, CallerOutcome::Interrupted);
         } else {
             let reports_loss = self.ablation != Some(Ablation::HonestOutcomes);
             let outcome = if reports_loss {
-                AttemptOutcome::LostBeforeAnswer
+                AttemptOutcome::LostBeforeResponse
             } else {
                 AttemptOutcome::NotSent
             };
@@ -492,7 +492,7 @@
         let stream = attempt.stream.clone();
         let whole = self.stream_lengths.get(&stream).copied().unwrap_or(0);
         self.attempt_ended(to, AttemptOutcome::Completed);
-        let end = CallerEnd::Answered { whole };
+        let end = CallerOutcome::Answered { whole };
         self.finish_request(&to.node, to.request, end);
     }
 
@@ -500,7 +500,7 @@
         if self.ablation == Some(Ablation::Refusals) {
             return;
         }
-        let end = CallerEnd::Refused {
+        let end = CallerOutcome::Refused {
             reason: refusal.reason,
             ran: refusal.ran,
             retry_after: refusal.retry_after,
@@ -508,7 +508,7 @@
         self.finish_request(id, request, end);
     }
 
-    fn finish_request(&mut self, id: &NodeId, request: RequestId, end: CallerEnd) {
+    fn finish_request(&mut self, id: &NodeId, request: RequestId, end: CallerOutcome) {
         let open = self
             .nodes
             .get_mut(id)
--- a/crates/replay/src/simulation/node_host.rs
+++ b/crates/replay/src/simulation/node_host.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 
 use gorsebank_contract::{Incarnation, RequestId, TicketId};
-use gorsebank_coordination::{CoordinationSettings, Identity, Node, StreamGuard, Timestamp};
+use gorsebank_coordination::{CoordinationSettings, Identity, Node, StreamChecker, Timestamp};
 use gorsebank_world::{BackEndId, CellId, NodeId, ZoneId};
 
 /// The cell of all nodes of a trace.
@@ -19,7 +19,7 @@
     /// Name of the stream of the response.
     pub stream: String,
     /// Check of the stream events for gaps and duplicates.
-    pub guard: StreamGuard,
+    pub guard: StreamChecker,
     /// Number of the current connection. Events of previous connections are dropped.
     pub connection: u32,
     /// Number of resumptions since the last event.
--- a/crates/replay/src/simulation/platform.rs
+++ b/crates/replay/src/simulation/platform.rs
@@ -3,13 +3,13 @@
 
 use std::collections::VecDeque;
 
-use gorsebank_contract::{BackEndPlan, TableAnswer, Transaction};
+use gorsebank_contract::{BackEndPlan, Transaction, TransactionResult};
 use gorsebank_emulator::model::store::StoreModel;
 use gorsebank_emulator::model::table::TableModel;
 use gorsebank_world::{BackEndId, MachineList};
 
 use crate::ablation::Ablation;
-use crate::history::DecisionRecord;
+use crate::history::PlanRecord;
 use crate::trace::format::TableMode;
 
 /// The table service.
@@ -43,7 +43,7 @@
         now: u64,
         transaction: &Transaction,
         ablation: Option<Ablation>,
-    ) -> (TableAnswer, Vec<DecisionRecord>) {
+    ) -> (TransactionResult, Vec<PlanRecord>) {
         let answer = if ablation == Some(Ablation::Conditions) {
             let unconditional = Transaction {
                 compares: Vec::new(),
@@ -53,7 +53,7 @@
         } else {
             self.model.transact(transaction)
         };
-        let is_committed = matches!(answer, TableAnswer::Committed { .. });
+        let is_committed = matches!(answer, TransactionResult::Committed { .. });
         let decisions = if is_committed {
             written_plans(now, transaction)
         } else {
@@ -63,14 +63,14 @@
     }
 }
 
-fn written_plans(now: u64, transaction: &Transaction) -> Vec<DecisionRecord> {
+fn written_plans(now: u64, transaction: &Transaction) -> Vec<PlanRecord> {
     transaction
         .puts
         .iter()
         .filter_map(|put| {
             let (_, id) = put.key.split_once("/plans/")?;
             let plan: BackEndPlan = serde_json::from_str(&put.value).ok()?;
-            Some(DecisionRecord {
+            Some(PlanRecord {
                 at: now,
                 back_end: BackEndId::from(id),
                 plan,
--- a/crates/replay/src/simulation/world.rs
+++ b/crates/replay/src/simulation/world.rs
@@ -201,7 +201,7 @@
 
 /// Runs a trace with a seed, without the mechanism `ablation` if one is given. Returns the history
 /// as back ends, callers and operators observed it.
-pub fn play(trace: &Trace, seed: u64, ablation: Option<Ablation>) -> History {
+pub fn simulate(trace: &Trace, seed: u64, ablation: Option<Ablation>) -> History {
     let mut simulation = Simulation::new(trace, seed, ablation);
     simulation.run();
     simulation.finish()
@@ -265,7 +265,7 @@
     fn schedule_start(&mut self) {
         for place in self.trace.header.nodes.clone() {
             let node = NodeId::from(place.id);
-            let at = place.starts.as_micros() as u64;
+            let at = place.start_delay.as_micros() as u64;
             self.queue.add(at, SimEvent::NodeStarts { node });
         }
         for index in 0..self.trace.events.len() {
@@ -455,7 +455,7 @@
             self.history.readings.push(ConfigurationReading {
                 at: self.now,
                 node: id.clone(),
-                life: node.incarnation,
+                incarnation: node.incarnation,
                 versions: operator::row_revisions(running),
                 undisturbed_since: node.undisturbed_since,
             });
--- a/crates/replay/src/summary.rs
+++ b/crates/replay/src/summary.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use crate::checker::outcome::{first_token_times, load_count, quantile_of};
-use crate::history::{CallerEnd, History};
+use crate::history::{CallerOutcome, History};
 
 /// Metrics of one history. Times are in milliseconds.
 #[derive(Clone, Debug, PartialEq)]
@@ -25,14 +25,14 @@
     /// Computes the summary of a history.
     pub fn of(history: &History) -> Self {
         let mut outcome_counts: BTreeMap<String, u32> = BTreeMap::new();
-        for attempt in history.callers.iter().flat_map(|caller| &caller.tries) {
+        for attempt in history.callers.iter().flat_map(|caller| &caller.attempts) {
             let name = match &attempt.end {
-                Some((_, CallerEnd::Answered { .. })) => "answered".to_owned(),
-                Some((_, CallerEnd::Refused { reason, ran, .. })) => {
+                Some((_, CallerOutcome::Answered { .. })) => "answered".to_owned(),
+                Some((_, CallerOutcome::Refused { reason, ran, .. })) => {
                     format!("refused {reason:?} ran {ran:?}")
                 }
-                Some((_, CallerEnd::Interrupted)) => "interrupted".to_owned(),
-                Some((_, CallerEnd::NodeDied)) => "node died".to_owned(),
+                Some((_, CallerOutcome::Interrupted)) => "interrupted".to_owned(),
+                Some((_, CallerOutcome::NodeDied)) => "node died".to_owned(),
                 None => "open".to_owned(),
             };
             *outcome_counts.entry(name).or_default() += 1;
--- a/crates/replay/src/trace/format.rs
+++ b/crates/replay/src/trace/format.rs
@@ -24,7 +24,7 @@
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
     /// Nodes of gorsebank.
-    pub nodes: Vec<NodePlace>,
+    pub nodes: Vec<TraceNode>,
     /// Engines and application back ends.
     pub back_ends: Vec<BackEndEntry>,
     /// Configuration rows at the start.
@@ -57,14 +57,14 @@
 /// A node and its zone.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct NodePlace {
+pub struct TraceNode {
     /// Name of the node.
     pub id: String,
     /// Zone of the node.
     pub zone: String,
     /// Time from the start of the replay after which the node starts.
     #[serde(default, rename = "starts", with = "humantime_serde")]
-    pub starts: Duration,
+    pub start_delay: Duration,
 }
 
 /// A back end of the deployment.
@@ -97,7 +97,7 @@
         rename = "token",
         with = "humantime_serde"
     )]
-    pub token: Duration,
+    pub token_interval: Duration,
 }
 
 fn default_slots() -> u32 {
--- a/crates/replay/src/trace/mod.rs
+++ b/crates/replay/src/trace/mod.rs
@@ -7,7 +7,7 @@
 pub mod parse;
 
 pub use format::{
-    BackEndEntry, ChangeEvent, FaultEvent, Header, NodePlace, Outcome, RequestEvent, TableMode,
-    TimedEvent, TraceEvent,
+    BackEndEntry, ChangeEvent, FaultEvent, Header, Outcome, RequestEvent, TableMode, TimedEvent,
+    TraceEvent, TraceNode,
 };
 pub use parse::{Trace, TraceError};
--- a/crates/replay/tests/checker.rs
+++ b/crates/replay/tests/checker.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
-use gorsebank_contract::{BackEndPlan, PriorityClass, Ran, RefusalReason, RequestId};
+use gorsebank_contract::{BackEndPlan, ExecutionStatus, PriorityClass, RefusalReason, RequestId};
 use gorsebank_emulator::model::engine::{EngineEvent, EngineRecord};
 use gorsebank_replay::checker::{Rule, check};
 use gorsebank_replay::history::{
-    CallerEnd, CallerRecord, CallerTry, ChangeRecord, ConfigurationReading, DecisionRecord,
-    EngineHistory, Execution, History, LeaveRecord,
+    CallerAttempt, CallerOutcome, CallerRecord, ChangeRecord, ConfigurationReading, DrainRecord,
+    EngineHistory, Execution, History, PlanRecord,
 };
 use gorsebank_world::{Artifact, BackEndId, RowKey, RowKind};
 
@@ -37,7 +37,7 @@
     }
 }
 
-fn plan_record(at: u64, bytes: Option<u64>) -> DecisionRecord {
+fn plan_record(at: u64, bytes: Option<u64>) -> PlanRecord {
     let mut plan = BackEndPlan {
         capacity: 10,
         ..BackEndPlan::default()
@@ -45,7 +45,7 @@
     if let Some(bytes) = bytes {
         plan.reservations.insert(artifact(), bytes);
     }
-    DecisionRecord {
+    PlanRecord {
         at,
         back_end: BackEndId::from("engine"),
         plan,
@@ -59,14 +59,14 @@
     }
 }
 
-fn caller(end: Option<(u64, CallerEnd)>, received: &[(&str, u64)]) -> CallerRecord {
+fn caller(end: Option<(u64, CallerOutcome)>, received: &[(&str, u64)]) -> CallerRecord {
     CallerRecord {
-        of: "llama".to_owned(),
+        target: "llama".to_owned(),
         class: PriorityClass::Interactive,
         deadline: 10 * SECOND,
         key: None,
         repeatable: true,
-        tries: vec![CallerTry {
+        attempts: vec![CallerAttempt {
             node: "n1".into(),
             request: Some(RequestId(1, 1)),
             at: SECOND,
@@ -111,9 +111,9 @@
 #[test]
 fn a_valid_history_has_no_violations() {
     let mut history = engine_history(&[EngineEvent::Started, load(5)]);
-    history.decisions.push(plan_record(50_000, Some(5)));
+    history.plans.push(plan_record(50_000, Some(5)));
     let own = format!("{}-1@engine", RequestId(1, 1));
-    let end = Some((2 * SECOND, CallerEnd::Answered { whole: 2 }));
+    let end = Some((2 * SECOND, CallerOutcome::Answered { whole: 2 }));
     history
         .callers
         .push(caller(end, &[(own.as_str(), 0), (own.as_str(), 1)]));
@@ -128,8 +128,8 @@
 #[test]
 fn a_plan_that_drops_a_held_artifact_is_reported() {
     let mut history = engine_history(&[EngineEvent::Started, load(5)]);
-    history.decisions.push(plan_record(50_000, Some(5)));
-    history.decisions.push(plan_record(900_000, None));
+    history.plans.push(plan_record(50_000, Some(5)));
+    history.plans.push(plan_record(900_000, None));
     assert_reported(&history, Rule::Replicas);
 }
 
@@ -145,16 +145,16 @@
 #[test]
 fn a_plan_that_exceeds_the_engine_memory_is_reported() {
     let mut history = History::default();
-    history.decisions.push(plan_record(0, Some(11)));
+    history.plans.push(plan_record(0, Some(11)));
     assert_reported(&history, Rule::Memory);
 }
 
 #[test]
 fn dropped_and_late_requests_are_reported() {
     assert_reported(&with_caller(caller(None, &[])), Rule::Served);
-    let refused = CallerEnd::Refused {
+    let refused = CallerOutcome::Refused {
         reason: RefusalReason::DeadlinePassed,
-        ran: Ran::No,
+        ran: ExecutionStatus::No,
         retry_after: None,
     };
     let late = caller(Some((12 * SECOND, refused)), &[]);
@@ -172,16 +172,16 @@
         &[(own, 1), (own, 0)][..],
         &[(own, 0), (foreign.as_str(), 1)][..],
     ] {
-        let end = Some((2 * SECOND, CallerEnd::Answered { whole: 2 }));
+        let end = Some((2 * SECOND, CallerOutcome::Answered { whole: 2 }));
         assert_reported(&with_caller(caller(end, received)), Rule::WholeAnswer);
     }
 }
 
 #[test]
 fn a_false_refusal_is_reported() {
-    let refused = CallerEnd::Refused {
+    let refused = CallerOutcome::Refused {
         reason: RefusalReason::RetriesExhausted,
-        ran: Ran::No,
+        ran: ExecutionStatus::No,
         retry_after: None,
     };
     let mut history = with_caller(caller(Some((2 * SECOND, refused)), &[]));
@@ -200,7 +200,7 @@
 #[test]
 fn a_late_request_to_a_draining_back_end_is_reported() {
     let mut history = History::default();
-    history.leaves.push(LeaveRecord {
+    history.drains.push(DrainRecord {
         back_end: BackEndId::from("app"),
         visible: SECOND,
     });
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_request_interrupted_by_a_planned_stop_is_reported() {
-    let interrupted = caller(Some((5 * SECOND, CallerEnd::NodeDied)), &[]);
+    let interrupted = caller(Some((5 * SECOND, CallerOutcome::NodeDied)), &[]);
     let mut history = with_caller(interrupted);
     history.planned_stops.push(("n1".into(), 4 * SECOND));
     assert_reported(&history, Rule::PlannedStop);
@@ -225,7 +225,7 @@
     let reading = |at: u64, version: u64| ConfigurationReading {
         at: at * SECOND,
         node: "n1".into(),
-        life: 1,
+        incarnation: 1,
         versions: BTreeMap::from([(key.clone(), version)]),
         undisturbed_since: 0,
     };
--- a/crates/replay/tests/traces.rs
+++ b/crates/replay/tests/traces.rs
@@ -3,7 +3,7 @@
 
 use std::path::PathBuf;
 
-use gorsebank_replay::run::{play_seed, read_traces};
+use gorsebank_replay::run::{read_traces, run_seed};
 use gorsebank_replay::trace::Trace;
 use rayon::prelude::*;
 
@@ -25,7 +25,7 @@
         .par_iter()
         .flat_map(|trace| {
             SEEDS.into_par_iter().filter_map(move |seed| {
-                let result = play_seed(trace, seed, None);
+                let result = run_seed(trace, seed, None);
                 let first = result.violations.first()?;
                 Some(format!("{} with seed {seed}: {first}", trace.header.trace))
             })
@@ -41,7 +41,7 @@
         .filter(|trace| trace.header.must_fail_without.is_some())
         .filter(|trace| {
             !ABLATION_SEEDS.into_par_iter().any(|seed| {
-                let result = play_seed(trace, seed, trace.header.must_fail_without);
+                let result = run_seed(trace, seed, trace.header.must_fail_without);
                 !result.violations.is_empty()
             })
         })
@@ -60,7 +60,7 @@
         .iter()
         .find(|trace| trace.header.trace == "four-kinds-of-faults")
         .expect("the mixed trace is there");
-    let first = gorsebank_replay::simulation::play(mixed, 7, None);
-    let second = gorsebank_replay::simulation::play(mixed, 7, None);
+    let first = gorsebank_replay::simulation::simulate(mixed, 7, None);
+    let second = gorsebank_replay::simulation::simulate(mixed, 7, None);
     assert_eq!(format!("{first:?}"), format!("{second:?}"));
 }
--- a/crates/world/src/machine.rs
+++ b/crates/world/src/machine.rs
@@ -25,7 +25,7 @@
     Live,
     /// The machine is draining: it finishes its open requests and accepts no new ones.
     #[serde(rename = "leaving")]
-    Leaving,
+    Draining,
 }
 
 /// One back end of the platform's machine list.
