--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -13,7 +13,7 @@
 
 mod apply;
 mod receive;
-mod spread;
+mod replication;
 
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/coordination/src/placement/announce.rs
+++ b/crates/coordination/src/placement/announce.rs
@@ -7,8 +7,8 @@
 use gorsebank_world::{Artifact, BackEndId};
 
 use crate::configuration::Configuration;
+use crate::placement::artifact_demand::AnnouncedReplicas;
 use crate::placement::engine::Engine;
-use crate::placement::need::AnnouncedReplicas;
 use crate::placement::{Placement, PlacementOutput, parts_of};
 use crate::time::Timestamp;
 
--- a/crates/coordination/src/placement/mod.rs
+++ b/crates/coordination/src/placement/mod.rs
@@ -11,11 +11,11 @@
 //! that the engine may have loaded.
 
 mod announce;
+mod artifact_demand;
 mod decisions;
 pub mod engine;
 pub mod lease_keeper;
-pub mod load_pace;
-mod need;
+pub mod load_slowdown;
 mod orders;
 pub mod policy;
 mod replicas;
@@ -36,10 +36,10 @@
 use crate::configuration::Configuration;
 use crate::machines::MachineTable;
 use crate::membership::{Identity, View};
+use crate::placement::artifact_demand::ArtifactDemand;
 use crate::placement::engine::{Engine, OrderOutcome};
 use crate::placement::lease_keeper::{LeaseEvent, LeaseKeeper, cell_prefix};
-use crate::placement::load_pace::LoadSlowdown;
-use crate::placement::need::ArtifactDemand;
+use crate::placement::load_slowdown::LoadSlowdown;
 use crate::placement::policy::KeepAlivePolicy;
 use crate::placement::review::StandbyState;
 use crate::placement::store_budget::StoreBudget;
--- a/crates/coordination/src/placement/replicas.rs
+++ b/crates/coordination/src/placement/replicas.rs
@@ -6,7 +6,7 @@
 use gorsebank_world::{Artifact, BackEndId, MachineState, NodeId};
 
 use crate::configuration::Configuration;
-use crate::placement::need::ArtifactDemand;
+use crate::placement::artifact_demand::ArtifactDemand;
 use crate::placement::scheduler::{self, Choice, PlacementRequest};
 use crate::placement::{Placement, parts_of};
 use crate::queues::Demand;
--- a/crates/node/src/caller/application.rs
+++ b/crates/node/src/caller/application.rs
@@ -12,12 +12,12 @@
 use gorsebank_contract::PriorityClass;
 use gorsebank_world::{MachineRole, QueueKey, ServiceId};
 
-use crate::caller::answer;
 use crate::caller::attempt::OutgoingRequest;
 use crate::caller::error::CallerError;
 use crate::caller::headers;
 use crate::caller::openai::{read_body, refuse_invalid};
 use crate::caller::request::{OpenRequest, RequestTerms};
+use crate::caller::response;
 use crate::host::Host;
 
 /// Handles every method on `/services/{service}/{path}`.
@@ -27,7 +27,7 @@
     request: Request<Body>,
 ) -> Response<Body> {
     match prepare(&host, &service, &path, request).await {
-        Ok((terms, outgoing)) => answer::respond(OpenRequest::open(&host, terms), outgoing).await,
+        Ok((terms, outgoing)) => response::respond(OpenRequest::open(&host, terms), outgoing).await,
         Err(error) => refuse_invalid(&host, error),
     }
 }
--- a/crates/node/src/caller/mod.rs
+++ b/crates/node/src/caller/mod.rs
@@ -1,13 +1,13 @@
 //! The HTTP API for callers: the OpenAI-compatible API and the calls of
 //! application services.
 
-pub mod answer;
 pub mod application;
 pub mod attempt;
 pub mod error;
 pub mod headers;
 pub mod openai;
 pub mod request;
+pub mod response;
 pub mod resume;
 pub mod stream;
 
--- a/crates/node/src/caller/openai.rs
+++ b/crates/node/src/caller/openai.rs
@@ -16,11 +16,11 @@
 use serde_json::{Map, Value, json};
 use tokio::time::timeout;
 
-use crate::caller::answer;
 use crate::caller::attempt::OutgoingRequest;
 use crate::caller::error::CallerError;
 use crate::caller::headers;
 use crate::caller::request::{OpenRequest, RequestTerms};
+use crate::caller::response;
 use crate::host::Host;
 
 /// The number of bytes that the node reads and discards after a body exceeded its size
@@ -62,7 +62,7 @@
 
 async fn run(host: Arc<Host>, request: Request<Body>, path: &str) -> Response<Body> {
     match prepare(&host, request, path).await {
-        Ok((terms, outgoing)) => answer::respond(OpenRequest::open(&host, terms), outgoing).await,
+        Ok((terms, outgoing)) => response::respond(OpenRequest::open(&host, terms), outgoing).await,
         Err(error) => refuse_invalid(&host, error),
     }
 }
--- a/crates/node/src/host.rs
+++ b/crates/node/src/host.rs
@@ -19,8 +19,8 @@
 use parking_lot::Mutex;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::links::PeerConnections;
 use crate::metrics::Metrics;
+use crate::peer_connections::PeerConnections;
 use crate::settings::{NodeSettings, PeerSection};
 
 /// The interval between two ticks of the decision logic.
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,10 +8,10 @@
 pub mod admin;
 pub mod caller;
 pub mod host;
-pub mod links;
 pub mod listener;
 pub mod logging;
 pub mod metrics;
+pub mod peer_connections;
 pub mod process;
 pub mod settings;
 pub mod state_log;
--- a/crates/plays/src/lib.rs
+++ b/crates/plays/src/lib.rs
@@ -8,9 +8,9 @@
 //! differ by 0.1, so fewer than 20 runs per variant show little.
 
 pub mod outcome;
-pub mod play;
+pub mod scenario_run;
 pub mod statistics;
 pub mod table;
 
 pub use outcome::Outcome;
-pub use play::{Bench, Scenario, ScenarioRun, Variant};
+pub use scenario_run::{Bench, Scenario, ScenarioRun, Variant};
--- a/crates/plays/src/table.rs
+++ b/crates/plays/src/table.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use crate::outcome::Outcome;
-use crate::play::{Scenario, Variant};
+use crate::scenario_run::{Scenario, Variant};
 use crate::statistics::Estimate;
 
 /// Metrics whose mean is below this value for every variant are left out of the
--- a/crates/replay/src/checker/mod.rs
+++ b/crates/replay/src/checker/mod.rs
@@ -4,8 +4,9 @@
 //! module of its own. The checker uses only what back ends, callers, operators
 //! and the platform observed, never counters of the system itself.
 
+pub mod complete_response;
 pub mod configuration;
-pub mod leaving;
+pub mod draining;
 pub mod memory;
 pub mod once;
 pub mod outcome;
@@ -13,7 +14,6 @@
 pub mod refusal;
 pub mod replicas;
 pub mod served;
-pub mod whole_answer;
 
 use std::fmt;
 
@@ -72,7 +72,7 @@
 pub fn check_untimed(history: &History) -> Vec<Violation> {
     let rules = [
         memory::check(history),
-        whole_answer::check(history),
+        complete_response::check(history),
         refusal::check(history),
         once::check(history),
         planned_stop::check(history),
@@ -86,10 +86,10 @@
         replicas::check(history),
         memory::check(history),
         served::check(history),
-        whole_answer::check(history),
+        complete_response::check(history),
         refusal::check(history),
         once::check(history),
-        leaving::check(history),
+        draining::check(history),
         planned_stop::check(history),
         configuration::check(history),
         outcome::check(history, outcomes),
--- a/crates/replay/src/compare/clairvoyant.rs
+++ b/crates/replay/src/compare/clairvoyant.rs
@@ -11,7 +11,7 @@
 use gorsebank_contract::{PriorityClass, SourceTier};
 use gorsebank_world::{Artifact, MachineRole, Spec};
 
-use crate::compare::figures::{PolicyMetrics, quantile_ms};
+use crate::compare::metrics::{PolicyMetrics, quantile_ms};
 use crate::simulation::caller::plan_callers;
 use crate::trace::Trace;
 use crate::trace::format::{BackEndEntry, Header, TraceEvent};
--- a/crates/replay/src/compare/mod.rs
+++ b/crates/replay/src/compare/mod.rs
@@ -8,8 +8,8 @@
 //! request arrives.
 
 pub mod clairvoyant;
-pub mod figures;
+pub mod metrics;
 pub mod policies;
 
-pub use figures::PolicyMetrics;
+pub use metrics::PolicyMetrics;
 pub use policies::{Policy, run_policy};
--- a/crates/replay/src/compare/policies.rs
+++ b/crates/replay/src/compare/policies.rs
@@ -6,7 +6,7 @@
 use gorsebank_world::Spec;
 
 use crate::compare::clairvoyant;
-use crate::compare::figures::PolicyMetrics;
+use crate::compare::metrics::PolicyMetrics;
 use crate::history::History;
 use crate::simulation;
 use crate::trace::Trace;
