--- a/crates/contract/src/frame.rs
+++ b/crates/contract/src/frame.rs
@@ -31,10 +31,10 @@
 #[derive(Debug, Error)]
 pub enum FrameError {
     /// The connection failed, or the frame is too long.
-    #[error("frame cannot be transferred: {0}")]
+    #[error("frame: {0}")]
     Io(#[from] std::io::Error),
     /// The content is not a valid value of the expected type.
-    #[error("frame content of {length} bytes cannot be decoded: {reason}")]
+    #[error("frame content of {length} bytes is not understood: {reason}")]
     Content {
         /// The length of the content in bytes.
         length: usize,
--- a/crates/contract/src/order.rs
+++ b/crates/contract/src/order.rs
@@ -42,7 +42,7 @@
 
 /// The text is not the name of an engine role.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is not an engine role: expected serve, prefill or decode")]
+#[error("`{0}` is no role: expected serve, prefill or decode")]
 pub struct EngineRoleError(String);
 
 impl FromStr for EngineRole {
--- a/crates/contract/src/request.rs
+++ b/crates/contract/src/request.rs
@@ -20,7 +20,7 @@
 
 /// The text is not a valid request ID.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{0}` is not a request ID")]
+#[error("`{0}` is no request id")]
 pub struct RequestIdError(String);
 
 impl FromStr for RequestId {
--- a/crates/coordination/src/configuration_check.rs
+++ b/crates/coordination/src/configuration_check.rs
@@ -180,7 +180,7 @@
     if name.is_empty() || name.contains(is_reserved) {
         return Err(invalid(
             key,
-            "a name must not be empty or contain @ + / : or white space",
+            "a name must not be empty or contain @ + / : or blanks",
         ));
     }
     Ok(())
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -86,7 +86,7 @@
     Invalid(String),
     /// The table service did not respond in time, so the change may still take
     /// effect.
-    #[error("the table service did not respond: the change may or may not take effect")]
+    #[error("the table service gave no answer: the change may or may not take effect")]
     Unknown,
     /// The node is stopping; nothing was written.
     #[error("this node is stopping; nothing was written")]
--- a/crates/coordination/src/stream.rs
+++ b/crates/coordination/src/stream.rs
@@ -27,7 +27,7 @@
 
 /// Error for a text that is not an event id.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is not an event id: expected `stream:number`")]
+#[error("`{0}` is no event id: expected `stream:number`")]
 pub struct EventIdError(String);
 
 impl FromStr for EventId {
--- a/crates/emulator/src/server/application.rs
+++ b/crates/emulator/src/server/application.rs
@@ -113,9 +113,7 @@
 fn interrupted_response() -> Response {
     let chunks = futures_util::stream::iter([
         Ok(Bytes::from_static(b"{")),
-        Err(std::io::Error::other(
-            "connection failure requested by the caller",
-        )),
+        Err(std::io::Error::other("broken on purpose")),
     ]);
     Response::new(Body::from_stream(chunks))
 }
--- a/crates/emulator/src/server/engine.rs
+++ b/crates/emulator/src/server/engine.rs
@@ -338,21 +338,21 @@
     let name = header(REQUEST_ID_HEADER).unwrap_or("direct").to_owned();
     let is_batch = header(PRIORITY_HEADER) == Some("batch");
     let Ok(artifact) = request.model.parse::<Artifact>() else {
-        return refuse(StatusCode::NOT_FOUND, "the model name is not valid");
+        return refuse(StatusCode::NOT_FOUND, "no such model");
     };
     let started = server
         .model
         .lock()
         .start_request(server.clock.now(), &artifact, &name);
     if !started {
-        return refuse(StatusCode::SERVICE_UNAVAILABLE, "the model is not loaded");
+        return refuse(StatusCode::SERVICE_UNAVAILABLE, "model is not loaded");
     }
     let response = match server.streams.create(&name) {
         Some(response) => response,
         None if name == "direct" => Arc::new(ResponseStream::default()),
         None => {
             server.model.lock().end_request(&artifact);
-            return refuse(StatusCode::CONFLICT, "the request id has already been used");
+            return refuse(StatusCode::CONFLICT, "the request id was used before");
         }
     };
     let generator = Generator {
@@ -457,7 +457,7 @@
     headers: HeaderMap,
 ) -> Response {
     let Some(response) = server.streams.get(&name) else {
-        return refuse(StatusCode::NOT_FOUND, "the stream does not exist");
+        return refuse(StatusCode::NOT_FOUND, "no such stream");
     };
     let next = headers
         .get("last-event-id")
--- a/crates/gateway/src/adaptive_client.rs
+++ b/crates/gateway/src/adaptive_client.rs
@@ -106,7 +106,7 @@
                 // Connections can go silent without a reset, and then all open ones do so together.
                 // The next call must open a new connection.
                 self.connections.clear();
-                Err(TableError::NoResponse("timed out".to_owned()))
+                Err(TableError::NoResponse("time is up".to_owned()))
             }
         }
     }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -63,81 +63,39 @@
     pub fn new() -> eyre::Result<Self> {
         let registry = Registry::new();
         let metrics = Metrics {
-            requests: counters(
-                "gateway_requests_total",
-                "Completed requests, by outcome",
-                "outcome",
-            )?,
+            requests: counters("gateway_requests_total", "Requests by outcome", "outcome")?,
             tenant_requests: IntCounterVec::new(
-                Opts::new(
-                    "gateway_tenant_requests_total",
-                    "Completed requests of tenants, by tenant and outcome",
-                ),
+                Opts::new("gateway_tenant_requests_total", "Requests by tenant"),
                 &["tenant", "outcome"],
             )?,
             tenants: Mutex::default(),
-            attempts: counters(
-                "gateway_attempts_total",
-                "Attempts at back ends, by result",
-                "result",
-            )?,
+            attempts: counters("gateway_attempts_total", "Sends by result", "result")?,
             reservations: counters(
                 "gateway_reservations_total",
-                "Requests for send times at back ends that state a limit, by result",
+                "Questions for times at limited back ends",
                 "result",
             )?,
             back_end_statements: counters(
                 "gateway_back_end_statements_total",
-                "Responses in which back ends announce a drain or request a pause, by kind",
+                "Answers in which back ends say that they leave or ask for a pause",
                 "kind",
             )?,
-            orders: counters(
-                "gateway_orders_total",
-                "Orders to engines, by result",
-                "result",
-            )?,
-            table_calls: counters(
-                "gateway_table_calls_total",
-                "Table calls, by result",
-                "result",
-            )?,
-            refused_rows: counters(
-                "gateway_refused_rows_total",
-                "Table rows that could not be parsed, by reason",
-                "reason",
-            )?,
+            orders: counters("gateway_orders_total", "Orders by result", "result")?,
+            table_calls: counters("gateway_table_calls_total", "Table calls", "result")?,
+            refused_rows: counters("gateway_refused_rows_total", "Refused rows", "reason")?,
             quarantine_row: counters(
                 "gateway_quarantine_row_total",
-                "Reads and writes of the quarantine row, by result",
+                "Reads and writes of the row that keeps quarantine verdicts",
                 "result",
             )?,
-            lease_changes: counters(
-                "gateway_lease_changes_total",
-                "Changes of the placement lease, by kind",
-                "kind",
-            )?,
-            open_requests: IntGauge::new("gateway_open_requests", "Requests in progress")?,
-            stated_limits: IntGauge::new(
-                "gateway_stated_limits",
-                "Back ends with a known stated limit",
-            )?,
-            dropped_lines: IntGauge::new("gateway_lines_left_out", "Dropped log lines")?,
-            queue_time: latency(
-                "gateway_queue_seconds",
-                "Time that requests waited for a back end",
-            )?,
-            connect_time: latency(
-                "gateway_connect_seconds",
-                "Time to establish a connection to a back end",
-            )?,
-            first_byte_time: latency(
-                "gateway_first_byte_seconds",
-                "Time from a send to the first byte of the response",
-            )?,
-            response_time: latency(
-                "gateway_whole_seconds",
-                "Time from the arrival of a request to the end of its response",
-            )?,
+            lease_changes: counters("gateway_lease_changes_total", "Lease changes", "kind")?,
+            open_requests: IntGauge::new("gateway_open_requests", "Requests being served")?,
+            stated_limits: IntGauge::new("gateway_stated_limits", "Back ends that state a limit")?,
+            dropped_lines: IntGauge::new("gateway_lines_left_out", "Log lines left out")?,
+            queue_time: latency("gateway_queue_seconds", "Wait for a back end")?,
+            connect_time: latency("gateway_connect_seconds", "Time to connect to a back end")?,
+            first_byte_time: latency("gateway_first_byte_seconds", "Send to first byte")?,
+            response_time: latency("gateway_whole_seconds", "Arrival to end of answer")?,
             registry,
         };
         metrics.register()?;
--- a/crates/gateway/src/relay/table.rs
+++ b/crates/gateway/src/relay/table.rs
@@ -358,11 +358,11 @@
 
 /// The error of a call on the direct path after that path was abandoned.
 pub fn table_unreachable() -> TableError {
-    TableError::NoResponse("this gateway cannot reach the table directly".to_owned())
+    TableError::NoResponse("the table is out of reach".to_owned())
 }
 
 fn relay_failed() -> TableError {
-    TableError::NoResponse("no other gateway could relay the call to the table".to_owned())
+    TableError::NoResponse("no other gateway reaches the table".to_owned())
 }
 
 impl WatchedTable for RelayedTable {
--- a/crates/node/src/admin/configuration.rs
+++ b/crates/node/src/admin/configuration.rs
@@ -140,10 +140,6 @@
         edit,
     };
     let row = host.apply_change(change).await?;
-    log::info!(
-        "configuration row {} changed to version {}",
-        row.key,
-        row.revision
-    );
+    log::info!("{} is at version {}", row.key, row.revision);
     Ok(Json(row))
 }
--- a/crates/node/src/admin/probes.rs
+++ b/crates/node/src/admin/probes.rs
@@ -21,7 +21,7 @@
     let reason = if host.is_stopping() {
         "stopping"
     } else if !status.knows_machines {
-        "the machine list has not been read yet"
+        "the machine list is not known yet"
     } else {
         return "ready\n".into_response();
     };
--- a/crates/node/src/caller/error.rs
+++ b/crates/node/src/caller/error.rs
@@ -40,16 +40,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CallerError {
     /// The body is not valid JSON, or does not have the expected fields.
-    #[error("invalid request body: {0}")]
+    #[error("the body is not understood: {0}")]
     Body(String),
     /// The connection failed before the complete body was received.
-    #[error("the request body is incomplete: {0}")]
+    #[error("the body broke off: {0}")]
     IncompleteBody(String),
     /// The body exceeds the size limit, in bytes.
-    #[error("the request body is larger than {0} bytes")]
+    #[error("the body is larger than {0} bytes")]
     BodyTooLarge(u64),
     /// A header has an invalid value.
-    #[error("invalid header `{name}`: {reason}")]
+    #[error("header `{name}` is wrong: {reason}")]
     Header {
         /// The name of the header.
         name: &'static str,
@@ -69,13 +69,13 @@
     #[error("path `{0}` does not exist")]
     UnknownPath(String),
     /// The route of the path does not support the method.
-    #[error("method {0} is not allowed for this path")]
+    #[error("method {0} is not allowed here")]
     MethodNotAllowed(String),
     /// The stream cannot be resumed, for the reason in the second field.
     #[error("stream `{0}` cannot be resumed: {1}")]
     UnknownStream(String, String),
     /// The node has reached its limit of open requests.
-    #[error("this node has reached its limit of open requests")]
+    #[error("this node has as many open requests as it takes")]
     Overloaded,
     /// The node rejected the request, or its outcome is unknown.
     #[error("{}", describe(.0))]
@@ -221,12 +221,12 @@
     let reason = match refusal.reason {
         RefusalReason::NoCapacity => "no capacity is expected before the deadline",
         RefusalReason::DeadlinePassed => "the deadline passed",
-        RefusalReason::NoPlace => "no engine can load the model at present",
-        RefusalReason::RetriesExhausted => "no back end accepted the request",
-        RefusalReason::KeyUsed => "the idempotency key has already been used",
-        RefusalReason::KeyInDoubt => "the idempotency key may have been used already",
-        RefusalReason::ConnectionLost => "the connection to the back end was lost",
-        RefusalReason::Stopping => "this node is shutting down",
+        RefusalReason::NoPlace => "the model cannot be loaded anywhere now",
+        RefusalReason::RetriesExhausted => "no back end took the request",
+        RefusalReason::KeyUsed => "the idempotency key was used before",
+        RefusalReason::KeyInDoubt => "it is not certain that the idempotency key is unused",
+        RefusalReason::ConnectionLost => "the connection to the back end broke",
+        RefusalReason::Stopping => "this node is stopping",
     };
     let ran = match refusal.ran {
         ExecutionStatus::No => "the request did not run",
--- a/crates/node/src/caller/headers.rs
+++ b/crates/node/src/caller/headers.rs
@@ -25,7 +25,7 @@
     };
     value.to_str().map(Some).map_err(|_| CallerError::Header {
         name,
-        reason: "the value is not plain text".to_owned(),
+        reason: "it is not plain text".to_owned(),
     })
 }
 
@@ -60,7 +60,7 @@
     if value.is_empty() || value.len() > MAX_KEY_BYTES {
         return Err(CallerError::Header {
             name: IDEMPOTENCY_KEY_HEADER,
-            reason: format!("the key must have 1 to {MAX_KEY_BYTES} characters"),
+            reason: format!("it must have 1 to {MAX_KEY_BYTES} characters"),
         });
     }
     Ok(Some(value.to_owned()))
--- a/crates/node/src/caller/openai.rs
+++ b/crates/node/src/caller/openai.rs
@@ -147,9 +147,7 @@
 fn requested_queue(host: &Host, fields: &Map<String, Value>) -> Result<QueueKey, CallerError> {
     match fields.get("model") {
         Some(Value::String(name)) => host.node().resolve(name).map_err(CallerError::Model),
-        Some(_) => Err(CallerError::Body(
-            "field `model` is not a string".to_owned(),
-        )),
+        Some(_) => Err(CallerError::Body("field `model` is no text".to_owned())),
         None => Err(CallerError::Body("field `model` is missing".to_owned())),
     }
 }
@@ -160,7 +158,7 @@
         Some(Value::String(tier)) if tier == BATCH_TIER => Ok(PriorityClass::Batch),
         Some(Value::String(_)) => Ok(PriorityClass::Interactive),
         Some(_) => Err(CallerError::Body(
-            "field `service_tier` is not a string".to_owned(),
+            "field `service_tier` is no text".to_owned(),
         )),
     }
 }
--- a/crates/node/src/caller/resume.rs
+++ b/crates/node/src/caller/resume.rs
@@ -27,7 +27,7 @@
         Err(error) => return refuse_invalid(&host, error),
     };
     if source.fetch_first().await.is_err() {
-        let reason = "the back end does not have the stream, or has no further events of it";
+        let reason = "its back end does not have it, or nothing is left of it";
         let error = CallerError::UnknownStream(name, reason.to_owned());
         return refuse_invalid(&host, error);
     }
@@ -42,11 +42,11 @@
     let unknown = |reason: &str| CallerError::UnknownStream(name.to_owned(), reason.to_owned());
     let (_, back_end) = name
         .split_once('@')
-        .ok_or_else(|| unknown("the stream name contains no back end"))?;
+        .ok_or_else(|| unknown("its name has no back end"))?;
     let machines = host.node().machines();
     let machine = machines
         .back_end(&BackEndId::from(back_end))
-        .ok_or_else(|| unknown("the back end is not in the machine list"))?;
+        .ok_or_else(|| unknown("its back end is not there"))?;
     let next = next_event_number(name, headers)?;
     let stall = host.settings().limits.stream_stall;
     let http = host.http().clone();
@@ -69,10 +69,10 @@
     };
     let text = value
         .to_str()
-        .map_err(|_| invalid("the value is not plain text".to_owned()))?;
+        .map_err(|_| invalid("it is not plain text".to_owned()))?;
     let id: EventId = text.parse().map_err(|error| invalid(format!("{error}")))?;
     if id.stream != name {
-        return Err(invalid("the event id belongs to another stream".to_owned()));
+        return Err(invalid("it belongs to another stream".to_owned()));
     }
     Ok(id.number + 1)
 }
--- a/crates/node/src/caller/stream.rs
+++ b/crates/node/src/caller/stream.rs
@@ -281,7 +281,7 @@
 
 fn interruption_event() -> SseEvent {
     let body = json!({"error": {
-        "message": "the response was interrupted; the request may have run",
+        "message": "the answer broke off; the request may have run",
         "type": "server_error",
         "param": null,
         "code": "stream_interrupted",
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -74,7 +74,7 @@
             )?,
             messages_dropped: registrar.counter("messages_dropped_total", "Messages not sent")?,
             bytes_sent: registrar.counter("bytes_sent_total", "Bytes sent to other nodes")?,
-            frames_refused: registrar.counter("frames_refused_total", "Invalid frames received")?,
+            frames_refused: registrar.counter("frames_refused_total", "Wrong frames received")?,
             invalid_requests: registrar.counter_vec(
                 "invalid_requests_total",
                 "Invalid requests",
@@ -91,22 +91,17 @@
                 "outcome",
             )?,
             machine_list_errors: registrar
-                .counter("machine_list_errors_total", "Invalid machine list entries")?,
+                .counter("machine_list_errors_total", "Wrong machine list entries")?,
             first_byte: registrar.histogram("first_byte_seconds", "Time to the first byte")?,
             state: StateGauges {
-                pending: registrar
-                    .gauge("pending_requests", "Requests without a final response")?,
+                pending: registrar.gauge("pending_requests", "Requests without a final answer")?,
                 waiting: registrar.gauge("waiting_tickets", "Tickets in queues owned here")?,
                 queues: registrar.gauge("queues", "Queues owned here")?,
                 claims: registrar.gauge("claims", "Claims recorded here")?,
                 live_nodes: registrar.gauge("live_nodes", "Live nodes of the cell")?,
-                holder: registrar.gauge(
-                    "placement_holder",
-                    "1 if this node holds the placement lease",
-                )?,
-                revision: registrar
-                    .gauge("configuration_revision", "Applied configuration revision")?,
-                retries: registrar.gauge("retries", "Retried attempts")?,
+                holder: registrar.gauge("placement_holder", "1 if this node holds the lease")?,
+                revision: registrar.gauge("configuration_revision", "Configuration in force")?,
+                retries: registrar.gauge("retries", "Attempts repeated")?,
                 on_credit: registrar.gauge("sent_on_credit", "Requests sent on a credit")?,
                 loads: registrar.gauge("loads_ordered", "Loads ordered by this node")?,
             },
--- a/crates/world/src/artifact.rs
+++ b/crates/world/src/artifact.rs
@@ -57,7 +57,7 @@
 
 /// The text is not a valid artifact name.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is not a valid artifact name: expected `model@version` or `model@version+adapter`")]
+#[error("`{0}` is not an artifact: expected `model@version` or `model@version+adapter`")]
 pub struct ArtifactError(String);
 
 impl FromStr for Artifact {
--- a/crates/world/src/configuration.rs
+++ b/crates/world/src/configuration.rs
@@ -52,7 +52,7 @@
 
 /// The text is not the name of a row kind.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is not a row kind: expected deployment, model, version, adapter or back_end")]
+#[error("`{0}` is not a kind: expected deployment, model, version, adapter or back_end")]
 pub struct RowKindError(String);
 
 impl FromStr for RowKind {
--- a/crates/world/src/selector.rs
+++ b/crates/world/src/selector.rs
@@ -61,7 +61,7 @@
 /// The text is not a valid selector. The position is that at which parsing stopped, counted in
 /// bytes from 1.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("selector `{text}` has a syntax error at position {position}")]
+#[error("selector `{text}` is wrong at character {position}")]
 pub struct SelectorError {
     text: String,
     position: usize,
